--- a/crates/relay/src/batch.rs
+++ b/crates/relay/src/batch.rs
@@ -9,7 +9,7 @@
     place::{Listener, Placement, Placer, Refusal},
     seal::KeyRing,
 };
-use camphorwinch_wire::encap::{Encoder, Header, MAX_PAYLOAD};
+use camphorwinch_wire::encap::{Encoder, Header, MAX_PAYLOAD_BYTES};
 use quinn_udp::{EcnCodepoint, RecvMeta, Transmit};
 
 use crate::outcome::{Outcome, Tally};
@@ -145,7 +145,7 @@
     caller: SocketAddr,
     datagram: &[u8],
 ) -> Result<Placement, Outcome> {
-    if datagram.len() > MAX_PAYLOAD {
+    if datagram.len() > MAX_PAYLOAD_BYTES {
         return Err(Outcome::Oversized);
     }
     Ok(placer.place(listener, caller, datagram))
--- a/crates/relay/tests/batch.rs
+++ b/crates/relay/tests/batch.rs
@@ -12,7 +12,7 @@
     batch::Batch,
     outcome::{Outcome, Tally},
 };
-use camphorwinch_wire::encap::{self, MAX_PAYLOAD};
+use camphorwinch_wire::encap::{self, MAX_PAYLOAD_BYTES};
 use quickcheck::quickcheck;
 use quinn_udp::RecvMeta;
 
@@ -91,7 +91,7 @@
 fn what_can_not_be_sent_is_counted() {
     let tally = Tally::default();
     let good = common::established(agent(0), 1, 100);
-    let oversized = common::established(agent(0), 1, MAX_PAYLOAD + 1);
+    let oversized = common::established(agent(0), 1, MAX_PAYLOAD_BYTES + 1);
     let mut forged = good.clone();
     forged[20] ^= 1;
     let datagrams = [good, oversized, forged, Vec::new(), vec![0x41; 20]];
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -1,4 +1,4 @@
-//! Translation between messages and the types of the core crate.
+//! Conversions between messages and the types of the core crate.
 
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
     fn from(it: &Mark) -> MarkPart {
         let mut deleted = Vec::new();
         for it in &it.deleted {
-            deleted.push(deleted_part(it.kind, &it.name, it.revision));
+            deleted.push(deletion_part(it.kind, &it.name, it.revision));
         }
         MarkPart { revision: it.revision, floor: it.floor, sum: it.sum, deleted }
     }
@@ -37,7 +37,7 @@
     }
 }
 
-fn deleted_part(kind: Kind, name: &str, revision: u64) -> ObjectPart {
+fn deletion_part(kind: Kind, name: &str, revision: u64) -> ObjectPart {
     ObjectPart {
         kind: kind.as_str().to_owned(),
         name: name.to_owned(),
@@ -47,7 +47,7 @@
 }
 
 impl Digest {
-    /// The hashes, one for each bucket.
+    /// Returns the hashes in bucket order; fails unless there are exactly [`BUCKETS`].
     pub fn to_buckets(&self) -> Result<[u64; BUCKETS], MessageError> {
         <[u64; BUCKETS]>::try_from(self.buckets.as_slice())
             .map_err(|_| MessageError::new("digest.buckets", self.buckets.len()))
@@ -70,8 +70,8 @@
     fn try_from(it: &Summary) -> Result<view::Summary, MessageError> {
         let mut buckets = Vec::new();
         for bucket in &it.buckets {
-            let number = u8::try_from(*bucket).ok().filter(|it| usize::from(*it) < BUCKETS);
-            buckets.push(number.ok_or_else(|| MessageError::new("summary.buckets", bucket))?);
+            let index = u8::try_from(*bucket).ok().filter(|it| usize::from(*it) < BUCKETS);
+            buckets.push(index.ok_or_else(|| MessageError::new("summary.buckets", bucket))?);
         }
         let mut entries = Vec::new();
         for entry in &it.entries {
@@ -110,8 +110,9 @@
 }
 
 fn parse_kind(kind: &str) -> Result<Kind, MessageError> {
-    let config = Kind::parse(kind).filter(|it| Kind::CONFIG.contains(it));
-    config.ok_or_else(|| MessageError::new("kind", format!("{kind:?} is not distributed")))
+    let config_kind = Kind::parse(kind).filter(|it| Kind::CONFIG.contains(it));
+    config_kind
+        .ok_or_else(|| MessageError::new("kind", format!("{kind:?} is not a configuration kind")))
 }
 
 impl From<&record::Record> for RecordPart {
@@ -125,7 +126,7 @@
                 spec: object.spec.to_string(),
             }),
             record::Record::Deleted { kind, name, revision } => {
-                Item::Deleted(deleted_part(*kind, name, *revision))
+                Item::Deleted(deletion_part(*kind, name, *revision))
             }
             record::Record::Member(it) => Item::Member(MemberPart::from(it)),
         };
@@ -157,7 +158,7 @@
                 revision: it.version,
             }),
             Some(Item::Member(it)) => Ok(record::Record::Member(record::Member::try_from(it)?)),
-            None => Err(MessageError::new("record", "missing or of an unknown class")),
+            None => Err(MessageError::new("record", "missing or of an unknown type")),
         }
     }
 }
@@ -172,13 +173,13 @@
                     weight: agent.weight,
                     slots: agent.slots,
                     connections: agent.connections,
-                    state: agent_state(agent.state) as i32,
-                    homes: homes.clone(),
+                    state: agent_state_part(agent.state) as i32,
+                    balancers: homes.clone(),
                 };
                 (&agent.place, agent.control, RolePart::Agent(part))
             }
             record::Role::Balancer { balancer, lease } => {
-                let state = balancer_state(balancer.state) as i32;
+                let state = balancer_state_part(balancer.state) as i32;
                 let part = BalancerPart { state, lease: lease.map(u32::from) };
                 (&balancer.place, balancer.control, RolePart::Balancer(part))
             }
@@ -242,7 +243,7 @@
         connections: part.connections,
         state,
     };
-    Ok(record::Role::Agent { agent, homes: part.homes.clone() })
+    Ok(record::Role::Agent { agent, homes: part.balancers.clone() })
 }
 
 fn parse_balancer(
@@ -271,7 +272,7 @@
     text.parse().map_err(|e| MessageError::new(field, format!("{text:?}: {e}")))
 }
 
-fn agent_state(it: AgentState) -> StatePart {
+fn agent_state_part(it: AgentState) -> StatePart {
     match it {
         AgentState::Starting => StatePart::Starting,
         AgentState::Ready => StatePart::Ready,
@@ -282,7 +283,7 @@
     }
 }
 
-fn balancer_state(it: BalancerState) -> StatePart {
+fn balancer_state_part(it: BalancerState) -> StatePart {
     match it {
         BalancerState::Ready => StatePart::Ready,
         BalancerState::Leaving => StatePart::Leaving,
--- a/crates/wire/src/encap.rs
+++ b/crates/wire/src/encap.rs
@@ -1,13 +1,13 @@
-//! Encapsulation of a caller's datagram on its way from a balancer to an agent, or from agent to agent.
+//! Encapsulation of caller datagrams between a balancer and an agent, or between two agents.
 //!
 //! ```text
-//! 0 version | 1 hop | 2 candidates | 3 key epoch | 4..8 service | 8..16 code | 16..32 caller IP | 32..34 caller port
-//! 34.. candidates, 6 bytes each | payload
+//! 0 version | 1 hop | 2 candidate count | 3 key epoch | 4..8 service | 8..16 MAC | 16..32 caller IP
+//! 32..34 caller port | 34.. candidates, 6 bytes each | payload
 //! ```
 //!
-//! The code is a 64-bit SipHash-2-4 over all of it up to the first 32 bytes of the payload, the code itself left out.
-//! QUIC authenticates the rest of the payload. Numbers are big-endian; an IPv4 caller is written as an IPv4-mapped
-//! IPv6 address.
+//! The message authentication code (MAC) is a 64-bit SipHash-2-4 over the header without the MAC itself, the candidates
+//! and the first 32 bytes of the payload. QUIC authenticates the rest of the payload. Integers are big-endian; an IPv4
+//! caller is encoded as an IPv4-to_mapped_ipv6 IPv6 address.
 
 use std::{
     hash::Hasher,
@@ -22,89 +22,89 @@
 use siphasher::sip::SipHasher24;
 use thiserror::Error;
 
-/// Bytes in front of the candidates.
+/// Length of the fixed header in front of the candidates, in bytes.
 pub const HEADER_LEN: usize = 34;
-/// Bytes of one candidate.
+/// Length of one encoded candidate, in bytes.
 pub const CANDIDATE_LEN: usize = 6;
-/// Most bytes that encapsulation adds to a datagram.
-pub const MAX_OVERHEAD: usize = HEADER_LEN + MAX_CANDIDATES * CANDIDATE_LEN;
-/// Largest datagram of a caller that is passed on: with the largest overhead it fits a UDP/IPv4 packet of 1,500 bytes.
-pub const MAX_PAYLOAD: usize = 1_472 - MAX_OVERHEAD;
+/// Largest number of bytes that encapsulation adds to a datagram.
+pub const MAX_OVERHEAD_BYTES: usize = HEADER_LEN + MAX_CANDIDATES * CANDIDATE_LEN;
+/// Largest caller datagram that is forwarded: with the largest overhead it fits an IPv4 packet of 1,500 bytes.
+pub const MAX_PAYLOAD_BYTES: usize = 1_472 - MAX_OVERHEAD_BYTES;
 
 const VERSION: u8 = 1;
-const CODE_AT: usize = 8;
-const CODE_END: usize = 16;
-const COVERED_PAYLOAD: usize = 32;
+const MAC_START: usize = 8;
+const MAC_END: usize = 16;
+const AUTHENTICATED_PAYLOAD_BYTES: usize = 32;
 
 /// Header of an encapsulated datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Position of the receiver among the candidates; 0 without candidates.
+    /// Index of the receiver in the candidate list; 0 without candidates.
     pub hop: u8,
-    /// Service at whose address the datagram arrived.
+    /// Service whose address received the datagram.
     pub service: ServiceId,
-    /// Address of the caller.
+    /// Source address of the datagram.
     pub caller: SocketAddr,
-    /// Agents that may accept the flow; empty for a flow that is already placed.
+    /// Agents that may accept a new flow; empty for an established flow.
     pub candidates: Candidates,
 }
 
-/// Why an encapsulated datagram was refused.
+/// Reason why an encapsulated datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum EncapError {
-    /// Shorter than its header says, or without payload.
+    /// Shorter than its header requires, or without payload.
     #[error("truncated")]
     Truncated,
-    /// The payload is larger than any balancer passes on.
-    #[error("payload larger than {MAX_PAYLOAD} bytes")]
+    /// The payload exceeds [`MAX_PAYLOAD_BYTES`].
+    #[error("payload larger than {MAX_PAYLOAD_BYTES} bytes")]
     Oversized,
-    /// A version of the layout that this build does not know.
-    #[error("unknown version {0}")]
-    Version(u8),
-    /// More candidates than allowed, or a hop beyond them.
-    #[error("hop {hop} of {count} candidates")]
-    Candidates {
-        /// The hop found.
+    /// Unsupported version of the header layout.
+    #[error("unsupported header version {0}")]
+    UnsupportedVersion(u8),
+    /// Too many candidates, or a hop index out of range.
+    #[error("invalid hop {hop} of {count} candidates")]
+    InvalidHop {
+        /// Hop index in the header.
         hop: u8,
-        /// The number of candidates found.
+        /// Candidate count in the header.
         count: u8,
     },
-    /// The key epoch is not in the ring.
+    /// The key ring has no key of this epoch.
     #[error("unknown key epoch {0}")]
-    Epoch(u8),
-    /// The authentication code does not match.
+    UnknownEpoch(u8),
+    /// The MAC does not match.
     #[error("authentication code does not match")]
-    Code,
+    MacMismatch,
 }
 
-/// Appends `payload` with its header in front to `out`, authenticated under the ring's sealing epoch.
+/// Appends the encoded header and `payload` to `out`, authenticated with the ring's sealing key.
 pub fn encode(header: &Header, ring: &KeyRing, payload: &[u8], out: &mut Vec<u8>) {
     Encoder::new(header, ring).append(payload, out);
 }
 
-/// A header made ready for any number of datagrams that carry the same one.
+/// Encodes a header once for any number of datagrams that share it.
 #[derive(Clone, Debug)]
 pub struct Encoder {
-    bytes: [u8; MAX_OVERHEAD],
+    bytes: [u8; MAX_OVERHEAD_BYTES],
     len: usize,
-    // The code's state after the header.
-    hasher: SipHasher24,
+    // MAC state after the header.
+    mac_state: SipHasher24,
 }
 
 impl Encoder {
-    /// Prepares `header` under the ring's sealing epoch.
+    /// Encodes `header` for authentication with the ring's sealing key.
     #[inline]
     pub fn new(header: &Header, ring: &KeyRing) -> Encoder {
         let epoch = ring.epoch();
         let key = ring.packet_key(epoch).expect("the sealing epoch is in the ring");
         let candidates = header.candidates.as_slice();
-        let mut bytes = [0; MAX_OVERHEAD];
+        let mut bytes = [0; MAX_OVERHEAD_BYTES];
         bytes[0] = VERSION;
         bytes[1] = header.hop;
         bytes[2] = candidates.len() as u8;
         bytes[3] = epoch;
         bytes[4..8].copy_from_slice(&header.service.0.to_be_bytes());
-        bytes[16..32].copy_from_slice(&mapped(header.caller.ip()).octets());
+        bytes[16..32].copy_from_slice(&to_mapped_ipv6(header.caller.ip()).octets());
         bytes[32..HEADER_LEN].copy_from_slice(&header.caller.port().to_be_bytes());
         let mut len = HEADER_LEN;
         for agent in candidates {
@@ -112,86 +112,86 @@
             bytes[len + 4..len + CANDIDATE_LEN].copy_from_slice(&agent.port().to_be_bytes());
             len += CANDIDATE_LEN;
         }
-        let hasher = header_code(key, &bytes[..len]);
-        Encoder { bytes, len, hasher }
+        let mac_state = mac_header(key, &bytes[..len]);
+        Encoder { bytes, len, mac_state }
     }
 
-    /// Length of the encapsulation around a payload.
+    /// Number of bytes that encapsulation adds to each payload.
     pub fn overhead(&self) -> usize {
         self.len
     }
 
-    /// Appends `payload` with the header in front to `out`.
+    /// Appends the encoded header and `payload` to `out`.
     #[inline]
     pub fn append(&self, payload: &[u8], out: &mut Vec<u8>) {
-        let code = full_code(self.hasher, payload);
-        out.extend_from_slice(&self.bytes[..CODE_AT]);
-        out.extend_from_slice(&code.to_be_bytes());
-        out.extend_from_slice(&self.bytes[CODE_END..self.len]);
+        let mac = finish_mac(self.mac_state, payload);
+        out.extend_from_slice(&self.bytes[..MAC_START]);
+        out.extend_from_slice(&mac.to_be_bytes());
+        out.extend_from_slice(&self.bytes[MAC_END..self.len]);
         out.extend_from_slice(payload);
     }
 }
 
-/// Checks an encapsulated datagram and splits it into header and payload.
+/// Authenticates an encapsulated datagram and splits it into header and payload.
 #[inline]
 pub fn decode<'a>(ring: &KeyRing, datagram: &'a [u8]) -> Result<(Header, &'a [u8]), EncapError> {
     let Some(fixed) = datagram.first_chunk::<HEADER_LEN>() else {
         return Err(EncapError::Truncated);
     };
     if fixed[0] != VERSION {
-        return Err(EncapError::Version(fixed[0]));
+        return Err(EncapError::UnsupportedVersion(fixed[0]));
     }
     let (hop, count) = (fixed[1], fixed[2]);
     if usize::from(count) > MAX_CANDIDATES || hop >= count.max(1) {
-        return Err(EncapError::Candidates { hop, count });
+        return Err(EncapError::InvalidHop { hop, count });
     }
-    let body = HEADER_LEN + usize::from(count) * CANDIDATE_LEN;
-    if datagram.len() <= body {
+    let payload_start = HEADER_LEN + usize::from(count) * CANDIDATE_LEN;
+    if datagram.len() <= payload_start {
         return Err(EncapError::Truncated);
     }
-    if datagram.len() - body > MAX_PAYLOAD {
+    if datagram.len() - payload_start > MAX_PAYLOAD_BYTES {
         return Err(EncapError::Oversized);
     }
-    let key = ring.packet_key(fixed[3]).ok_or(EncapError::Epoch(fixed[3]))?;
-    let code = full_code(header_code(key, &datagram[..body]), &datagram[body..]);
-    if fixed[CODE_AT..CODE_END] != code.to_be_bytes() {
-        return Err(EncapError::Code);
+    let key = ring.packet_key(fixed[3]).ok_or(EncapError::UnknownEpoch(fixed[3]))?;
+    let mac = finish_mac(mac_header(key, &datagram[..payload_start]), &datagram[payload_start..]);
+    if fixed[MAC_START..MAC_END] != mac.to_be_bytes() {
+        return Err(EncapError::MacMismatch);
     }
     let mut candidates = Candidates::NONE;
-    for it in datagram[HEADER_LEN..body].chunks_exact(CANDIDATE_LEN) {
+    for it in datagram[HEADER_LEN..payload_start].chunks_exact(CANDIDATE_LEN) {
         let ip = Ipv4Addr::new(it[0], it[1], it[2], it[3]);
         candidates.push(SocketAddrV4::new(ip, u16::from_be_bytes([it[4], it[5]])));
     }
     let service = ServiceId(u32::from_be_bytes([fixed[4], fixed[5], fixed[6], fixed[7]]));
-    let caller = caller(fixed);
-    Ok((Header { hop, service, caller, candidates }, &datagram[body..]))
+    let caller = decode_caller(fixed);
+    Ok((Header { hop, service, caller, candidates }, &datagram[payload_start..]))
 }
 
-fn caller(fixed: &[u8; HEADER_LEN]) -> SocketAddr {
+fn decode_caller(fixed: &[u8; HEADER_LEN]) -> SocketAddr {
     let mut ip = [0; 16];
     ip.copy_from_slice(&fixed[16..32]);
     let ip = Ipv6Addr::from(ip).to_canonical();
     SocketAddr::new(ip, u16::from_be_bytes([fixed[32], fixed[33]]))
 }
 
-fn mapped(ip: IpAddr) -> Ipv6Addr {
+fn to_mapped_ipv6(ip: IpAddr) -> Ipv6Addr {
     match ip {
         IpAddr::V4(it) => it.to_ipv6_mapped(),
         IpAddr::V6(it) => it,
     }
 }
 
-/// The code's state after a header with its candidates.
+/// Returns the MAC state after a header with its candidates.
 #[inline]
-fn header_code(key: &PacketKey, header: &[u8]) -> SipHasher24 {
+fn mac_header(key: &PacketKey, header: &[u8]) -> SipHasher24 {
     let mut hasher = SipHasher24::new_with_key(key);
-    hasher.write(&header[..CODE_AT]);
-    hasher.write(&header[CODE_END..]);
+    hasher.write(&header[..MAC_START]);
+    hasher.write(&header[MAC_END..]);
     hasher
 }
 
 #[inline]
-fn full_code(mut hasher: SipHasher24, payload: &[u8]) -> u64 {
-    hasher.write(&payload[..payload.len().min(COVERED_PAYLOAD)]);
+fn finish_mac(mut hasher: SipHasher24, payload: &[u8]) -> u64 {
+    hasher.write(&payload[..payload.len().min(AUTHENTICATED_PAYLOAD_BYTES)]);
     hasher.finish()
 }
--- a/crates/wire/src/handover.rs
+++ b/crates/wire/src/handover.rs
@@ -1,8 +1,8 @@
-//! Messages between agents: requests handed over, and claims on idempotency keys.
+//! Messages between agents: forwarded requests, and claims on idempotency keys.
 //!
-//! One connection carries one exchange at a time. A request is handed over in two steps: after the offer the other
-//! agent says whether it has a slot, and only at `Go` does it begin. If the connection breaks before `Go` is sent, the
-//! request was not begun.
+//! One connection carries one exchange at a time. A request is forwarded in two phases: the receiver of an offer
+//! reserves a slot, and starts the request only after `Go`. If the connection breaks before `Go` is sent, the request
+//! was not started.
 
 use std::sync::Arc;
 
@@ -13,12 +13,12 @@
 use prost::{Message, Oneof};
 use thiserror::Error;
 
-/// A message is not what the exchange allows, or does not hold what it must.
+/// Unexpected or malformed message, with the name of the invalid part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("message holds no valid {0}")]
+#[error("invalid or missing {0} in message")]
 pub struct HandoverError(pub &'static str);
 
-/// A header field.
+/// HTTP header field.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Field {
     /// Name.
@@ -29,113 +29,113 @@
     pub value: Vec<u8>,
 }
 
-/// Offers a request.
+/// Offers a request to another agent.
 #[derive(Clone, PartialEq, Message)]
 pub struct Offer {
-    /// Number of the service.
+    /// Service ID.
     #[prost(uint32, tag = "1")]
     pub service: u32,
-    /// Number of the request, 16 bytes.
+    /// Request ID, 16 bytes.
     #[prost(bytes = "vec", tag = "2")]
     pub request: Vec<u8>,
-    /// Agents that it has passed through, the one that offers included.
+    /// Number of agents that have handled the request, including the sender.
     #[prost(uint32, tag = "3")]
     pub hop: u32,
-    /// Milliseconds left until the caller's deadline; 0 without one.
+    /// Milliseconds until the caller's deadline; 0 without a deadline.
     #[prost(uint64, tag = "4")]
     pub left_ms: u64,
-    /// Method.
+    /// HTTP method.
     #[prost(string, tag = "5")]
     pub method: String,
-    /// Path and query.
+    /// Request path and query.
     #[prost(string, tag = "6")]
     pub path: String,
     /// Header fields.
     #[prost(message, repeated, tag = "7")]
     pub fields: Vec<Field>,
-    /// Whether a body follows `Go`.
+    /// Whether a request body follows `Go`.
     #[prost(bool, tag = "8")]
     pub body: bool,
 }
 
-/// The agent has taken a slot for the request and waits for `Go`.
+/// The agent has reserved a slot for the request and waits for `Go`.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Taken {
-    /// Share of its slots in use.
+    /// Fraction of its slots in use.
     #[prost(double, tag = "1")]
     pub load: f64,
 }
 
-/// The request was not begun and will not be.
+/// The offer is rejected; the request was not started and won't be.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Refused {
-    /// Time after which it may be asked again.
+    /// Time after which the request may be offered again, in milliseconds.
     #[prost(uint64, tag = "1")]
     pub retry_ms: u64,
 }
 
-/// The request may begin.
+/// Starts the offered request.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Go {}
 
-/// The upstream wants the body: from here on it need not be kept for another attempt.
+/// The upstream requests the body (100 Continue): the sender need not buffer it for another attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Resume {}
 
-/// Part of a body.
+/// Part of a request or response body.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Chunk {
-    /// Bytes.
+    /// Content.
     #[prost(bytes = "bytes", tag = "1")]
     pub data: bytes::Bytes,
-    /// Whether it is the last part.
+    /// Whether the body ends here.
     #[prost(bool, tag = "2")]
     pub last: bool,
 }
 
-/// Head of the answer.
+/// Head of a response.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Head {
-    /// Status.
+    /// HTTP status code.
     #[prost(uint32, tag = "1")]
     pub status: u32,
     /// Header fields.
     #[prost(message, repeated, tag = "2")]
     pub fields: Vec<Field>,
-    /// Name of the agent whose upstream answered.
+    /// Name of the agent whose upstream responded.
     #[prost(string, tag = "3")]
     pub upstream: String,
 }
 
-/// The attempt broke off; the request may have been begun.
+/// The attempt was aborted; the request may have been started.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Lost {}
 
-/// A claim on an idempotency key.
+/// Claim of a request on an idempotency key.
 #[derive(Clone, PartialEq, Message)]
 pub struct ClaimRecord {
-    /// Number of the service.
+    /// Service ID.
     #[prost(uint32, tag = "1")]
     pub service: u32,
-    /// The key.
+    /// Idempotency key.
     #[prost(string, tag = "2")]
     pub key: String,
-    /// Number of the request, 16 bytes.
+    /// Request ID, 16 bytes.
     #[prost(bytes = "vec", tag = "3")]
     pub request: Vec<u8>,
-    /// Digest of what was asked for.
+    /// Digest of the request content.
     #[prost(fixed64, tag = "4")]
     pub digest: u64,
-    /// Agent that claimed.
+    /// Name of the agent that made the claim.
     #[prost(string, tag = "5")]
     pub by: String,
-    /// State.
+    /// A [`ClaimState`].
     #[prost(enumeration = "ClaimState", tag = "6")]
     pub state: i32,
-    /// Answer, in state `Done`.
+    /// Response, in state `Done` only.
     #[prost(message, optional, tag = "7")]
-    pub answer: Option<KeptAnswer>,
-    /// For how long the key is remembered, in milliseconds.
+    pub answer: Option<StoredAnswer>,
+    /// Retention time of the key, in milliseconds.
     #[prost(uint64, tag = "8")]
     pub window_ms: u64,
 }
@@ -146,18 +146,18 @@
 pub enum ClaimState {
     /// The request may be running.
     Running = 0,
-    /// It may have run; its answer is lost.
+    /// The request may have run; its response is lost.
     Unknown = 1,
-    /// It was answered.
+    /// The request was answered.
     Done = 2,
-    /// It was proven not to have run: the claim is given up.
+    /// The request did not run; the claim is released.
     Released = 3,
 }
 
-/// A whole answer.
+/// Complete response, stored to be repeated.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct KeptAnswer {
-    /// Status.
+pub struct StoredAnswer {
+    /// HTTP status code.
     #[prost(uint32, tag = "1")]
     pub status: u32,
     /// Header fields.
@@ -168,78 +168,78 @@
     pub body: Vec<u8>,
 }
 
-/// Reply to a claim.
+/// Reply to a claim message.
 #[derive(Clone, PartialEq, Message)]
 pub struct ClaimReply {
-    /// Verdict.
+    /// A [`ClaimVerdict`].
     #[prost(enumeration = "ClaimVerdict", tag = "1")]
     pub verdict: i32,
-    /// The claim that has the key, if it is taken.
+    /// The claim that holds the key, if it is taken.
     #[prost(message, optional, tag = "2")]
     pub holder: Option<ClaimRecord>,
 }
 
-/// Verdict on a claim.
+/// Result of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum ClaimVerdict {
-    /// No more claims are taken.
+    /// The agent has no room for more claims, or is leaving.
     Full = 0,
-    /// Recorded.
+    /// The claim is recorded.
     Granted = 1,
-    /// Another request has the key.
+    /// Another request holds the key.
     Taken = 2,
-    /// The key was used for something else.
+    /// The key was used for a request with different content.
     Mismatch = 3,
-    /// An earlier claim on the key may have been forgotten.
+    /// An earlier claim on the key may have been lost.
     Doubtful = 4,
-    /// The members changed lately, or are others by what the asked agent knows: all of them must be asked.
+    /// The membership changed recently, or differs at the queried agent: all members must be queried.
     Unsettled = 5,
 }
 
-/// What a claim message asks for.
+/// Claim message.
 #[derive(Clone, PartialEq, Message)]
 pub struct ClaimCall {
-    /// The claim.
+    /// The claim that the message is about.
     #[prost(message, optional, tag = "1")]
     pub record: Option<ClaimRecord>,
-    /// Purpose.
+    /// A [`ClaimPurpose`].
     #[prost(enumeration = "ClaimPurpose", tag = "2")]
     pub purpose: i32,
-    /// Digest of the members, if all of them are asked.
+    /// Digest of the membership, if all members are queried.
     #[prost(fixed64, optional, tag = "3")]
     pub members: Option<u64>,
-    /// Members that died lately, for purpose `Losses`.
+    /// Members that failed recently, for purpose `Losses`.
     #[prost(message, repeated, tag = "4")]
     pub losses: Vec<Loss>,
 }
 
 impl ClaimCall {
-    /// A message about one claim.
+    /// Creates a message about one claim.
     pub fn new(purpose: ClaimPurpose, record: ClaimRecord) -> ClaimCall {
         ClaimCall { record: Some(record), purpose: purpose as i32, ..ClaimCall::default() }
     }
 }
 
-/// A member of a service's pool that died, and its claims with it.
+/// A failed member of a service's pool, whose claims are lost.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Loss {
-    /// Number of the service.
+    /// Service ID.
     #[prost(uint32, tag = "1")]
     pub service: u32,
-    /// Name.
+    /// Name of the agent.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// Number of the process under the name.
+    /// Incarnation of the agent.
     #[prost(uint64, tag = "3")]
     pub incarnation: u64,
     /// Availability zone.
     #[prost(string, tag = "4")]
     pub zone: String,
-    /// For how long it has been missed, in milliseconds.
+    /// Time since the failure, in milliseconds.
     #[prost(uint64, tag = "5")]
     pub age_ms: u64,
-    /// Whether it was a member when the members were last settled.
+    /// Whether it belonged to the last stable membership.
     #[prost(bool, tag = "6")]
     pub old: bool,
 }
@@ -250,85 +250,85 @@
 pub enum ClaimPurpose {
     /// Claim a key.
     Claim = 0,
-    /// Record what came of a claim.
+    /// Record the result of a claimed request.
     Settle = 1,
-    /// Take over a claim from an agent that leaves.
+    /// Transfer a claim from a leaving agent.
     Adopt = 2,
-    /// Take in what an agent that leaves knows of members that died.
+    /// Transfer a leaving agent's list of failed members.
     Losses = 3,
-    /// Say whether the request is still open at the agent that claimed: `Granted` if so, `Mismatch` if not.
+    /// Query whether the request is still open at the agent that made the claim: `Granted` if so, `Mismatch` if not.
     Probe = 4,
 }
 
-/// One message.
+/// One message between agents.
 #[derive(Clone, PartialEq, Message)]
 pub struct Packet {
-    /// Its kind.
+    /// Content of the message.
     #[prost(oneof = "Kind", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10")]
     pub kind: Option<Kind>,
 }
 
-/// Kind of a message.
+/// Content of a message.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Kind {
-    /// An offer.
+    /// Offers a request.
     #[prost(message, tag = "1")]
     Offer(Offer),
-    /// A slot was taken.
+    /// Accepts an offer.
     #[prost(message, tag = "2")]
     Taken(Taken),
-    /// A refusal.
+    /// Rejects an offer.
     #[prost(message, tag = "3")]
     Refused(Refused),
-    /// Begin.
+    /// Starts the offered request.
     #[prost(message, tag = "4")]
     Go(Go),
     /// Part of a body.
     #[prost(message, tag = "5")]
     Chunk(Chunk),
-    /// Head of an answer.
+    /// Head of a response.
     #[prost(message, tag = "6")]
     Head(Head),
-    /// Broken off.
+    /// Aborts the attempt.
     #[prost(message, tag = "7")]
     Lost(Lost),
-    /// A claim.
+    /// Claim message.
     #[prost(message, tag = "8")]
     Claim(ClaimCall),
-    /// A reply to a claim.
+    /// Reply to a claim message.
     #[prost(message, tag = "9")]
     Reply(ClaimReply),
-    /// The body is wanted.
+    /// Requests the body.
     #[prost(message, tag = "10")]
     Resume(Resume),
 }
 
 impl Packet {
-    /// Encodes a message.
+    /// Encodes a message into a frame.
     pub fn encoded(kind: Kind) -> bytes::Bytes {
         Packet { kind: Some(kind) }.encode_to_vec().into()
     }
 
-    /// Decodes a message.
+    /// Decodes a frame; fails if it is malformed or its kind is unknown.
     pub fn decoded(frame: &[u8]) -> Result<Kind, HandoverError> {
         let packet = Packet::decode(frame).map_err(|_| HandoverError("packet"))?;
-        packet.kind.ok_or(HandoverError("kind of packet"))
+        packet.kind.ok_or(HandoverError("message kind"))
     }
 }
 
-/// Reads a request's number.
+/// Parses a request ID; fails unless it has 16 bytes.
 pub fn request_id(bytes: &[u8]) -> Result<u128, HandoverError> {
-    let bytes: [u8; 16] = bytes.try_into().map_err(|_| HandoverError("request number"))?;
+    let bytes: [u8; 16] = bytes.try_into().map_err(|_| HandoverError("request ID"))?;
     Ok(u128::from_be_bytes(bytes))
 }
 
 impl ClaimRecord {
-    /// Writes a claim.
+    /// Converts a claim to its encoded form.
     pub fn new(key: &ClaimKey, claim: &Claim) -> ClaimRecord {
         let (state, answer) = match &claim.state {
             State::Running => (ClaimState::Running, None),
             State::Unknown => (ClaimState::Unknown, None),
-            State::Done(it) => (ClaimState::Done, Some(KeptAnswer::new(it))),
+            State::Done(it) => (ClaimState::Done, Some(StoredAnswer::new(it))),
         };
         ClaimRecord {
             service: key.service.0,
@@ -342,29 +342,29 @@
         }
     }
 
-    /// The same claim, given up.
+    /// Changes the state to `Released` and drops the response.
     pub fn with_release(mut self) -> ClaimRecord {
         self.state = ClaimState::Released as i32;
         self.answer = None;
         self
     }
 
-    /// Reads the key.
+    /// Returns the service and its idempotency key.
     pub fn claim_key(&self) -> ClaimKey {
         ClaimKey { service: ServiceId(self.service), key: self.key.clone() }
     }
 
-    /// Reads the claim; none if it is given up.
+    /// Converts back to a claim; `None` if it is released.
     pub fn claim(&self) -> Result<Option<Claim>, HandoverError> {
         let state = match ClaimState::try_from(self.state) {
             Ok(ClaimState::Released) => return Ok(None),
             Ok(ClaimState::Running) => State::Running,
             Ok(ClaimState::Unknown) => State::Unknown,
             Ok(ClaimState::Done) => {
-                let answer = self.answer.as_ref().ok_or(HandoverError("answer of a claim"))?;
-                State::Done(Arc::new(answer.answer()?))
+                let answer = self.answer.as_ref().ok_or(HandoverError("claim response"))?;
+                State::Done(Arc::new(answer.to_answer()?))
             }
-            Err(_) => return Err(HandoverError("state of a claim")),
+            Err(_) => return Err(HandoverError("claim state")),
         };
         Ok(Some(Claim {
             request: request_id(&self.request)?,
@@ -376,18 +376,18 @@
     }
 }
 
-impl KeptAnswer {
-    fn new(it: &Answer) -> KeptAnswer {
+impl StoredAnswer {
+    fn new(it: &Answer) -> StoredAnswer {
         let field =
             |(name, value): &(String, Vec<u8>)| Field { name: name.clone(), value: value.clone() };
-        KeptAnswer {
+        StoredAnswer {
             status: u32::from(it.status),
             fields: it.headers.iter().map(field).collect(),
             body: it.body.clone(),
         }
     }
 
-    fn answer(&self) -> Result<Answer, HandoverError> {
+    fn to_answer(&self) -> Result<Answer, HandoverError> {
         Ok(Answer {
             status: u16::try_from(self.status).map_err(|_| HandoverError("status"))?,
             headers: self.fields.iter().map(|it| (it.name.clone(), it.value.clone())).collect(),
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! Messages and framing between camphorwinch processes.
+//! Message formats and framing of the traffic between camphorwinch processes.
 
 #![warn(clippy::unwrap_used)]
 
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,20 +1,22 @@
-//! Messages between processes.
+//! Messages on the links between processes.
+//!
+//! A type with the suffix `Part` is the encoded form of the core type of the same name.
 
 use std::fmt;
 
 use prost::{Enumeration, Message, Oneof};
 use thiserror::Error;
 
-/// Version of the protocol; a process refuses a peer with another one.
+/// Protocol version; a process rejects a peer that uses another one.
 pub const PROTOCOL: u32 = 1;
 
-/// A message that can't be used.
+/// A field that is missing or invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("field {field}: {reason}")]
 pub struct MessageError {
-    /// The field.
+    /// Name of the field.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// Why the field is rejected.
     pub reason: String,
 }
 
@@ -30,72 +32,72 @@
 /// One frame of a link.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
-    /// The message in it.
+    /// The message.
     #[prost(oneof = "Body", tags = "1, 2, 3, 4, 5, 6, 7, 8")]
     pub body: Option<Body>,
 }
 
-/// The messages.
+/// Content of a frame.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Body {
-    /// First frame of either side.
+    /// First frame in each direction.
     #[prost(message, tag = "1")]
     Hello(Hello),
-    /// Sign of life.
+    /// Periodic heartbeat.
     #[prost(message, tag = "2")]
     Beat(Beat),
-    /// Hashes of what the sender holds.
+    /// Bucket hashes of the sender's records.
     #[prost(message, tag = "3")]
     Digest(Digest),
-    /// What the sender holds in the buckets that differ.
+    /// Record versions in the buckets that differ.
     #[prost(message, tag = "4")]
     Summary(Summary),
-    /// Records.
+    /// New or changed records.
     #[prost(message, tag = "5")]
     Update(Update),
-    /// Pools whose agents the sender wants to know.
+    /// Pools whose agents the sender subscribes to.
     #[prost(message, tag = "6")]
     Interest(Interest),
-    /// What a balancer reports to the holder of its zone's lease.
+    /// Status report of a balancer to the holder of its zone's lease.
     #[prost(message, tag = "7")]
     Report(Report),
-    /// The sender ends the link because it has better ones: it is not dead.
+    /// The sender closes a link that it no longer needs; it is still alive.
     #[prost(message, tag = "8")]
     Bye(Bye),
 }
 
-/// What a link is for.
+/// Purpose of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Enumeration)]
 #[repr(i32)]
 pub enum Purpose {
-    /// Not given.
+    /// Missing or unknown.
     Unspecified = 0,
     /// Between balancers.
     Mesh = 1,
-    /// From an agent to a balancer that watches over it.
+    /// From an agent to a balancer that monitors it.
     Agent = 2,
-    /// Between agents, for requests.
+    /// Between agents, to forward requests.
     Handover = 3,
 }
 
-/// A point in time of the hybrid logical clock.
+/// Timestamp of the hybrid logical clock.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Stamp {
-    /// Milliseconds since 1970.
+    /// Milliseconds since the Unix epoch.
     #[prost(uint64, tag = "1")]
     pub ms: u64,
-    /// Orders events of one millisecond.
+    /// Orders events within one millisecond.
     #[prost(uint32, tag = "2")]
     pub counter: u32,
 }
 
-/// Greeting.
+/// Handshake message that opens a link.
 #[derive(Clone, PartialEq, Message)]
 pub struct Hello {
-    /// [`PROTOCOL`].
+    /// Protocol version of the sender; see [`PROTOCOL`].
     #[prost(uint32, tag = "1")]
     pub protocol: u32,
-    /// What the link is for.
+    /// A [`Purpose`].
     #[prost(enumeration = "Purpose", tag = "2")]
     pub purpose: i32,
     /// Name of the sender.
@@ -104,30 +106,30 @@
     /// Incarnation of the sender.
     #[prost(uint64, tag = "4")]
     pub incarnation: u64,
-    /// Pools whose agents the sender wants to know, if it is an agent.
+    /// Pools whose agents the sender subscribes to, if it is an agent.
     #[prost(string, repeated, tag = "5")]
     pub pools: Vec<String>,
 }
 
-/// Sign of life, with what changes often.
+/// Heartbeat with the values that change often.
 #[derive(Clone, PartialEq, Message)]
 pub struct Beat {
-    /// Clock of the sender.
+    /// Hybrid logical clock of the sender.
     #[prost(message, optional, tag = "1")]
     pub stamp: Option<Stamp>,
-    /// Revision in force at the sender.
+    /// Configuration revision that the sender has applied.
     #[prost(uint64, tag = "2")]
     pub applied: u64,
-    /// Flows, if the sender is an agent.
+    /// Number of open flows, if the sender is an agent.
     #[prost(uint32, tag = "3")]
     pub flows: u32,
-    /// Slots in use, if the sender is an agent.
+    /// Number of slots in use, if the sender is an agent.
     #[prost(uint32, tag = "4")]
     pub busy: u32,
-    /// Whether the receiver is the one to report about the sender.
+    /// Whether the receiver is the balancer that reports the sender's status.
     #[prost(bool, tag = "5")]
     pub primary: bool,
-    /// Events for the timeline, as JSON.
+    /// Timeline events, as JSON.
     #[prost(string, repeated, tag = "6")]
     pub events: Vec<String>,
     /// Key epochs of the sender's flows, one byte each, if the sender is an agent.
@@ -135,27 +137,27 @@
     pub epochs: Vec<u8>,
 }
 
-/// How complete the sender's configuration is; see [`camphorwinch_core::record::Mark`].
+/// Revision up to which the sender's configuration is complete; see [`camphorwinch_core::record::Mark`].
 #[derive(Clone, PartialEq, Message)]
 pub struct MarkPart {
-    /// Revision.
+    /// Revision up to which the sender holds all objects.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Revision confirmed by a list.
+    /// Highest revision confirmed by a full list of the platform.
     #[prost(uint64, tag = "2")]
     pub floor: u64,
-    /// Sum over the objects.
+    /// Sum of the hashes of all objects.
     #[prost(fixed64, tag = "3")]
     pub sum: u64,
-    /// Deletions after the floor; `spec` and `writer` are empty.
+    /// Objects deleted after `floor`; `spec` and `writer` are empty.
     #[prost(message, repeated, tag = "4")]
     pub deleted: Vec<ObjectPart>,
 }
 
-/// Hashes of the sender's records by bucket.
+/// Hashes of the sender's records, to compare the records of two processes.
 #[derive(Clone, PartialEq, Message)]
 pub struct Digest {
-    /// One for each bucket.
+    /// Hash of each bucket.
     #[prost(fixed64, repeated, tag = "1")]
     pub buckets: Vec<u64>,
 }
@@ -163,69 +165,69 @@
 /// Key and version of a record.
 #[derive(Clone, PartialEq, Message)]
 pub struct EntryPart {
-    /// Kind of the object; empty for a member.
+    /// Kind of the object; empty if the record is a member.
     #[prost(string, tag = "1")]
     pub kind: String,
-    /// Name.
+    /// Name of the object or member.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// Revision or incarnation.
+    /// Revision of the object, or incarnation of the member.
     #[prost(uint64, tag = "3")]
     pub major: u64,
-    /// Sequence number.
+    /// Sequence number of the member's announcement; 0 for an object.
     #[prost(uint64, tag = "4")]
     pub minor: u64,
 }
 
-/// What the sender holds in the buckets that differ.
+/// Record versions of the sender in the buckets that differ.
 #[derive(Clone, PartialEq, Message)]
 pub struct Summary {
-    /// The buckets.
+    /// Indices of the buckets.
     #[prost(uint32, repeated, tag = "1")]
     pub buckets: Vec<u32>,
-    /// Everything in them.
+    /// All records in these buckets.
     #[prost(message, repeated, tag = "2")]
     pub entries: Vec<EntryPart>,
-    /// Revision confirmed by a list.
+    /// Highest revision confirmed by a full list of the platform.
     #[prost(uint64, tag = "3")]
     pub floor: u64,
 }
 
-/// Records, and how complete the sender is after them.
+/// Records, with the revision up to which the sender is complete.
 #[derive(Clone, PartialEq, Message)]
 pub struct Update {
-    /// The records.
+    /// Records to merge.
     #[prost(message, repeated, tag = "1")]
     pub records: Vec<RecordPart>,
-    /// How complete the sender is.
+    /// Revision up to which the sender is complete.
     #[prost(message, optional, tag = "2")]
     pub mark: Option<MarkPart>,
-    /// Clock of the sender.
+    /// Hybrid logical clock of the sender.
     #[prost(message, optional, tag = "3")]
     pub stamp: Option<Stamp>,
 }
 
-/// Last message of a link that is no longer needed.
+/// Last message on a link that is no longer needed.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Bye {}
 
-/// Pools whose agents the sender wants to know.
+/// Pools whose agents the sender subscribes to.
 #[derive(Clone, PartialEq, Message)]
 pub struct Interest {
-    /// The pools.
+    /// Names of the pools.
     #[prost(string, repeated, tag = "1")]
     pub pools: Vec<String>,
 }
 
-/// One record.
+/// A configuration object, its deletion, or a member.
 #[derive(Clone, PartialEq, Message)]
 pub struct RecordPart {
-    /// The record.
+    /// Content of the record.
     #[prost(oneof = "Item", tags = "1, 2, 3")]
     pub item: Option<Item>,
 }
 
-/// The classes of records.
+/// Content of a record.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Item {
     /// A configuration object.
@@ -239,19 +241,19 @@
     Member(MemberPart),
 }
 
-/// A configuration object.
+/// Configuration object.
 #[derive(Clone, PartialEq, Message)]
 pub struct ObjectPart {
-    /// Kind.
+    /// Object kind.
     #[prost(string, tag = "1")]
     pub kind: String,
     /// Name.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// Version.
+    /// Platform revision of the last write, or of the deletion.
     #[prost(uint64, tag = "3")]
     pub version: u64,
-    /// Mark of the last writer.
+    /// Identifier of the last writer.
     #[prost(string, tag = "4")]
     pub writer: String,
     /// Spec, as JSON.
@@ -259,13 +261,13 @@
     pub spec: String,
 }
 
-/// A member.
+/// Announcement of a member.
 #[derive(Clone, PartialEq, Message)]
 pub struct MemberPart {
     /// Name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// VM.
+    /// VM that the member runs on.
     #[prost(string, tag = "2")]
     pub vm: String,
     /// Availability zone.
@@ -274,24 +276,24 @@
     /// Region.
     #[prost(string, tag = "4")]
     pub region: String,
-    /// Control address.
+    /// Address for control links.
     #[prost(string, tag = "5")]
     pub control: String,
-    /// Incarnation.
+    /// Start time of the process, in milliseconds since the Unix epoch.
     #[prost(uint64, tag = "6")]
     pub incarnation: u64,
     /// Sequence number of the announcement.
     #[prost(uint64, tag = "7")]
     pub seq: u64,
-    /// Since when it is in its state.
+    /// Time of the last state change, in milliseconds since the Unix epoch.
     #[prost(uint64, tag = "8")]
     pub since_ms: u64,
-    /// What it is.
+    /// Agent or balancer.
     #[prost(oneof = "RolePart", tags = "9, 10")]
     pub role: Option<RolePart>,
 }
 
-/// What a member is.
+/// Role of a member.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum RolePart {
     /// An agent.
@@ -302,11 +304,11 @@
     Balancer(BalancerPart),
 }
 
-/// State of a member.
+/// State of an agent or balancer; see [`camphorwinch_core::member::AgentState`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Enumeration)]
 #[repr(i32)]
 pub enum StatePart {
-    /// Not given.
+    /// Missing or unknown.
     Unspecified = 0,
     /// Starting.
     Starting = 1,
@@ -316,76 +318,76 @@
     Draining = 3,
     /// Leaving.
     Leaving = 4,
-    /// Down.
+    /// Confirmed dead.
     Down = 5,
-    /// Silent.
+    /// Not heard from, but not confirmed dead.
     Silent = 6,
 }
 
-/// An agent.
+/// Fields of an agent.
 #[derive(Clone, PartialEq, Message)]
 pub struct AgentPart {
-    /// Pool.
+    /// Pool of its upstream.
     #[prost(string, tag = "1")]
     pub pool: String,
     /// Address for encapsulated packets.
     #[prost(string, tag = "2")]
     pub data: String,
-    /// Weight.
+    /// Relative share of new flows; at least 0.
     #[prost(double, tag = "3")]
     pub weight: f64,
-    /// Slots.
+    /// Number of requests that its upstream processes at once.
     #[prost(uint32, tag = "4")]
     pub slots: u32,
-    /// Flows that it takes.
+    /// Maximum number of flows.
     #[prost(uint32, tag = "5")]
     pub connections: u32,
-    /// State.
+    /// A [`StatePart`].
     #[prost(enumeration = "StatePart", tag = "6")]
     pub state: i32,
-    /// Balancers that watch over it.
+    /// Names of the balancers that monitor it.
     #[prost(string, repeated, tag = "7")]
-    pub homes: Vec<String>,
+    pub balancers: Vec<String>,
 }
 
-/// A balancer.
+/// Fields of a balancer.
 #[derive(Clone, PartialEq, Message)]
 pub struct BalancerPart {
-    /// State.
+    /// A [`StatePart`].
     #[prost(enumeration = "StatePart", tag = "1")]
     pub state: i32,
-    /// Number of the lease that it holds.
+    /// Number of the zone lease that it holds.
     #[prost(uint32, optional, tag = "2")]
     pub lease: Option<u32>,
 }
 
-/// What a balancer reports.
+/// Status report of a balancer.
 #[derive(Clone, PartialEq, Message)]
 pub struct Report {
-    /// Revision in force at the balancer.
+    /// Configuration revision that the balancer has applied.
     #[prost(uint64, tag = "1")]
     pub applied: u64,
-    /// The agents that it reports about.
+    /// Status of the agents that it is responsible for.
     #[prost(message, repeated, tag = "2")]
     pub agents: Vec<AgentReport>,
-    /// Events for the timeline, as JSON.
+    /// Timeline events, as JSON.
     #[prost(string, repeated, tag = "3")]
     pub events: Vec<String>,
 }
 
-/// What a balancer reports about an agent.
+/// Status of an agent.
 #[derive(Clone, PartialEq, Message)]
 pub struct AgentReport {
     /// Name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Revision in force at the agent.
+    /// Configuration revision that the agent has applied.
     #[prost(uint64, tag = "2")]
     pub applied: u64,
-    /// Flows.
+    /// Number of open flows.
     #[prost(uint32, tag = "3")]
     pub flows: u32,
-    /// Slots in use.
+    /// Number of slots in use.
     #[prost(uint32, tag = "4")]
     pub busy: u32,
     /// Key epochs of its flows, one byte each.
@@ -394,14 +396,14 @@
 }
 
 impl Frame {
-    /// A frame with this message in it.
+    /// Creates a frame with this message.
     pub fn new(body: Body) -> Frame {
         Frame { body: Some(body) }
     }
 
-    /// Decodes a frame.
+    /// Decodes a frame; fails if it is malformed or its message type is unknown.
     pub fn parse(bytes: &[u8]) -> Result<Body, MessageError> {
         let frame = Frame::decode(bytes).map_err(|e| MessageError::new("frame", e))?;
-        frame.body.ok_or_else(|| MessageError::new("body", "missing or of an unknown kind"))
+        frame.body.ok_or_else(|| MessageError::new("body", "missing or of an unknown type"))
     }
 }
--- a/crates/wire/src/opaque.rs
+++ b/crates/wire/src/opaque.rs
@@ -1,17 +1,17 @@
-//! Datagrams between processes about opaque flows, and the snapshot that a process asks a peer for.
+//! Datagrams between processes about opaque flows, and the snapshot messages.
 //!
-//! A datagram starts with a byte for its form. Packets and answers have a fixed layout, since each packet of a caller
-//! passes here; what is rare is a `prost` message. Numbers are big-endian, an address is 4 bytes and a port of 2.
+//! The first byte of a datagram is its type. Types on the packet path have a fixed layout; control messages are encoded
+//! with `prost`. Integers are big-endian; an address takes 4 bytes for the IP and 2 for the port.
 //!
 //! ```text
-//! 1 packet | ask | pool 8 | balancer 6 | walk, for Open and Settle | packet
-//!   walk: limit 2, latency objective 4, timeout 4, priority 1, idempotent 1, service time 4, full 1, at 1,
-//!   count 1, then 8 for each candidate, rate of a cold upstream 4
-//! 2 answer | what | pool 8, if it is another | caller 6 | service 6 | the packet, if it is sent back
-//! 3 message | Control
-//! 4 query | 12 for each flow: caller 6, service 6
-//! 5 verdicts | 13 for each flow: what, caller 6, service 6
-//! 6 spread | pool 8 | balancer 6 | count 1 | 6 for each agent | packet
+//! 1 packet | action 1 | pool 8 | balancer 6 | candidates, for Open and Settle | packet
+//!   candidates: load limit 2, latency objective 4, timeout 4, priority 1, idempotent 1, service time 4,
+//!   full percent 1, index 1, count 1, then address 6 and load 2 of each, rate limit of a cold upstream 4
+//! 2 answer | result 1 | pool 8, for WrongPool | caller 6 | service 6 | returned packet, if any
+//! 3 control | Control
+//! 4 query | for each flow: caller 6, service 6
+//! 5 verdicts | for each flow: verdict 1, caller 6, service 6
+//! 6 spread | pool 8 | balancer 6 | count 1 | agent 6 each | packet
 //! ```
 
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -27,78 +27,78 @@
 use prost::{Enumeration, Message, Oneof};
 use thiserror::Error;
 
-const PACKET: u8 = 1;
-const ANSWER: u8 = 2;
-const CONTROL: u8 = 3;
-const QUERY: u8 = 4;
-const VERDICTS: u8 = 5;
-const SPREAD: u8 = 6;
+const TYPE_PACKET: u8 = 1;
+const TYPE_ANSWER: u8 = 2;
+const TYPE_CONTROL: u8 = 3;
+const TYPE_QUERY: u8 = 4;
+const TYPE_VERDICTS: u8 = 5;
+const TYPE_SPREAD: u8 = 6;
 
-/// A datagram as it was received.
+/// A decoded datagram.
 #[derive(Debug)]
 pub enum Datagram<'a> {
-    /// A caller's packet.
+    /// A caller's packet, forwarded by a balancer or an agent.
     Packet {
-        /// What is asked.
+        /// What the receiver does with the packet.
         relay: Relay,
-        /// The packet.
+        /// The caller's packet.
         packet: &'a [u8],
     },
-    /// An agent's answer.
+    /// An agent's answer about a flow.
     Answer {
-        /// The flow.
+        /// Flow that the answer is about.
         key: FlowKey,
-        /// The answer.
+        /// Whether the flow is at the agent.
         answer: Answer,
-        /// The packet that comes back with it; empty if none does.
+        /// The returned packet; empty if none is returned.
         packet: &'a [u8],
     },
-    /// A rare message.
+    /// A control message.
     Control(Control),
-    /// Flows that a balancer asks for.
+    /// Flows that a balancer queries.
     Query(Vec<FlowKey>),
-    /// A caller's packet that its receiver passes on to other agents.
+    /// A caller's packet that the receiver forwards to other agents.
     Spread {
-        /// What is asked of them.
+        /// What these agents do with the packet.
         relay: Relay,
-        /// The agents.
+        /// Agents to forward the packet to.
         agents: Vec<SocketAddrV4>,
-        /// The packet.
+        /// The caller's packet.
         packet: &'a [u8],
     },
-    /// What an agent knows of them.
+    /// An agent's reply to a query.
     Verdicts(Vec<(FlowKey, Verdict)>),
 }
 
-/// Why a datagram or a snapshot was refused.
+/// Reason why a datagram or snapshot is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// Shorter than its form says.
+    /// Shorter than its type requires.
     #[error("truncated")]
     Truncated,
-    /// A form that this build does not know.
-    #[error("unknown form {0}")]
-    Form(u8),
-    /// An ask or answer that this build does not know.
+    /// Unknown datagram type.
+    #[error("unknown datagram type {0}")]
+    UnknownType(u8),
+    /// Unknown action, result or verdict.
     #[error("unknown code {0}")]
-    Code(u8),
-    /// The numbers of the walk do not fit together.
-    #[error("walk of {count} candidates at {at}")]
-    Walk {
-        /// Candidates.
+    UnknownCode(u8),
+    /// The candidate list is empty, too long, or its index is out of range.
+    #[error("invalid candidate list: index {index} of {count}")]
+    InvalidCandidates {
+        /// Number of candidates.
         count: u8,
-        /// Position.
-        at: u8,
+        /// Index of the current candidate.
+        index: u8,
     },
-    /// Not a message.
-    #[error("message: {0}")]
+    /// Malformed control message.
+    #[error("malformed control message: {0}")]
     Message(String),
     /// A field is missing or out of range.
     #[error("field {0} is missing or out of range")]
-    Field(&'static str),
+    InvalidField(&'static str),
 }
 
-/// Appends a caller's packet with what is asked of its receiver.
+/// Appends a caller's packet and the action for its receiver.
 pub fn encode_packet(relay: &Relay, packet: &[u8], out: &mut Vec<u8>) {
     let (code, walk) = match &relay.ask {
         Ask::Open(walk) => (0, Some(walk)),
@@ -106,7 +106,7 @@
         Ask::Deliver => (2, None),
         Ask::Locate => (3, None),
     };
-    out.put_u8(PACKET);
+    out.put_u8(TYPE_PACKET);
     out.put_u8(code);
     out.put_u64(relay.pool.0);
     put_address(relay.balancer, out);
@@ -116,9 +116,9 @@
     out.put_slice(packet);
 }
 
-/// Appends a caller's packet that its receiver passes on to other agents, to locate its flow.
+/// Appends a caller's packet that the receiver forwards to `agents` to locate its flow.
 pub fn encode_spread(relay: &Relay, agents: &[SocketAddrV4], packet: &[u8], out: &mut Vec<u8>) {
-    out.put_u8(SPREAD);
+    out.put_u8(TYPE_SPREAD);
     out.put_u64(relay.pool.0);
     put_address(relay.balancer, out);
     out.put_u8(agents.len() as u8);
@@ -128,14 +128,14 @@
     out.put_slice(packet);
 }
 
-/// Appends an answer about a flow and the packet that is sent back, if one is.
+/// Appends an answer about a flow and the returned packet, which may be empty.
 pub fn encode_answer(key: &FlowKey, answer: Answer, packet: &[u8], out: &mut Vec<u8>) {
     let code = match answer {
         Answer::Here => 0,
         Answer::Absent => 1,
         Answer::WrongPool(_) => 2,
     };
-    out.put_u8(ANSWER);
+    out.put_u8(TYPE_ANSWER);
     out.put_u8(code);
     if let Answer::WrongPool(pool) = answer {
         out.put_u64(pool.0);
@@ -144,23 +144,23 @@
     out.put_slice(packet);
 }
 
-/// Appends a rare message.
+/// Appends a control message.
 pub fn encode_control(message: &Control, out: &mut Vec<u8>) {
-    out.put_u8(CONTROL);
+    out.put_u8(TYPE_CONTROL);
     message.encode_raw(out);
 }
 
-/// Appends a question for flows.
+/// Appends a query for flows.
 pub fn encode_query(keys: &[FlowKey], out: &mut Vec<u8>) {
-    out.put_u8(QUERY);
+    out.put_u8(TYPE_QUERY);
     for key in keys {
         put_key(key, out);
     }
 }
 
-/// Appends what is known of flows.
+/// Appends the reply to a query.
 pub fn encode_verdicts(verdicts: &[(FlowKey, Verdict)], out: &mut Vec<u8>) {
-    out.put_u8(VERDICTS);
+    out.put_u8(TYPE_VERDICTS);
     for (key, verdict) in verdicts {
         out.put_u8(match verdict {
             Verdict::Here => 0,
@@ -174,16 +174,16 @@
 /// Decodes a datagram.
 pub fn decode(mut bytes: &[u8]) -> Result<Datagram<'_>, DecodeError> {
     match take_u8(&mut bytes)? {
-        PACKET => decode_packet(bytes),
-        ANSWER => decode_answer(bytes),
-        CONTROL => {
+        TYPE_PACKET => decode_packet(bytes),
+        TYPE_ANSWER => decode_answer(bytes),
+        TYPE_CONTROL => {
             let message = Control::decode(bytes);
             message.map(Datagram::Control).map_err(|e| DecodeError::Message(e.to_string()))
         }
-        QUERY => decode_query(bytes),
-        VERDICTS => decode_verdicts(bytes),
-        SPREAD => decode_spread(bytes),
-        form => Err(DecodeError::Form(form)),
+        TYPE_QUERY => decode_query(bytes),
+        TYPE_VERDICTS => decode_verdicts(bytes),
+        TYPE_SPREAD => decode_spread(bytes),
+        kind => Err(DecodeError::UnknownType(kind)),
     }
 }
 
@@ -202,7 +202,7 @@
             0 => Verdict::Here,
             1 => Verdict::Absent,
             2 => Verdict::Unsure,
-            code => return Err(DecodeError::Code(code)),
+            code => return Err(DecodeError::UnknownCode(code)),
         };
         verdicts.push((take_key(&mut bytes)?, verdict));
     }
@@ -227,7 +227,7 @@
         1 => Ask::Settle(take_walk(&mut bytes)?),
         2 => Ask::Deliver,
         3 => Ask::Locate,
-        code => return Err(DecodeError::Code(code)),
+        code => return Err(DecodeError::UnknownCode(code)),
     };
     Ok(Datagram::Packet { relay: Relay { ask, pool, balancer }, packet: bytes })
 }
@@ -237,7 +237,7 @@
         0 => Answer::Here,
         1 => Answer::Absent,
         2 => Answer::WrongPool(take_pool(&mut bytes)?),
-        code => return Err(DecodeError::Code(code)),
+        code => return Err(DecodeError::UnknownCode(code)),
     };
     let key = take_key(&mut bytes)?;
     Ok(Datagram::Answer { key, answer, packet: bytes })
@@ -256,7 +256,7 @@
 
 fn put_walk(walk: &Walk, out: &mut Vec<u8>) {
     out.put_u16(walk.limit);
-    // A timeout of zero would serve nobody, so it stands for an objective that is not known.
+    // A timeout of 0 encodes an unknown objective.
     let unknown = Objective { priority: 0, latency_ms: 0, timeout_ms: 0, idempotent: false };
     let objective = walk.objective.unwrap_or(unknown);
     out.put_u32(objective.latency_ms);
@@ -271,7 +271,7 @@
         put_address(seat.agent, out);
         out.put_u16(seat.load);
     }
-    // A cold upstream that bears nothing would never be of use, so zero stands for no bound.
+    // A rate of 0 encodes no limit.
     out.put_u32(walk.cold_rate.unwrap_or(0));
 }
 
@@ -285,18 +285,19 @@
     };
     let service_ms = Some(take_u32(bytes)?).filter(|&it| it > 0);
     let pool = PoolLoad { service_ms, full_percent: take_u8(bytes)? };
-    let at = take_u8(bytes)?;
+    let index = take_u8(bytes)?;
     let count = take_u8(bytes)?;
     let mut seats = Vec::with_capacity(MAX_SEATS);
     if usize::from(count) > MAX_SEATS {
-        return Err(DecodeError::Walk { count, at });
+        return Err(DecodeError::InvalidCandidates { count, index });
     }
     for _ in 0..count {
         let agent = take_address(bytes)?;
         let load = take_u16(bytes)?;
         seats.push(Seat { agent, load });
     }
-    let walk = Walk::from_parts(&seats, at, limit).ok_or(DecodeError::Walk { count, at })?;
+    let walk = Walk::from_parts(&seats, index, limit)
+        .ok_or(DecodeError::InvalidCandidates { count, index })?;
     let cold_rate = Some(take_u32(bytes)?).filter(|&it| it > 0);
     let walk = walk.with_pool(pool).with_cold_rate(cold_rate);
     Ok(walk.with_objective(Some(objective).filter(|it| it.timeout_ms > 0)))
@@ -328,110 +329,110 @@
     bytes.try_get_u8().map_err(|_| DecodeError::Truncated)
 }
 
-/// A rare message between processes.
+/// A control message.
 #[derive(Clone, PartialEq, Message)]
 pub struct Control {
-    /// The message in it.
+    /// The message.
     #[prost(oneof = "Body", tags = "1, 2")]
     pub body: Option<Body>,
 }
 
-/// The rare messages.
+/// Content of a control message.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum Body {
-    /// An agent's state.
+    /// State of an agent.
     #[prost(message, tag = "1")]
     Report(Report),
-    /// A balancer makes itself known.
+    /// Announcement of a balancer.
     #[prost(message, tag = "2")]
     Greeting(Greeting),
 }
 
-/// A balancer makes itself known, to agents that it does not hear of and to other balancers.
+/// Announcement of a balancer to other balancers and to agents that send it no reports.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Greeting {
-    /// Number of the revision of the configuration in force at the sender; 0 if none is.
+    /// Revision number of the sender's active configuration; 0 without one.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// The sender stops.
+    /// Whether the sender is stopping.
     #[prost(bool, tag = "2")]
     pub leaving: bool,
-    /// The receiver's object was taken off the store's list.
+    /// Whether the receiver's object was removed from the store.
     #[prost(bool, tag = "3")]
     pub unlisted: bool,
-    /// Zones out of service; none if the sender does not know.
+    /// Zones out of service; `None` if the sender has no list of them.
     #[prost(message, optional, tag = "4")]
     pub zones: Option<ZonesEntry>,
-    /// The receiver is to keep a copy of what the sender knows.
+    /// Whether the receiver should keep a copy of the sender's snapshot.
     #[prost(bool, tag = "5")]
     pub keep: bool,
-    /// Version of that configuration.
+    /// Operator-assigned version of the active configuration.
     #[prost(uint64, tag = "6")]
     pub version: u64,
-    /// Era of its revision.
+    /// Store era of its revision.
     #[prost(uint64, tag = "7")]
     pub era: u64,
 }
 
-/// The zones out of service. They are few, so a greeting holds them all and nobody has to ask for them.
+/// Zones out of service. The list is short, so each greeting carries all of it.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ZonesEntry {
-    /// Number of the store's revision at which this was so.
+    /// Number of the store revision that the list is taken from.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Names.
+    /// Names of the zones.
     #[prost(string, repeated, tag = "2")]
     pub names: Vec<String>,
-    /// Era of the revision.
+    /// Store era of the revision.
     #[prost(uint64, tag = "3")]
     pub era: u64,
 }
 
-/// An agent's state; `core::opaque::fleet::Report` says what the fields mean.
+/// State of an agent; encoded form of [`fleet::Report`].
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Report {
-    /// Number of the process.
+    /// Random ID of the agent process.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
-    /// Number of the report.
+    /// Sequence number of the report within the incarnation.
     #[prost(uint64, tag = "2")]
     pub seq: u64,
-    /// Pool.
+    /// ID of the upstream's pool.
     #[prost(fixed64, tag = "3")]
     pub pool: u64,
-    /// Zone.
+    /// ID of the agent's zone.
     #[prost(fixed64, tag = "4")]
     pub zone: u64,
-    /// Upstream's state: 0 unknown, 1 ready, 2 draining, 3 ended.
+    /// State of the upstream: 0 unknown, 1 ready, 2 draining, 3 ended.
     #[prost(uint32, tag = "5")]
     pub upstream: u32,
-    /// Plan: 0 stay, 1 pause, 2 restart, 3 leave.
+    /// Next action of the agent: 0 stay, 1 pause, 2 restart, 3 leave.
     #[prost(uint32, tag = "6")]
     pub plan: u32,
-    /// Slots.
+    /// Number of requests that the upstream processes at once.
     #[prost(uint32, tag = "7")]
     pub slots: u32,
-    /// Load in thousandths of the slots.
+    /// Load, in thousandths of the slots.
     #[prost(uint32, tag = "8")]
     pub load: u32,
-    /// Pause between two reports, in milliseconds.
+    /// Report interval, in milliseconds.
     #[prost(uint32, tag = "10")]
     pub every_ms: u32,
-    /// Mean service time in milliseconds; 0 if it is not known.
+    /// Mean service time, in milliseconds; 0 if unknown.
     #[prost(uint32, tag = "11")]
     pub service_ms: u32,
-    /// Whether the upstream has as much as it can begin, or more.
+    /// Whether the upstream is at capacity, or cold.
     #[prost(bool, tag = "12")]
     pub full: bool,
-    /// Number of the revision of the configuration of which the agent keeps a copy; 0 if it keeps none.
+    /// Revision number of the configuration that the agent keeps a copy of; 0 without a copy.
     #[prost(uint64, tag = "13")]
-    pub kept: u64,
-    /// Version of that configuration.
+    pub copy_revision: u64,
+    /// Operator-assigned version of the copied configuration.
     #[prost(uint64, tag = "14")]
-    pub kept_version: u64,
-    /// Era of its revision.
+    pub copy_version: u64,
+    /// Store era of its revision.
     #[prost(uint64, tag = "15")]
-    pub kept_era: u64,
+    pub copy_era: u64,
 }
 
 impl From<fleet::Report> for Report {
@@ -458,9 +459,9 @@
             every_ms: it.every_ms,
             service_ms: it.service_ms.unwrap_or(0),
             full: it.full,
-            kept: 0,
-            kept_version: 0,
-            kept_era: 0,
+            copy_revision: 0,
+            copy_version: 0,
+            copy_era: 0,
         }
     }
 }
@@ -479,17 +480,17 @@
                 1 => Upstream::Ready,
                 2 => Upstream::Draining,
                 3 => Upstream::Ended,
-                _ => return Err(DecodeError::Field("upstream")),
+                _ => return Err(DecodeError::InvalidField("upstream")),
             },
             plan: match it.plan {
                 0 => Plan::Stay,
                 1 => Plan::Pause,
                 2 => Plan::Restart,
                 3 => Plan::Leave,
-                _ => return Err(DecodeError::Field("plan")),
+                _ => return Err(DecodeError::InvalidField("plan")),
             },
             slots: it.slots,
-            load: u16::try_from(it.load).map_err(|_| DecodeError::Field("load"))?,
+            load: u16::try_from(it.load).map_err(|_| DecodeError::InvalidField("load"))?,
             every_ms: it.every_ms,
             service_ms: Some(it.service_ms).filter(|&it| it > 0),
             full: it.full,
@@ -497,54 +498,54 @@
     }
 }
 
-/// What a balancer knows, for a process that can't ask the store.
+/// Configuration and members as known by a balancer, for a process that can't reach the store.
 #[derive(Clone, PartialEq, Message)]
 pub struct Snapshot {
-    /// Number of the configuration's revision; 0 if none is known.
+    /// Revision number of the configuration; 0 without one.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Version that the operator gave to it.
+    /// Operator-assigned version of the configuration.
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// The routes.
+    /// Routes of the configuration.
     #[prost(message, repeated, tag = "4")]
     pub routes: Vec<RouteEntry>,
-    /// The members.
+    /// Known members.
     #[prost(message, repeated, tag = "5")]
     pub members: Vec<MemberEntry>,
-    /// Zones out of service; none if the sender does not know.
+    /// Zones out of service; `None` if the sender has no list of them.
     #[prost(message, optional, tag = "6")]
     pub zones: Option<ZonesEntry>,
-    /// What cold upstreams bear, for pools where that is bounded.
+    /// Rate limits of cold upstreams, for pools that have one.
     #[prost(message, repeated, tag = "7")]
     pub cold_rates: Vec<ColdRateEntry>,
-    /// Era of the configuration's revision.
+    /// Store era of the configuration's revision.
     #[prost(uint64, tag = "8")]
     pub era: u64,
-    /// Number of the store's revision as of which its list of members was read; 0 if the sender does not have the list.
+    /// Number of the store revision at which the member list was read; 0 if the sender has no list.
     #[prost(uint64, tag = "9")]
     pub list_revision: u64,
-    /// Era of that revision.
+    /// Store era of that revision.
     #[prost(uint64, tag = "10")]
     pub list_era: u64,
-    /// Processes that can tell the list in place of the sender, which has told it to many.
+    /// Other processes that can serve the member list, if the sender has reached its limit.
     #[prost(message, repeated, tag = "11")]
     pub referred: Vec<PeerEntry>,
-    /// Whether the list is as new as was asked for.
+    /// Whether the member list is as recent as requested.
     #[prost(bool, tag = "12")]
     pub meets_need: bool,
-    /// Zones out of service whose entries the store lost when it came back from a copy.
+    /// Zones out of service whose entries were lost when the store was restored from a backup.
     #[prost(string, repeated, tag = "14")]
     pub lost_zones: Vec<String>,
-    /// The answer follows in another frame.
+    /// Whether the full snapshot follows in another frame.
     #[prost(bool, tag = "13")]
     pub pending: bool,
 }
 
-/// Address of a process.
+/// IPv4 address and port of a process.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct PeerEntry {
-    /// Address as a number.
+    /// IPv4 address as an integer.
     #[prost(fixed32, tag = "1")]
     pub ip: u32,
     /// Port.
@@ -552,126 +553,126 @@
     pub port: u32,
 }
 
-/// Asks a process for what it knows; the answer is a [`Snapshot`].
+/// Request for a [`Snapshot`].
 #[derive(Clone, PartialEq, Message)]
 pub struct Question {
-    /// Whether the configuration and the zones out of service are asked for.
+    /// Whether to include the configuration and the zones out of service.
     #[prost(bool, tag = "1")]
     pub config: bool,
-    /// Which members are asked for.
+    /// Which members to include, a [`Part`].
     #[prost(enumeration = "Part", tag = "2")]
     pub members: i32,
-    /// How new the list of members has to be.
+    /// Required freshness of the member list, an [`Age`].
     #[prost(enumeration = "Age", tag = "3")]
     pub age: i32,
-    /// Number of the revision that the list must not be older than.
+    /// Number of the oldest acceptable revision, for `Since`.
     #[prost(uint64, tag = "4")]
     pub revision: u64,
-    /// Its era.
+    /// Store era of that revision.
     #[prost(uint64, tag = "5")]
     pub era: u64,
-    /// The asker, if it can tell the list on.
+    /// Address of the requester, if it can serve the member list to others.
     #[prost(message, optional, tag = "6")]
     pub asker: Option<PeerEntry>,
-    /// Another process referred the asker here, as it has told the list to this one.
+    /// Whether another process referred the requester to the receiver.
     #[prost(bool, tag = "7")]
     pub referred: bool,
 }
 
-/// Which members are asked for.
+/// Which members a snapshot includes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Enumeration)]
 #[repr(i32)]
 pub enum Part {
-    /// None.
+    /// No members.
     None = 0,
-    /// The balancers.
+    /// Only balancers.
     Balancers = 1,
-    /// All.
+    /// All members.
     All = 2,
 }
 
-/// How new a list has to be; `core::opaque::listing::Need` says what these mean.
+/// Required freshness of a member list; encoded form of [`camphorwinch_core::opaque::listing::Need`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Enumeration)]
 #[repr(i32)]
 pub enum Age {
-    /// Any.
+    /// Any age.
     Any = 0,
-    /// Not older than a revision.
+    /// Not older than a given revision.
     Since = 1,
-    /// Read after the question.
+    /// Read from the store after the request.
     Fresh = 2,
 }
 
-/// What a cold upstream of a pool bears.
+/// Rate limit of a pool's cold upstreams.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct ColdRateEntry {
-    /// The pool.
+    /// Pool ID.
     #[prost(fixed64, tag = "1")]
     pub pool: u64,
-    /// New flows a second.
+    /// New flows per second.
     #[prost(uint32, tag = "2")]
     pub rate: u32,
 }
 
-/// A route of a snapshot.
+/// Route of a snapshot.
 #[derive(Clone, PartialEq, Message)]
 pub struct RouteEntry {
-    /// Address as a number.
+    /// IPv4 address as an integer.
     #[prost(fixed32, tag = "1")]
     pub ip: u32,
     /// Port.
     #[prost(uint32, tag = "2")]
     pub port: u32,
-    /// The pools.
+    /// Weighted pools of the route.
     #[prost(message, repeated, tag = "3")]
     pub shares: Vec<ShareEntry>,
-    /// Latency below which an answer is in time, in milliseconds.
+    /// Latency objective, in milliseconds.
     #[prost(uint32, tag = "4")]
     pub latency_ms: u32,
-    /// Time after which an answer is of no use, in milliseconds; 0 if no objective is known.
+    /// Request timeout, in milliseconds; 0 if no objective is known.
     #[prost(uint32, tag = "5")]
     pub timeout_ms: u32,
-    /// Which requests go first; 0 is the highest.
+    /// Request priority; 0 is the highest.
     #[prost(uint32, tag = "6")]
     pub priority: u32,
-    /// Whether a caller may send a request again after any failure.
+    /// Whether callers may retry a request after any failure.
     #[prost(bool, tag = "7")]
     pub idempotent: bool,
-    /// Regions in which its requests may be served; none named allow all.
+    /// IDs of the regions that may serve the requests; empty allows all.
     #[prost(fixed64, repeated, tag = "8")]
     pub regions: Vec<u64>,
 }
 
-/// A pool of a route.
+/// Weighted pool of a route.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct ShareEntry {
-    /// The pool.
+    /// Pool ID.
     #[prost(fixed64, tag = "1")]
     pub pool: u64,
-    /// Its weight.
+    /// Relative weight.
     #[prost(uint32, tag = "2")]
     pub weight: u32,
 }
 
-/// A member of a snapshot.
+/// Member of a snapshot.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct MemberEntry {
-    /// Address as a number.
+    /// IPv4 address as an integer.
     #[prost(fixed32, tag = "1")]
     pub ip: u32,
     /// Port.
     #[prost(uint32, tag = "2")]
     pub port: u32,
-    /// Pool, if it is an agent.
+    /// Pool ID, if it is an agent.
     #[prost(fixed64, optional, tag = "3")]
     pub pool: Option<u64>,
-    /// Zone.
+    /// Zone ID.
     #[prost(fixed64, tag = "4")]
     pub zone: u64,
-    /// Name of its object in the store; empty if the sender did not find it on the store's list.
+    /// Name of its object in the store; empty if the sender's list does not contain it.
     #[prost(string, tag = "5")]
     pub name: String,
-    /// Number of the revision of that object.
+    /// Revision number of that object.
     #[prost(uint64, tag = "6")]
     pub revision: u64,
 }
--- a/crates/wire/src/opaque_convert.rs
+++ b/crates/wire/src/opaque_convert.rs
@@ -1,4 +1,4 @@
-//! Snapshots of opaque flows' configuration and members, to and from the types that decisions use.
+//! Conversions between the messages about opaque flows and the types of the core crate.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -30,55 +30,56 @@
 }
 
 impl ZonesEntry {
-    /// The store's revision at which this was so.
+    /// Returns the store revision that the list is taken from.
     pub fn at(&self) -> Revision {
         Revision::new(self.era, self.revision)
     }
 }
 
 impl Greeting {
-    /// A greeting that tells of the configuration in force, if one is.
+    /// Creates a greeting with the sender's active configuration, if any.
     pub fn new(config: Option<Stamp>) -> Greeting {
-        let (version, era, revision) = config.map_or_else(Default::default, parts);
+        let (version, era, revision) = config.map_or_else(Default::default, stamp_fields);
         Greeting { revision, version, era, ..Greeting::default() }
     }
 
-    /// The configuration in force at the sender, if one is.
+    /// Returns the sender's active configuration, if any.
     pub fn config(&self) -> Option<Stamp> {
         stamp(self.version, self.era, self.revision)
     }
 }
 
 impl Report {
-    /// The report of an agent that keeps a copy of this configuration.
+    /// Sets the configuration that the agent keeps a copy of, if any.
     pub fn with_kept(self, config: Option<Stamp>) -> Report {
-        let (kept_version, kept_era, kept) = config.map_or_else(Default::default, parts);
-        Report { kept, kept_version, kept_era, ..self }
+        let (copy_version, copy_era, copy_revision) =
+            config.map_or_else(Default::default, stamp_fields);
+        Report { copy_revision, copy_version, copy_era, ..self }
     }
 
-    /// The configuration of which the agent keeps a copy, if it does.
+    /// Returns the configuration that the agent keeps a copy of, if any.
     pub fn kept_config(&self) -> Option<Stamp> {
-        stamp(self.kept_version, self.kept_era, self.kept)
+        stamp(self.copy_version, self.copy_era, self.copy_revision)
     }
 }
 
 impl Question {
-    /// Asks for the configuration and all members, whatever is known of them.
+    /// Requests the configuration and all members, at any freshness.
     pub fn all() -> Question {
         Question::default().with_config().with_members(Part::All)
     }
 
-    /// The same with the configuration and the zones out of service.
+    /// Adds the configuration and the zones out of service to the request.
     pub fn with_config(self) -> Question {
         Question { config: true, ..self }
     }
 
-    /// The same with some members.
+    /// Sets which members to include.
     pub fn with_members(self, members: Part) -> Question {
         Question { members: members.into(), ..self }
     }
 
-    /// The same with a list of members that is new enough.
+    /// Sets the required freshness of the member list.
     pub fn with_need(self, need: Need) -> Question {
         let (age, revision) = match need {
             Need::Any => (Age::Any, Revision::default()),
@@ -88,12 +89,12 @@
         Question { age: age.into(), era: revision.era, revision: revision.number, ..self }
     }
 
-    /// The same from a process that can tell the list on.
+    /// Sets the address of a requester that can serve the member list to others.
     pub fn with_asker(self, asker: SocketAddrV4) -> Question {
         Question { asker: Some(asker.into()), ..self }
     }
 
-    /// How new the list of members has to be.
+    /// Returns the required freshness of the member list.
     pub fn need(&self) -> Need {
         match self.age() {
             Age::Any => Need::Any,
@@ -118,14 +119,14 @@
 }
 
 impl Snapshot {
-    /// The store's revision as of which its list of members was read, if the sender has the list.
+    /// Returns the store revision at which the member list was read, if the sender has a list.
     pub fn listed_at(&self) -> Option<Revision> {
         (self.list_revision > 0).then(|| Revision::new(self.list_era, self.list_revision))
     }
 
-    /// What is asked for of a snapshot.
-    pub fn parts(&self, ask: &Question) -> Snapshot {
-        let members = match ask.members() {
+    /// Returns the parts of the snapshot that `question` requests.
+    pub fn parts(&self, question: &Question) -> Snapshot {
+        let members = match question.members() {
             Part::None => Vec::new(),
             Part::Balancers => {
                 self.members.iter().filter(|it| it.pool.is_none()).cloned().collect()
@@ -133,7 +134,7 @@
             Part::All => self.members.clone(),
         };
         let Snapshot { list_era, list_revision, .. } = *self;
-        if !ask.config {
+        if !question.config {
             return Snapshot { members, list_era, list_revision, ..Snapshot::default() };
         }
         Snapshot {
@@ -151,17 +152,17 @@
         }
     }
 
-    /// The configuration in it, if there is one.
+    /// Returns the version and revision of the configuration, if any.
     pub fn config(&self) -> Option<Stamp> {
         stamp(self.version, self.era, self.revision)
     }
 
-    /// The snapshot with the zones out of service, if they are known.
+    /// Sets the zones out of service, if known.
     pub fn with_zones(self, zones: Option<&ZonesOut>) -> Snapshot {
         Snapshot { zones: zones.map(ZonesEntry::from), ..self }
     }
 
-    /// A snapshot of the routes in force, if any are, and the members.
+    /// Creates a snapshot of the active routes, if any, and the members.
     pub fn new(routes: Option<&Routes>, members: &[Listed]) -> Snapshot {
         let members = members.iter().map(MemberEntry::from).collect();
         let Some(routes) = routes else {
@@ -169,7 +170,7 @@
         };
         let cold_rates = routes.cold_rates.iter();
         let cold_rates = cold_rates.map(|(pool, &rate)| ColdRateEntry { pool: pool.0, rate });
-        let (version, era, revision) = parts(routes.stamp());
+        let (version, era, revision) = stamp_fields(routes.stamp());
         Snapshot {
             revision,
             version,
@@ -181,7 +182,7 @@
         }
     }
 
-    /// The routes; none if the sender had none.
+    /// Converts the routes; `None` without a configuration.
     pub fn routes(&self) -> Result<Option<Routes>, DecodeError> {
         let Some(Stamp { version, revision }) = self.config() else {
             return Ok(None);
@@ -204,14 +205,14 @@
         Ok(Some(routes))
     }
 
-    /// The members.
+    /// Converts the members.
     pub fn members(&self) -> Result<Vec<Listed>, DecodeError> {
         self.members.iter().map(MemberEntry::listed).collect()
     }
 }
 
 impl MemberEntry {
-    /// The member as decisions see it.
+    /// Converts the entry; fails if the port is out of range.
     pub fn listed(&self) -> Result<Listed, DecodeError> {
         Ok(Listed {
             address: address(self.ip, self.port)?,
@@ -221,8 +222,8 @@
     }
 }
 
-/// Version, era and number of a revision. Numbers begin at 1: 0 stands for none.
-fn parts(it: Stamp) -> (u64, u64, u64) {
+/// Returns version, era and revision number. Revision numbers start at 1; 0 encodes a missing stamp.
+fn stamp_fields(it: Stamp) -> (u64, u64, u64) {
     (it.version, it.revision.era, it.revision.number)
 }
 
@@ -261,12 +262,12 @@
     if it.timeout_ms == 0 {
         return Ok(None);
     }
-    let priority = u8::try_from(it.priority).map_err(|_| DecodeError::Field("priority"))?;
+    let priority = u8::try_from(it.priority).map_err(|_| DecodeError::InvalidField("priority"))?;
     let (latency_ms, timeout_ms) = (it.latency_ms, it.timeout_ms);
     Ok(Some(Objective { priority, latency_ms, timeout_ms, idempotent: it.idempotent }))
 }
 
 fn address(ip: u32, port: u32) -> Result<SocketAddrV4, DecodeError> {
-    let port = u16::try_from(port).map_err(|_| DecodeError::Field("port"))?;
+    let port = u16::try_from(port).map_err(|_| DecodeError::InvalidField("port"))?;
     Ok(SocketAddrV4::new(Ipv4Addr::from_bits(ip), port))
 }
--- a/crates/wire/tests/encap.rs
+++ b/crates/wire/tests/encap.rs
@@ -1,4 +1,4 @@
-//! Encapsulation: what is encoded decodes, and anything else is refused without a panic.
+//! Encapsulation round trips, and malformed datagrams are rejected without a panic.
 
 use std::net::{IpAddr, SocketAddr, SocketAddrV4};
 
@@ -8,32 +8,32 @@
     seal::KeyRing,
 };
 use camphorwinch_wire::encap::{
-    CANDIDATE_LEN, EncapError, HEADER_LEN, Header, MAX_PAYLOAD, decode, encode,
+    CANDIDATE_LEN, EncapError, HEADER_LEN, Header, MAX_PAYLOAD_BYTES, decode, encode,
 };
 use quickcheck::{TestResult, quickcheck};
 
 fn ring(epoch: u8) -> KeyRing {
     let key = KeySpec { epoch, secret: [epoch; 32], usage: KeyUse::Seal };
-    KeyRing::new(&Keys { reset: [0; 32], keys: vec![key] }).expect("one key seals")
+    KeyRing::new(&Keys { reset: [0; 32], keys: vec![key] }).expect("the ring has a sealing key")
 }
 
 fn header(caller: SocketAddr, agents: &[SocketAddrV4]) -> Header {
     Header { hop: 0, service: ServiceId(77), caller, candidates: Candidates::new(agents) }
 }
 
-fn sample(agents: usize) -> Vec<u8> {
-    let agents = vec!["127.0.0.9:9000".parse().expect("an address"); agents];
-    let caller = "192.0.2.1:5000".parse().expect("an address");
+fn sample_datagram(agents: usize) -> Vec<u8> {
+    let agents = vec!["127.0.0.9:9000".parse().expect("valid address"); agents];
+    let caller = "192.0.2.1:5000".parse().expect("valid address");
     let mut out = Vec::new();
     encode(&header(caller, &agents), &ring(1), &[7; 100], &mut out);
     out
 }
 
 quickcheck! {
-    fn decodes_what_it_encoded(
+    fn encoded_datagrams_round_trip(
         ip: IpAddr, port: u16, agents: Vec<SocketAddrV4>, hop: u8, payload: Vec<u8>
     ) -> TestResult {
-        if payload.is_empty() || payload.len() > MAX_PAYLOAD {
+        if payload.is_empty() || payload.len() > MAX_PAYLOAD_BYTES {
             return TestResult::discard();
         }
         let ring = ring(1);
@@ -44,42 +44,42 @@
         TestResult::from_bool(decode(&ring, &out[3..]) == Ok((header, &payload[..])))
     }
 
-    fn garbage_is_refused(bytes: Vec<u8>) -> bool {
+    fn random_bytes_are_rejected(bytes: Vec<u8>) -> bool {
         decode(&ring(1), &bytes).is_err()
     }
 
-    fn garbage_behind_a_valid_start_is_refused(count: u8, bytes: Vec<u8>) -> bool {
+    fn random_bytes_after_a_valid_prefix_are_rejected(count: u8, bytes: Vec<u8>) -> bool {
         let mut datagram = vec![1, 0, count % 4, 1];
         datagram.extend(bytes);
         decode(&ring(1), &datagram).is_err()
     }
 
-    fn a_changed_bit_in_the_covered_part_is_refused(bit: usize) -> bool {
-        let mut datagram = sample(2);
-        let covered = HEADER_LEN + 2 * CANDIDATE_LEN + 32;
-        let bit = bit % (covered * 8);
+    fn a_flipped_bit_in_the_authenticated_part_is_rejected(bit: usize) -> bool {
+        let mut datagram = sample_datagram(2);
+        let authenticated_len = HEADER_LEN + 2 * CANDIDATE_LEN + 32;
+        let bit = bit % (authenticated_len * 8);
         datagram[bit / 8] ^= 1 << (bit % 8);
         decode(&ring(1), &datagram).is_err()
     }
 
-    fn a_truncated_datagram_is_refused(len: usize) -> bool {
-        let datagram = sample(3);
-        let covered = HEADER_LEN + 3 * CANDIDATE_LEN + 32;
-        decode(&ring(1), &datagram[..len % covered]).is_err()
+    fn a_truncated_encapsulation_is_rejected(len: usize) -> bool {
+        let datagram = sample_datagram(3);
+        let authenticated_len = HEADER_LEN + 3 * CANDIDATE_LEN + 32;
+        decode(&ring(1), &datagram[..len % authenticated_len]).is_err()
     }
 }
 
 #[test]
-fn each_fault_has_its_error() {
+fn each_fault_returns_its_error() {
     let ring_1 = ring(1);
-    let mut datagram = sample(0);
-    datagram.resize(HEADER_LEN + MAX_PAYLOAD + 1, 0);
+    let mut datagram = sample_datagram(0);
+    datagram.resize(HEADER_LEN + MAX_PAYLOAD_BYTES + 1, 0);
     assert_eq!(decode(&ring_1, &datagram), Err(EncapError::Oversized));
-    assert_eq!(decode(&ring_1, &sample(0)[..HEADER_LEN]), Err(EncapError::Truncated));
-    assert_eq!(decode(&ring(2), &sample(0)), Err(EncapError::Epoch(1)));
-    let mut datagram = sample(1);
+    assert_eq!(decode(&ring_1, &sample_datagram(0)[..HEADER_LEN]), Err(EncapError::Truncated));
+    assert_eq!(decode(&ring(2), &sample_datagram(0)), Err(EncapError::UnknownEpoch(1)));
+    let mut datagram = sample_datagram(1);
     datagram[1] = 1;
-    assert_eq!(decode(&ring_1, &datagram), Err(EncapError::Candidates { hop: 1, count: 1 }));
+    assert_eq!(decode(&ring_1, &datagram), Err(EncapError::InvalidHop { hop: 1, count: 1 }));
     datagram[0] = 2;
-    assert_eq!(decode(&ring_1, &datagram), Err(EncapError::Version(2)));
+    assert_eq!(decode(&ring_1, &datagram), Err(EncapError::UnsupportedVersion(2)));
 }
--- a/crates/wire/tests/handover.rs
+++ b/crates/wire/tests/handover.rs
@@ -1,4 +1,4 @@
-//! Messages between agents: whatever bytes come, they are read or refused.
+//! Messages between agents round trip, and malformed bytes return an error instead of a panic.
 
 use std::sync::Arc;
 
@@ -10,15 +10,15 @@
 use quickcheck::quickcheck;
 
 quickcheck! {
-    fn random_bytes_are_read_or_refused(frame: Vec<u8>) -> bool {
+    fn random_handover_frames_do_not_panic(frame: Vec<u8>) -> bool {
         if let Ok(Kind::Claim(call)) = Packet::decoded(&frame) {
-            // Neither may panic.
+            // Neither conversion may panic.
             let _ = call.record.map(|it| (it.claim(), it.claim_key()));
         }
         true
     }
 
-    fn altered_packets_are_read_or_refused(key: String, at: usize, byte: u8) -> bool {
+    fn altered_handover_frames_do_not_panic(key: String, at: usize, byte: u8) -> bool {
         let key = ClaimKey { service: ServiceId(7), key };
         let claim =
             Claim { request: 1, digest: 2, by: "a".to_owned(), state: State::Running, window: 1 };
@@ -30,24 +30,24 @@
         let at = at % frame.len();
         frame[at] = byte;
         if let Ok(Kind::Claim(call)) = Packet::decoded(&frame) {
-            // Neither may panic.
+            // Neither conversion may panic.
             let _ = call.record.map(|it| (it.claim(), it.claim_key()));
         }
         true
     }
 
-    fn cut_packets_are_read_or_refused(data: Vec<u8>, cut: usize) -> bool {
-        let whole = Packet::encoded(Kind::Chunk(Chunk { data: data.into(), last: true }));
-        let part = &whole[..cut % (whole.len() + 1)];
-        match Packet::decoded(part) {
-            Ok(kind) => part.len() == whole.len() && matches!(kind, Kind::Chunk(_)),
-            Err(_) => part.len() < whole.len(),
+    fn truncated_handover_frames_are_rejected(data: Vec<u8>, len: usize) -> bool {
+        let complete = Packet::encoded(Kind::Chunk(Chunk { data: data.into(), last: true }));
+        let truncated = &complete[..len % (complete.len() + 1)];
+        match Packet::decoded(truncated) {
+            Ok(kind) => truncated.len() == complete.len() && matches!(kind, Kind::Chunk(_)),
+            Err(_) => truncated.len() < complete.len(),
         }
     }
 
-    fn claims_come_back_as_they_were(key: String, request: u128, digest: u64, by: String, body: Vec<u8>, at: u8) -> bool {
+    fn claims_round_trip(key: String, request: u128, digest: u64, by: String, body: Vec<u8>, state: u8) -> bool {
         let answer = Answer { status: 201, headers: vec![("x".to_owned(), body.clone())], body };
-        let state = match at % 3 {
+        let state = match state % 3 {
             0 => State::Running,
             1 => State::Unknown,
             _ => State::Done(Arc::new(answer)),
@@ -60,13 +60,13 @@
             && record.with_release().claim() == Ok(None)
     }
 
-    fn request_numbers_have_16_bytes(bytes: Vec<u8>) -> bool {
+    fn request_ids_have_16_bytes(bytes: Vec<u8>) -> bool {
         request_id(&bytes).is_ok() == (bytes.len() == 16)
     }
 }
 
 #[test]
-fn claim_without_its_answer_is_refused() {
+fn a_done_claim_without_a_response_is_rejected() {
     let key = ClaimKey { service: ServiceId(7), key: "k".to_owned() };
     let answer = Answer { status: 200, headers: Vec::new(), body: Vec::new() };
     let state = State::Done(Arc::new(answer));
--- a/crates/wire/tests/message.rs
+++ b/crates/wire/tests/message.rs
@@ -1,4 +1,4 @@
-//! Every decoder takes any bytes without a panic, and what is encoded is decoded again.
+//! Messages round trip, and malformed bytes return an error instead of a panic.
 
 use camphorwinch_core::{
     member::{Agent, AgentState, Balancer, BalancerState, Place},
@@ -46,7 +46,7 @@
 }
 
 quickcheck! {
-    fn any_bytes_are_a_message_or_an_error(bytes: Vec<u8>) -> bool {
+    fn random_link_frames_do_not_panic(bytes: Vec<u8>) -> bool {
         match Frame::parse(&bytes) {
             Ok(Body::Update(it)) => it.records.iter().for_each(|it| drop(Record::try_from(it))),
             Ok(Body::Summary(it)) => drop(view::Summary::try_from(&it)),
@@ -56,26 +56,26 @@
         true
     }
 
-    fn damaged_messages_are_a_message_or_an_error(at: usize, with: u8, name: String) -> bool {
+    fn altered_link_frames_do_not_panic(at: usize, byte: u8, name: String) -> bool {
         let version = Version::member(1, 2);
-        let record = Record::Member(member(name, true, with, version, Vec::new()));
+        let record = Record::Member(member(name, true, byte, version, Vec::new()));
         let update = Update { records: vec![RecordPart::from(&record)], ..Update::default() };
         let mut bytes = Frame::new(Body::Update(update)).encode_to_vec();
         let at = at % bytes.len();
-        bytes[at] = with;
+        bytes[at] = byte;
         if let Ok(Body::Update(it)) = Frame::parse(&bytes) {
             it.records.iter().for_each(|it| drop(Record::try_from(it)));
         }
         Frame::parse(&bytes[..at]).is_err() || at > 0
     }
 
-    fn members_come_back(name: String, agent: bool, state: u8, at: (u64, u64), homes: Vec<String>) -> bool {
-        let it = member(name, agent, state, Version::member(at.0, at.1), homes);
+    fn members_round_trip(name: String, agent: bool, state: u8, version: (u64, u64), homes: Vec<String>) -> bool {
+        let it = member(name, agent, state, Version::member(version.0, version.1), homes);
         let bytes = MemberPart::from(&it).encode_to_vec();
         Member::try_from(&MemberPart::decode(bytes.as_slice()).unwrap()) == Ok(it)
     }
 
-    fn objects_come_back(name: String, version: u64, text: String, deleted: bool) -> bool {
+    fn objects_round_trip(name: String, version: u64, text: String, deleted: bool) -> bool {
         let kind = Kind::Service;
         let record = if deleted {
             Record::Deleted { kind, name, revision: version }
@@ -89,7 +89,7 @@
         Record::try_from(&RecordPart::decode(bytes.as_slice()).unwrap()) == Ok(record)
     }
 
-    fn marks_come_back(revision: u64, floor: u64, sum: u64) -> bool {
+    fn marks_round_trip(revision: u64, floor: u64, sum: u64) -> bool {
         let kind = Kind::Change;
         let deleted = vec![Deletion { kind, name: floor.to_string(), revision }];
         let mark = Mark { revision, floor, sum, deleted };
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn what_does_not_fit_is_refused() {
+fn out_of_range_fields_are_rejected() {
     let digest = Digest { buckets: vec![0; BUCKETS - 1] };
     assert!(digest.to_buckets().is_err());
     let summary = Summary { buckets: vec![BUCKETS as u32], ..Summary::default() };
--- a/crates/wire/tests/opaque.rs
+++ b/crates/wire/tests/opaque.rs
@@ -1,4 +1,4 @@
-//! Datagrams about opaque flows: what is written is read again, and nothing that arrives makes a process stop.
+//! Datagrams about opaque flows round trip, and malformed bytes return an error instead of a panic.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn packets_come_back_as_they_were() {
+fn packets_round_trip() {
     for ask in asks() {
         let mut bytes = Vec::new();
         encode_packet(&relay(ask), b"a caller's packet", &mut bytes);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn answers_queries_and_verdicts_come_back_as_they_were() {
+fn answers_queries_and_verdicts_round_trip() {
     for answer in [Answer::Here, Answer::Absent, Answer::WrongPool(PoolId(u64::MAX - 1))] {
         let mut bytes = Vec::new();
         encode_answer(&key(1), answer, b"packet", &mut bytes);
@@ -89,13 +89,13 @@
 }
 
 #[test]
-fn a_spread_comes_back_as_it_was_and_fits_into_a_frame() {
+fn a_spread_round_trips_and_fits_an_ethernet_frame() {
     let relay = relay(Ask::Locate);
     let agents: Vec<_> = (1..=28).map(address).collect();
     let packet = [7; 1_232];
     let mut bytes = Vec::new();
     encode_spread(&relay, &agents, &packet, &mut bytes);
-    // An Ethernet frame less the IP and UDP headers.
+    // Payload of a 1,500-byte Ethernet frame without the IP and UDP headers.
     assert!(bytes.len() <= 1_472, "{}", bytes.len());
     let Ok(Datagram::Spread { relay: read, agents: listed, packet: carried }) = decode(&bytes)
     else {
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn messages_come_back_as_they_were() {
+fn control_messages_round_trip() {
     let greeting = Body::Greeting(Greeting {
         revision: 5,
         leaving: true,
@@ -134,52 +134,55 @@
 }
 
 #[test]
-fn unknown_words_are_typed_errors() {
+fn unknown_values_return_their_error() {
     let bad = Report { upstream: 9, ..report().into() };
-    assert_eq!(fleet::Report::try_from(bad), Err(DecodeError::Field("upstream")));
+    assert_eq!(fleet::Report::try_from(bad), Err(DecodeError::InvalidField("upstream")));
     let bad = Report { plan: 9, ..report().into() };
-    assert_eq!(fleet::Report::try_from(bad), Err(DecodeError::Field("plan")));
+    assert_eq!(fleet::Report::try_from(bad), Err(DecodeError::InvalidField("plan")));
     let bad = Report { load: 70_000, ..report().into() };
-    assert_eq!(fleet::Report::try_from(bad), Err(DecodeError::Field("load")));
+    assert_eq!(fleet::Report::try_from(bad), Err(DecodeError::InvalidField("load")));
     assert_eq!(decode(&[]).err(), Some(DecodeError::Truncated));
-    assert_eq!(decode(&[99]).err(), Some(DecodeError::Form(99)));
-    assert_eq!(decode(&[2, 7]).err(), Some(DecodeError::Code(7)));
+    assert_eq!(decode(&[99]).err(), Some(DecodeError::UnknownType(99)));
+    assert_eq!(decode(&[2, 7]).err(), Some(DecodeError::UnknownCode(7)));
     let mut bytes = Vec::new();
     encode_packet(&relay(Ask::Deliver), b"", &mut bytes);
     bytes[1] = 44;
-    assert_eq!(decode(&bytes).err(), Some(DecodeError::Code(44)));
+    assert_eq!(decode(&bytes).err(), Some(DecodeError::UnknownCode(44)));
 }
 
 #[test]
-fn a_walk_whose_numbers_do_not_fit_is_refused() {
+fn an_inconsistent_candidate_list_is_rejected() {
     let mut bytes = Vec::new();
     encode_packet(&relay(asks()[0]), b"", &mut bytes);
-    // Behind form, ask, pool, balancer, limit, objective and pool: position, then count.
-    let (at, count) = (33, 34);
+    // The index and the count follow type, action, pool, balancer, limit, objective and pool load.
+    let (index_at, count_at) = (33, 34);
     let original = bytes.clone();
-    bytes[at] = 8;
-    assert_eq!(decode(&bytes).err(), Some(DecodeError::Walk { count: 8, at: 8 }));
+    bytes[index_at] = 8;
+    assert_eq!(decode(&bytes).err(), Some(DecodeError::InvalidCandidates { count: 8, index: 8 }));
     bytes = original.clone();
-    bytes[count] = 200;
-    assert!(matches!(decode(&bytes).err(), Some(DecodeError::Walk { count: 200, .. })));
+    bytes[count_at] = 200;
+    assert!(matches!(
+        decode(&bytes).err(),
+        Some(DecodeError::InvalidCandidates { count: 200, .. })
+    ));
     bytes = original;
-    bytes[count] = 0;
+    bytes[count_at] = 0;
     assert!(decode(&bytes).is_err());
 }
 
 #[test]
-fn truncated_datagrams_are_refused() {
+fn truncated_opaque_datagrams_are_rejected() {
     for ask in asks() {
         let mut bytes = Vec::new();
         encode_packet(&relay(ask), b"", &mut bytes);
         for len in 0..bytes.len() {
-            assert!(decode(&bytes[..len]).is_err(), "{ask:?} cut to {len}");
+            assert!(decode(&bytes[..len]).is_err(), "{ask:?} truncated to {len} bytes");
         }
     }
 }
 
 #[test]
-fn snapshots_come_back_as_they_were() {
+fn snapshots_round_trip() {
     let mut routes = Routes { revision: Revision::new(2, 3), version: 2, ..Routes::default() };
     let shares = vec![Share { pool: PoolId(1), weight: 9 }, Share { pool: PoolId(2), weight: 1 }];
     let route = Route::new(shares).with_regions(vec![RegionId(7), RegionId(8)]);
@@ -195,36 +198,36 @@
     assert_eq!(snapshot.members(), Ok(members.to_vec()));
     assert_eq!(snapshot.zones, None);
     let out = ZonesOut::new(Revision::new(3, 6), ["a".to_owned(), "b".to_owned()]);
-    let told = snapshot.clone().with_zones(Some(&out)).zones.map(ZonesOut::from);
-    assert_eq!(told, Some(out));
+    let decoded = snapshot.clone().with_zones(Some(&out)).zones.map(ZonesOut::from);
+    assert_eq!(decoded, Some(out));
     assert_eq!(Snapshot::new(None, &[]).routes(), Ok(None));
     let mut bad = snapshot.clone();
     bad.routes[0].port = 70_000;
-    assert_eq!(bad.routes(), Err(DecodeError::Field("port")));
+    assert_eq!(bad.routes(), Err(DecodeError::InvalidField("port")));
     let mut bad = snapshot;
     for route in &mut bad.routes {
         route.timeout_ms = 1;
         route.priority = 256;
     }
-    assert_eq!(bad.routes(), Err(DecodeError::Field("priority")));
+    assert_eq!(bad.routes(), Err(DecodeError::InvalidField("priority")));
 }
 
 quickcheck! {
-    fn no_bytes_stop_a_process(bytes: Vec<u8>) -> bool {
-        for form in 0..=6 {
-            let mut datagram = vec![form];
+    fn random_opaque_datagrams_do_not_panic(bytes: Vec<u8>) -> bool {
+        for kind in 0..=6 {
+            let mut datagram = vec![kind];
             datagram.extend(&bytes);
             let _ = decode(&datagram);
         }
         true
     }
 
-    fn flipped_bytes_do_not_stop_a_process(at: usize, to: u8) -> bool {
+    fn altered_opaque_datagrams_do_not_panic(at: usize, byte: u8) -> bool {
         for ask in asks() {
             let mut bytes = Vec::new();
             encode_packet(&relay(ask), b"packet", &mut bytes);
             let at = at % bytes.len();
-            bytes[at] = to;
+            bytes[at] = byte;
             let _ = decode(&bytes);
         }
         true
