--- a/crates/relay/benches/relay/load.rs
+++ b/crates/relay/benches/relay/load.rs
@@ -1,4 +1,4 @@
-//! Both relays under more load than one core carries: callers, relay and agents in threads of their own.
+//! Throughput of both relays under overload, with senders, relay and agents on separate threads.
 
 use std::{
     fs,
@@ -24,38 +24,38 @@
 
 use crate::{
     common,
-    paths::{AGENTS, Bare, FLOWS, Path, TRAFFIC, Traffic, loopback, open},
+    paths::{AGENTS, BareRelay, FLOWS, Path, TRAFFIC, Traffic, loopback, open},
 };
 
 const SENDERS: usize = 3;
-const RUN: Duration = Duration::from_secs(2);
+const RUN_TIME: Duration = Duration::from_secs(2);
 const REPEATS: usize = 3;
-/// Longest wait for datagrams before the relay looks whether it is to stop.
-const WAKE: Duration = Duration::from_millis(20);
+/// Longest wait for datagrams between two checks of the stop flag.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs both relays in turn and prints what a core carries.
+/// Runs both relays alternately and prints the throughput of one core.
 pub(crate) fn compare() {
     println!("load     bare datagrams/core-s  placed datagrams/core-s  rate against bare");
-    // Under load no datagram comes alone.
+    // Skips the load with single datagrams, which does not occur under overload.
     for &traffic in &TRAFFIC[1..] {
         let (mut bare, mut placed) = (0.0, 0.0);
         for _ in 0..REPEATS {
-            bare += run(traffic, false) / REPEATS as f64;
-            placed += run(traffic, true) / REPEATS as f64;
+            bare += measure_throughput(traffic, false) / REPEATS as f64;
+            placed += measure_throughput(traffic, true) / REPEATS as f64;
         }
         let ratio = placed / bare;
         println!("{:<8} {bare:>21.0} {placed:>24.0} {ratio:>18.2}", traffic.name);
     }
 }
 
-/// Datagrams sent to agents for each second of processor time of the relay's thread.
-fn run(traffic: Traffic, placed: bool) -> f64 {
+/// Returns the datagrams sent to agents per second of CPU time of the relay thread.
+fn measure_throughput(traffic: Traffic, placed: bool) -> f64 {
     let agents: Vec<UdpSocket> =
         (0..AGENTS).map(|_| socket::bind(loopback()).expect("bind")).collect();
     let data: Vec<SocketAddr> =
-        agents.iter().map(|it| it.local_addr().expect("an address")).collect();
+        agents.iter().map(|it| it.local_addr().expect("local address")).collect();
     let service = socket::bind(loopback()).expect("bind");
-    let address = service.local_addr().expect("an address");
+    let address = service.local_addr().expect("local address");
     let stop = AtomicBool::new(false);
     let sent = AtomicU64::new(0);
     thread::scope(|scope| {
@@ -66,16 +66,16 @@
         scope.spawn(|| drain(&agents, &stop));
         let (stop, sent, data) = (&stop, &sent, &data);
         let relay = scope.spawn(move || relay(service, address, data, placed, stop, sent));
-        thread::sleep(RUN);
+        thread::sleep(RUN_TIME);
         stop.store(true, Ordering::Relaxed);
-        let cpu = relay.join().expect("the relay ends");
+        let cpu = relay.join().expect("the relay thread does not panic");
         sent.load(Ordering::Relaxed) as f64 / cpu.as_secs_f64()
     })
 }
 
 fn send(traffic: Traffic, sender: usize, to: SocketAddr, agents: &[SocketAddr], stop: &AtomicBool) {
     let socket = UdpSocket::bind(loopback()).expect("bind");
-    let state = UdpSocketState::new(UdpSockRef::from(&socket)).expect("socket options");
+    let state = UdpSocketState::new(UdpSockRef::from(&socket)).expect("set the socket options");
     let mut contents = Vec::new();
     let mut flow = sender * (FLOWS / SENDERS);
     while !stop.load(Ordering::Relaxed) {
@@ -100,7 +100,7 @@
 
 fn drain(agents: &[UdpSocket], stop: &AtomicBool) {
     for agent in agents {
-        UdpSocketState::new(UdpSockRef::from(agent)).expect("socket options");
+        UdpSocketState::new(UdpSockRef::from(agent)).expect("set the socket options");
     }
     let mut buffer = vec![0; 65_535];
     while !stop.load(Ordering::Relaxed) {
@@ -109,14 +109,14 @@
                 match agent.recv(&mut buffer) {
                     Ok(_) => {}
                     Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                    Err(e) => panic!("an agent's socket: {e}"),
+                    Err(e) => panic!("receive on an agent's socket: {e}"),
                 }
             }
         }
     }
 }
 
-/// Relays until told to stop; returns the processor time of the thread.
+/// Relays until `stop` is set; returns the CPU time of the thread.
 fn relay(
     service: UdpSocket,
     address: SocketAddr,
@@ -125,7 +125,7 @@
     stop: &AtomicBool,
     sent: &AtomicU64,
 ) -> Duration {
-    let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = Builder::new_current_thread().enable_all().build().expect("build the runtime");
     runtime.block_on(async {
         let placer = Placer::new(&common::snapshot(address, agents), None, 0);
         let placer = ArcSwap::from_pointee(placer);
@@ -133,12 +133,15 @@
         let mut path = if placed {
             Path::Placed(Relay::new(open(), Arc::clone(&shared)))
         } else {
-            Path::Bare(Bare::new(open(), agents.to_vec()))
+            Path::Bare(BareRelay::new(open(), agents.to_vec()))
         };
-        let service = Socket::new(service).expect("register");
+        let service = Socket::new(service).expect("register the socket");
         while !stop.load(Ordering::Relaxed) {
-            let ready = tokio::time::timeout(WAKE, service.readable()).await;
-            while ready.is_ok() && !stop.load(Ordering::Relaxed) && path.turn(address, &service) {}
+            let ready = tokio::time::timeout(STOP_CHECK_INTERVAL, service.readable()).await;
+            while ready.is_ok()
+                && !stop.load(Ordering::Relaxed)
+                && path.relay_batch(address, &service)
+            {}
         }
         let count = match &path {
             Path::Bare(it) => it.sent,
@@ -146,12 +149,12 @@
         };
         sent.store(count, Ordering::Relaxed);
     });
-    processor_time()
+    thread_cpu_time()
 }
 
-/// Processor time of this thread so far.
-fn processor_time() -> Duration {
-    let text = fs::read_to_string("/proc/thread-self/schedstat").expect("Linux tells it");
+/// Returns the CPU time of this thread.
+fn thread_cpu_time() -> Duration {
+    let text = fs::read_to_string("/proc/thread-self/schedstat").expect("read schedstat");
     let nanos = text.split_whitespace().next().and_then(|it| it.parse().ok());
-    Duration::from_nanos(nanos.expect("the first number"))
+    Duration::from_nanos(nanos.expect("schedstat starts with nanoseconds"))
 }
--- a/crates/relay/benches/relay/paths.rs
+++ b/crates/relay/benches/relay/paths.rs
@@ -1,4 +1,4 @@
-//! The two relays that are compared, and what callers send through them.
+//! The two relays under comparison and the traffic sent through them.
 
 use std::{
     io::IoSliceMut,
@@ -16,33 +16,33 @@
 
 pub(crate) const AGENTS: usize = 7;
 pub(crate) const FLOWS: usize = 1_000_000;
-const BUFFER: usize = 65_535;
+const RECV_BUFFER_BYTES: usize = 65_535;
 
-/// What callers send.
+/// Traffic pattern of the callers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Traffic {
     pub(crate) name: &'static str,
     size: usize,
-    /// Datagrams of one flow that callers hand to the system at once, and that it hands on merged.
+    /// Datagrams of one flow per send call, which the system delivers merged.
     pub(crate) merged: usize,
-    /// Messages in a burst.
+    /// Send calls per burst.
     pub(crate) messages: usize,
-    /// Bytes by which each message is larger than the one before, so that none can be sent merged.
+    /// Size increase from one message to the next, in bytes; prevents merging.
     growth: usize,
-    new: bool,
+    new_flows: bool,
 }
 
 pub(crate) const TRAFFIC: [Traffic; 6] = [
-    Traffic { name: "lone", size: 100, merged: 1, messages: 1, growth: 0, new: false },
-    Traffic { name: "small", size: 100, merged: 1, messages: 32, growth: 0, new: false },
-    Traffic { name: "full", size: 1_200, merged: 1, messages: 32, growth: 0, new: false },
-    Traffic { name: "mixed", size: 100, merged: 1, messages: 32, growth: 37, new: false },
-    Traffic { name: "upload", size: 1_200, merged: 10, messages: 16, growth: 0, new: false },
-    Traffic { name: "new", size: MIN_INITIAL, merged: 1, messages: 32, growth: 0, new: true },
+    Traffic { name: "lone", size: 100, merged: 1, messages: 1, growth: 0, new_flows: false },
+    Traffic { name: "small", size: 100, merged: 1, messages: 32, growth: 0, new_flows: false },
+    Traffic { name: "full", size: 1_200, merged: 1, messages: 32, growth: 0, new_flows: false },
+    Traffic { name: "mixed", size: 100, merged: 1, messages: 32, growth: 37, new_flows: false },
+    Traffic { name: "upload", size: 1_200, merged: 10, messages: 16, growth: 0, new_flows: false },
+    Traffic { name: "new", size: MIN_INITIAL, merged: 1, messages: 32, growth: 0, new_flows: true },
 ];
 
 impl Traffic {
-    /// Datagrams in a burst.
+    /// Returns the number of datagrams in a burst.
     pub(crate) fn datagrams(self) -> u64 {
         (self.merged * self.messages) as u64
     }
@@ -57,13 +57,13 @@
     ) -> usize {
         let size = self.size + message % self.messages * self.growth;
         contents.clear();
-        if self.new {
+        if self.new_flows {
             contents.extend_from_slice(&[0xc0, 0, 0, 0, 1, 8]);
             contents.extend_from_slice(&flow.to_be_bytes());
             contents.resize(size, 0);
             return size;
         }
-        let packet = common::established(agent, flow as u32, size);
+        let packet = common::established_packet(agent, flow as u32, size);
         for _ in 0..self.merged {
             contents.extend_from_slice(&packet);
         }
@@ -71,32 +71,32 @@
     }
 }
 
-/// The bare relay: receives and sends with the batching that `quinn-udp` offers.
-pub(crate) struct Bare {
+/// Relay that receives and sends with the batching of `quinn-udp` and nothing else.
+pub(crate) struct BareRelay {
     data: Socket,
     agents: Vec<SocketAddr>,
     received: Vec<Box<[u8]>>,
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub(crate) sent: u64,
 }
 
-impl Bare {
-    pub(crate) fn new(data: Socket, agents: Vec<SocketAddr>) -> Bare {
-        Bare { data, agents, received: buffers(), sent: 0 }
+impl BareRelay {
+    pub(crate) fn new(data: Socket, agents: Vec<SocketAddr>) -> BareRelay {
+        BareRelay { data, agents, received: buffers(), sent: 0 }
     }
 
-    fn turn(&mut self, socket: &Socket) -> bool {
+    fn relay_batch(&mut self, socket: &Socket) -> bool {
         let mut metas = [RecvMeta::default(); BATCH_SIZE];
         let mut slices: Vec<IoSliceMut<'_>> =
             self.received.iter_mut().map(|it| IoSliceMut::new(it)).collect();
         let Ok(count) = socket.recv(&mut slices, &mut metas) else {
             return false;
         };
-        for (at, meta) in metas[..count].iter().enumerate() {
+        for (index, meta) in metas[..count].iter().enumerate() {
             let transmit = Transmit {
-                destination: self.agents[at % self.agents.len()],
+                destination: self.agents[index % self.agents.len()],
                 ecn: meta.ecn,
-                contents: &self.received[at][..meta.len],
+                contents: &self.received[index][..meta.len],
                 segment_size: (meta.len > meta.stride).then_some(meta.stride),
                 src_ip: None,
             };
@@ -109,15 +109,15 @@
 }
 
 pub(crate) enum Path {
-    Bare(Bare),
+    Bare(BareRelay),
     Placed(Relay),
 }
 
 impl Path {
-    pub(crate) fn turn(&mut self, address: SocketAddr, socket: &Socket) -> bool {
+    pub(crate) fn relay_batch(&mut self, address: SocketAddr, socket: &Socket) -> bool {
         match self {
-            Path::Bare(it) => it.turn(socket),
-            Path::Placed(it) => it.turn(address, socket),
+            Path::Bare(it) => it.relay_batch(socket),
+            Path::Placed(it) => it.relay_batch(address, socket),
         }
     }
 }
@@ -127,13 +127,13 @@
 }
 
 pub(crate) fn open() -> Socket {
-    Socket::new(socket::bind(loopback()).expect("bind")).expect("register")
+    Socket::new(socket::bind(loopback()).expect("bind")).expect("register the socket")
 }
 
 pub(crate) fn address(socket: &Socket) -> SocketAddr {
-    socket.local_addr().expect("bound sockets have an address")
+    socket.local_addr().expect("local address")
 }
 
 pub(crate) fn buffers() -> Vec<Box<[u8]>> {
-    (0..BATCH_SIZE).map(|_| vec![0; BUFFER].into_boxed_slice()).collect()
+    (0..BATCH_SIZE).map(|_| vec![0; RECV_BUFFER_BYTES].into_boxed_slice()).collect()
 }
--- a/crates/relay/src/batch.rs
+++ b/crates/relay/src/batch.rs
@@ -1,4 +1,4 @@
-//! One batch of received datagrams on its way out: placed, put in order of agent, encapsulated.
+//! Places, sorts by agent and encapsulates one batch of received datagrams.
 
 use std::net::{SocketAddr, SocketAddrV4};
 
@@ -14,23 +14,23 @@
 
 use crate::outcome::{Outcome, Tally};
 
-/// Most bytes that go out in one system call.
-const MAX_TRANSMIT: usize = 65_000;
+/// Largest number of bytes sent in one system call.
+const MAX_TRANSMIT_BYTES: usize = 65_000;
 
-/// Datagrams on their way out. Kept between batches for its buffers only.
+/// Placed datagrams to send. Reused between batches to keep its buffers.
 #[derive(Debug, Default)]
 pub struct Batch {
-    jobs: Vec<Job>,
-    order: Vec<Key>,
+    groups: Vec<Group>,
+    send_order: Vec<SortKey>,
     out: Vec<u8>,
-    counts: Counts,
+    counts: OutcomeCounts,
 }
 
-type Counts = [u64; Outcome::COUNT];
+type OutcomeCounts = [u64; Outcome::COUNT];
 
-/// Datagrams that follow each other in one buffer and have one header: `len` bytes, a datagram every `stride`.
+/// Consecutive datagrams in one buffer that share a header: `len` bytes, with a datagram every `stride` bytes.
 #[derive(Debug)]
-struct Job {
+struct Group {
     header: Header,
     ecn: Option<EcnCodepoint>,
     buffer: usize,
@@ -39,15 +39,15 @@
     stride: usize,
 }
 
-// Sorts by agent and keeps the order of arrival within it.
+// Sorts by agent, then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Key {
+struct SortKey {
     agent: SocketAddrV4,
-    job: usize,
+    group: usize,
 }
 
 impl Batch {
-    /// Places the datagrams in `buffers`, as `metas` describes them, that arrived at the address of `listener`.
+    /// Places the datagrams in `buffers`, which `metas` describes and `listener` received.
     pub fn place<B>(
         &mut self,
         placer: &Placer,
@@ -57,8 +57,8 @@
     ) where
         B: AsRef<[u8]>,
     {
-        self.jobs.clear();
-        self.order.clear();
+        self.groups.clear();
+        self.send_order.clear();
         for (buffer, meta) in metas.iter().enumerate() {
             let bytes = &buffers[buffer].as_ref()[..meta.len];
             if bytes.is_empty() {
@@ -68,17 +68,17 @@
             let stride = meta.stride.max(1);
             let mut start = 0;
             while start < bytes.len() {
-                let len = run(&bytes[start..], stride);
+                let len = same_flow_len(&bytes[start..], stride);
                 let first = &bytes[start..bytes.len().min(start + stride)];
-                let placement = place(placer, listener, meta.addr, first);
-                self.add(placement, meta, Span { buffer, start, len, stride });
+                let placement = place_datagram(placer, listener, meta.addr, first);
+                self.add_group(placement, meta, Span { buffer, start, len, stride });
                 start += len;
             }
         }
-        self.order.sort_unstable();
+        self.send_order.sort_unstable();
     }
 
-    fn add(&mut self, placement: Result<Placement, Outcome>, meta: &RecvMeta, span: Span) {
+    fn add_group(&mut self, placement: Result<Placement, Outcome>, meta: &RecvMeta, span: Span) {
         let outcome = placement.as_ref().map_or_else(|it| *it, Outcome::from);
         self.counts[outcome.index()] += span.len.div_ceil(span.stride) as u64;
         let Some((agent, service, candidates)) = placement.ok().and_then(destination) else {
@@ -86,12 +86,12 @@
         };
         let header = Header { hop: 0, service, caller: meta.addr, candidates };
         let Span { buffer, start, len, stride } = span;
-        self.order.push(Key { agent, job: self.jobs.len() });
-        self.jobs.push(Job { header, ecn: meta.ecn, buffer, start, len, stride });
+        self.send_order.push(SortKey { agent, group: self.groups.len() });
+        self.groups.push(Group { header, ecn: meta.ecn, buffer, start, len, stride });
     }
 
-    /// Encapsulates what was placed and hands it to `send`, as many datagrams at once as `max_segments` and their sizes
-    /// allow. `send` says what went wrong.
+    /// Encapsulates the placed datagrams and passes them to `send`, as many per call as `max_segments` and their sizes
+    /// allow. On an error, `send` returns the outcome to count for the datagrams of the call.
     pub fn flush<B, F>(&mut self, ring: &KeyRing, buffers: &[B], max_segments: usize, send: F)
     where
         B: AsRef<[u8]>,
@@ -99,21 +99,22 @@
     {
         self.out.clear();
         let counts = &mut self.counts;
-        let mut outgoing = Outgoing { out: &mut self.out, counts, send, max_segments, run: None };
-        for key in &self.order {
-            let job = &self.jobs[key.job];
-            let encoder = Encoder::new(&job.header, ring);
-            let bytes = &buffers[job.buffer].as_ref()[job.start..job.start + job.len];
-            for payload in bytes.chunks(job.stride) {
-                outgoing.make_room(key.agent, job.ecn, encoder.overhead() + payload.len());
-                encoder.append(payload, outgoing.out);
+        let mut sender =
+            SegmentSender { out: &mut self.out, counts, send, max_segments, pending: None };
+        for key in &self.send_order {
+            let group = &self.groups[key.group];
+            let encoder = Encoder::new(&group.header, ring);
+            let bytes = &buffers[group.buffer].as_ref()[group.start..group.start + group.len];
+            for payload in bytes.chunks(group.stride) {
+                sender.reserve(key.agent, group.ecn, encoder.overhead() + payload.len());
+                encoder.append(payload, sender.out);
             }
         }
-        outgoing.send();
+        sender.flush();
     }
 
     /// Adds the counts since the last call to `tally`.
-    pub fn settle(&mut self, tally: &Tally) {
+    pub fn record_counts(&mut self, tally: &Tally) {
         for outcome in Outcome::all() {
             let count = std::mem::take(&mut self.counts[outcome.index()]);
             if count > 0 {
@@ -123,7 +124,7 @@
     }
 }
 
-/// Where the datagrams of a job lie.
+/// Position of a group of datagrams in the received buffers.
 struct Span {
     buffer: usize,
     start: usize,
@@ -131,15 +132,15 @@
     stride: usize,
 }
 
-/// Bytes from the start on that hold datagrams of one flow.
-fn run(bytes: &[u8], stride: usize) -> usize {
+/// Returns the length of the leading datagrams that belong to one flow.
+fn same_flow_len(bytes: &[u8], stride: usize) -> usize {
     let first = &bytes[..bytes.len().min(stride)];
     let rest = &bytes[first.len()..];
-    let alike = rest.chunks(stride).take_while(|it| same_flow(first, it));
-    first.len() + alike.map(<[u8]>::len).sum::<usize>()
+    let same = rest.chunks(stride).take_while(|it| same_flow(first, it));
+    first.len() + same.map(<[u8]>::len).sum::<usize>()
 }
 
-fn place(
+fn place_datagram(
     placer: &Placer,
     listener: &Listener,
     caller: SocketAddr,
@@ -163,57 +164,58 @@
     }
 }
 
-/// Datagrams that go out in one system call: to one agent, of one size, only the last may be smaller.
+/// Datagrams to send in one system call: to one agent and of one size, but the last may be smaller.
 #[derive(Clone, Copy)]
-struct Run {
+struct Segments {
     agent: SocketAddrV4,
     ecn: Option<EcnCodepoint>,
     size: usize,
-    last: usize,
+    last_size: usize,
     count: usize,
 }
 
-struct Outgoing<'a, F> {
+struct SegmentSender<'a, F> {
     out: &'a mut Vec<u8>,
-    counts: &'a mut Counts,
+    counts: &'a mut OutcomeCounts,
     send: F,
     max_segments: usize,
-    run: Option<Run>,
+    pending: Option<Segments>,
 }
 
-impl<F> Outgoing<'_, F>
+impl<F> SegmentSender<'_, F>
 where
     F: FnMut(&Transmit<'_>) -> Result<(), Outcome>,
 {
-    /// Sends what is there unless a datagram of `len` bytes can go out with it.
+    /// Sends the pending datagrams unless another one of `len` bytes can be sent in the same call.
     #[inline]
-    fn make_room(&mut self, agent: SocketAddrV4, ecn: Option<EcnCodepoint>, len: usize) {
-        if let Some(run) = &mut self.run {
-            let room = run.count < self.max_segments && self.out.len() + len <= MAX_TRANSMIT;
-            let fits = run.last == run.size && len <= run.size;
-            if room && fits && run.agent == agent && run.ecn == ecn {
-                run.count += 1;
-                run.last = len;
+    fn reserve(&mut self, agent: SocketAddrV4, ecn: Option<EcnCodepoint>, len: usize) {
+        if let Some(pending) = &mut self.pending {
+            let has_room =
+                pending.count < self.max_segments && self.out.len() + len <= MAX_TRANSMIT_BYTES;
+            let size_fits = pending.last_size == pending.size && len <= pending.size;
+            if has_room && size_fits && pending.agent == agent && pending.ecn == ecn {
+                pending.count += 1;
+                pending.last_size = len;
                 return;
             }
-            self.send();
+            self.flush();
         }
-        self.run = Some(Run { agent, ecn, size: len, last: len, count: 1 });
+        self.pending = Some(Segments { agent, ecn, size: len, last_size: len, count: 1 });
     }
 
-    fn send(&mut self) {
-        let Some(run) = self.run.take() else {
+    fn flush(&mut self) {
+        let Some(pending) = self.pending.take() else {
             return;
         };
         let transmit = Transmit {
-            destination: SocketAddr::V4(run.agent),
-            ecn: run.ecn,
+            destination: SocketAddr::V4(pending.agent),
+            ecn: pending.ecn,
             contents: self.out,
-            segment_size: (run.count > 1).then_some(run.size),
+            segment_size: (pending.count > 1).then_some(pending.size),
             src_ip: None,
         };
         if let Err(outcome) = (self.send)(&transmit) {
-            self.counts[outcome.index()] += run.count as u64;
+            self.counts[outcome.index()] += pending.count as u64;
         }
         self.out.clear();
     }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,7 +1,8 @@
 //! Packet path of a balancer.
 //!
-//! Datagrams are received in batches on a service's address, placed by `camphorwinch_core::place`, encapsulated and
-//! sent to agents in batches. Workers share nothing but the placer, which is replaced as a whole, and counters.
+//! Workers receive datagrams in batches on the service addresses, place them with `camphorwinch_core::place`,
+//! encapsulate them and send them to agents in batches. Workers share only the placer, which is replaced atomically,
+//! and the counters.
 
 #![warn(clippy::unwrap_used)]
 
--- a/crates/relay/src/outcome.rs
+++ b/crates/relay/src/outcome.rs
@@ -1,35 +1,35 @@
-//! What became of datagrams, counted.
+//! Counters of relayed and dropped datagrams.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use camphorwinch_core::place::{Placement, Refusal};
 
-/// What became of a datagram.
+/// Result of relaying a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// Sent to the agent that holds its flow.
+    /// Sent to the agent that owns its flow.
     Owner,
-    /// Sent to the agent sealed in its connection ID, which is not known here as a member.
+    /// Sent to the agent sealed in its connection ID, which is not among the known members.
     OwnerUnknown,
-    /// Sent to the candidates for a new flow.
+    /// Sent to the first candidate for a new flow.
     New,
-    /// Sent to a live agent, for a stateless reset.
+    /// Sent to a live agent that answers with a stateless reset.
     Reset,
-    /// Dropped: does not fit into a packet with the encapsulation.
+    /// Dropped: too large to be encapsulated.
     Oversized,
-    /// The system refused to send it.
+    /// Dropped: the send call failed.
     SendFailed,
-    /// The send buffer was full.
+    /// Dropped: the send buffer was full.
     SendBlocked,
-    /// Dropped: no place for it.
+    /// Dropped: rejected by the placer.
     Refused(Refusal),
 }
 
 impl Outcome {
     /// Number of outcomes.
-    pub const COUNT: usize = Outcome::OWN.len() + Refusal::ALL.len();
+    pub const COUNT: usize = Outcome::BASE.len() + Refusal::ALL.len();
 
-    const OWN: [Outcome; 7] = [
+    const BASE: [Outcome; 7] = [
         Outcome::Owner,
         Outcome::OwnerUnknown,
         Outcome::New,
@@ -39,13 +39,13 @@
         Outcome::SendBlocked,
     ];
 
-    /// All outcomes, in the order of their numbers.
+    /// Returns all outcomes, ordered by index.
     pub fn all() -> impl Iterator<Item = Outcome> {
         let refused = Refusal::ALL.into_iter().map(Outcome::Refused);
-        Outcome::OWN.into_iter().chain(refused)
+        Outcome::BASE.into_iter().chain(refused)
     }
 
-    /// Number of the outcome, less than [`Outcome::COUNT`].
+    /// Returns the index of the outcome, less than [`Outcome::COUNT`].
     #[inline]
     pub fn index(self) -> usize {
         match self {
@@ -56,11 +56,11 @@
             Outcome::Oversized => 4,
             Outcome::SendFailed => 5,
             Outcome::SendBlocked => 6,
-            Outcome::Refused(it) => Outcome::OWN.len() + it as usize,
+            Outcome::Refused(it) => Outcome::BASE.len() + it as usize,
         }
     }
 
-    /// Name used in metrics.
+    /// Returns the name used in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Owner => "owner",
@@ -87,7 +87,7 @@
     }
 }
 
-/// Datagrams by outcome. Shared between workers; each adds once per batch.
+/// Datagram counters by outcome. Shared between workers; each adds once per batch.
 #[derive(Debug, Default)]
 pub struct Tally {
     counts: [AtomicU64; Outcome::COUNT],
@@ -99,12 +99,12 @@
         self.counts[outcome.index()].fetch_add(count, Ordering::Relaxed);
     }
 
-    /// Datagrams so far.
+    /// Returns the number of datagrams with this outcome.
     pub fn get(&self, outcome: Outcome) -> u64 {
         self.counts[outcome.index()].load(Ordering::Relaxed)
     }
 
-    /// Datagrams sent to agents so far.
+    /// Returns the number of datagrams sent to agents.
     pub fn relayed(&self) -> u64 {
         let sent = [Outcome::Owner, Outcome::OwnerUnknown, Outcome::New, Outcome::Reset];
         sent.into_iter().map(|it| self.get(it)).sum()
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,4 +1,4 @@
-//! Relaying of one batch: receive, place, send.
+//! Relays batches: receives, places and sends them.
 
 use std::{cell::RefCell, io::IoSliceMut, net::SocketAddr, sync::Arc};
 
@@ -8,19 +8,19 @@
 
 use crate::{batch::Batch, outcome::Tally, socket::Socket};
 
-/// Largest datagram that a socket may hand over, several of a flow merged.
-const BUFFER: usize = 65_535;
+/// Size of a receive buffer; one receive may return several merged datagrams of a flow.
+const RECV_BUFFER_BYTES: usize = 65_535;
 
-/// What all workers read and count into.
+/// State shared by all workers.
 #[derive(Debug)]
 pub struct Shared {
-    /// The placer in force.
+    /// Current placer.
     pub placer: ArcSwap<Placer>,
-    /// Datagrams by outcome.
+    /// Datagram counters by outcome.
     pub tally: Tally,
 }
 
-/// What a worker needs to relay: its data socket and its buffers, which its intakes use in turn.
+/// Data socket and buffers of a worker, shared by its service sockets.
 pub struct Relay {
     data: Socket,
     shared: Arc<Shared>,
@@ -33,15 +33,16 @@
 }
 
 impl Relay {
-    /// Relays to agents from `data`.
+    /// Creates a relay that sends to agents from `data`.
     pub fn new(data: Socket, shared: Arc<Shared>) -> Relay {
-        let received = (0..BATCH_SIZE).map(|_| vec![0; BUFFER].into_boxed_slice()).collect();
+        let received =
+            (0..BATCH_SIZE).map(|_| vec![0; RECV_BUFFER_BYTES].into_boxed_slice()).collect();
         let buffers = RefCell::new(Buffers { received, batch: Batch::default() });
         Relay { data, shared, buffers }
     }
 
-    /// Relays one batch that arrived at `socket` for the service at `address`; whether there may be more.
-    pub fn turn(&self, address: SocketAddr, socket: &Socket) -> bool {
+    /// Relays one batch received on `socket` for the service at `address`. Returns whether more may be queued.
+    pub fn relay_batch(&self, address: SocketAddr, socket: &Socket) -> bool {
         let mut buffers = self.buffers.borrow_mut();
         let Buffers { received, batch } = &mut *buffers;
         let mut metas = [RecvMeta::default(); BATCH_SIZE];
@@ -51,13 +52,13 @@
             return false;
         };
         let placer = self.shared.placer.load();
-        let nobody = Listener::default();
-        let listener = placer.listeners().get(&address).unwrap_or(&nobody);
+        let no_service = Listener::default();
+        let listener = placer.listeners().get(&address).unwrap_or(&no_service);
         batch.place(&placer, listener, received, &metas[..count]);
         if let Some(ring) = placer.ring() {
             batch.flush(ring, received, self.data.max_segments(), |it| self.data.send(it));
         }
-        batch.settle(&self.shared.tally);
+        batch.record_counts(&self.shared.tally);
         count == BATCH_SIZE
     }
 }
--- a/crates/relay/src/worker.rs
+++ b/crates/relay/src/worker.rs
@@ -1,4 +1,4 @@
-//! Workers: threads that each relay a share of the datagrams of every service.
+//! Worker threads, each of which relays a share of every service's datagrams.
 
 use std::{
     io,
@@ -19,21 +19,21 @@
     socket::Socket,
 };
 
-/// Batches taken from one socket before others get their turn.
-const TURN: usize = 8;
+/// Batches received from one socket before the worker yields to its other sockets.
+const BATCHES_PER_TURN: usize = 8;
 
-/// A socket for a worker to serve. Dropping `close` on the other side ends it.
+/// Service socket for a worker to receive from.
 #[derive(Debug)]
 pub struct Intake {
-    /// Address of the service, by which the listener is found.
+    /// Address of the service, the key of its listener in the placer.
     pub address: SocketAddr,
-    /// Socket on which its datagrams arrive.
+    /// Socket bound to that address.
     pub socket: std::net::UdpSocket,
-    /// Ends the intake when its sender is dropped.
+    /// Closes the socket when the sending half is dropped.
     pub closed: oneshot::Receiver<()>,
 }
 
-/// A worker. It ends when dropped.
+/// Handle of a worker thread, which stops when the handle is dropped.
 #[derive(Debug)]
 pub struct Worker {
     intakes: mpsc::UnboundedSender<Intake>,
@@ -49,34 +49,34 @@
             let _guard = runtime.enter();
             Socket::new(data)?
         };
-        let serve = move || {
+        let run = move || {
             let relay = Rc::new(Relay::new(data, shared));
-            runtime.block_on(LocalSet::new().run_until(accept(queue, relay)));
+            runtime.block_on(LocalSet::new().run_until(accept_sockets(queue, relay)));
         };
-        let thread = thread::Builder::new().name(name.to_owned()).spawn(serve)?;
+        let thread = thread::Builder::new().name(name.to_owned()).spawn(run)?;
         Ok(Worker { intakes, thread })
     }
 
-    /// Hands a socket to the worker; false if the worker has ended.
+    /// Adds a socket to the worker; returns false if the worker has stopped.
     pub fn open(&self, intake: Intake) -> bool {
         self.intakes.send(intake).is_ok()
     }
 
-    /// Ends the worker and waits for it.
+    /// Stops the worker and waits for its thread.
     pub fn join(self) {
         drop(self.intakes);
-        // A worker that panicked has reported it on its own.
+        // The panic hook has already reported a panic of the worker.
         let _ = self.thread.join();
     }
 }
 
-async fn accept(mut queue: mpsc::UnboundedReceiver<Intake>, relay: Rc<Relay>) {
+async fn accept_sockets(mut queue: mpsc::UnboundedReceiver<Intake>, relay: Rc<Relay>) {
     while let Some(intake) = queue.recv().await {
-        spawn_local(serve(intake, Rc::clone(&relay)));
+        spawn_local(relay_socket(intake, Rc::clone(&relay)));
     }
 }
 
-async fn serve(intake: Intake, relay: Rc<Relay>) {
+async fn relay_socket(intake: Intake, relay: Rc<Relay>) {
     let Intake { address, socket, mut closed } = intake;
     let Ok(socket) = Socket::new(socket) else {
         return;
@@ -90,7 +90,7 @@
                 }
             }
         }
-        let more = (0..TURN).all(|_| relay.turn(address, &socket));
+        let more = (0..BATCHES_PER_TURN).all(|_| relay.relay_batch(address, &socket));
         if more {
             yield_now().await;
         }
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A small fleet for the tests of the packet path.
+//! Snapshots, keys and packets for the tests of the packet path.
 
-#![allow(dead_code, reason = "each test uses its part")]
+#![allow(dead_code, reason = "not every test uses all helpers")]
 
 #[path = "../../../core/tests/support/mod.rs"]
 mod support;
@@ -26,10 +26,10 @@
 static RING: LazyLock<KeyRing> = LazyLock::new(ring);
 
 pub(crate) fn ring() -> KeyRing {
-    KeyRing::new(&keys()).expect("a key seals")
+    KeyRing::new(&keys()).expect("the ring has a sealing key")
 }
 
-/// A snapshot with one service at `address` and an agent at each of `agents`.
+/// Returns a snapshot with one service at `address` and an agent at each of `agents`.
 pub(crate) fn snapshot(address: SocketAddr, agents: &[SocketAddr]) -> Snapshot {
     let spec = Service::new(address, SERVICE, "cert");
     let entry = ServiceEntry::new(SERVICE, 1, spec);
@@ -43,8 +43,8 @@
     snapshot
 }
 
-/// A packet of an established flow at `agent`, `len` bytes long.
-pub(crate) fn established(agent: SocketAddrV4, flow: u32, len: usize) -> Vec<u8> {
+/// Returns a packet of `len` bytes of an established flow at `agent`.
+pub(crate) fn established_packet(agent: SocketAddrV4, flow: u32, len: usize) -> Vec<u8> {
     let [_, nonce @ ..] = flow.to_be_bytes();
     let home = Home { agent, service: ServiceId::new(SERVICE) };
     let cid = RING.seal(home, nonce);
--- a/crates/relay/tests/outcome.rs
+++ b/crates/relay/tests/outcome.rs
@@ -1,13 +1,13 @@
-//! Numbers and names of outcomes, on which counters rest.
+//! Indices and metric names of outcomes.
 
 use std::collections::BTreeSet;
 
 use camphorwinch_relay::outcome::Outcome;
 
 #[test]
-fn each_outcome_has_its_own_number_and_name() {
-    let numbers: Vec<usize> = Outcome::all().map(Outcome::index).collect();
+fn outcomes_have_distinct_indices_and_names() {
+    let indices: Vec<usize> = Outcome::all().map(Outcome::index).collect();
     let names: BTreeSet<&str> = Outcome::all().map(Outcome::as_str).collect();
-    assert_eq!(numbers, (0..Outcome::COUNT).collect::<Vec<_>>());
+    assert_eq!(indices, (0..Outcome::COUNT).collect::<Vec<_>>());
     assert_eq!(names.len(), Outcome::COUNT);
 }
--- a/crates/relay/tests/quic.rs
+++ b/crates/relay/tests/quic.rs
@@ -1,4 +1,4 @@
-//! Real QUIC handshakes through the placing: races between balancers that disagree, and resets for a dead agent.
+//! QUIC flows through the placer: balancers with different snapshots, and resets of flows of a dead agent.
 
 mod common;
 
@@ -27,7 +27,7 @@
 use rustls::pki_types::{PrivateKeyDer, PrivatePkcs8KeyDer};
 use tokio::{net::UdpSocket, sync::watch, task::JoinHandle, time::timeout};
 
-const NAME: &str = "ledger.test";
+const SERVER_NAME: &str = "ledger.test";
 const FLOWS: usize = 50;
 const TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -35,16 +35,16 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-struct SealedIds {
+struct SealedIdGenerator {
     ring: KeyRing,
     home: Home,
-    next: u32,
+    counter: u32,
 }
 
-impl ConnectionIdGenerator for SealedIds {
+impl ConnectionIdGenerator for SealedIdGenerator {
     fn generate_cid(&mut self) -> ConnectionId {
-        self.next += 1;
-        let [_, nonce @ ..] = self.next.to_be_bytes();
+        self.counter += 1;
+        let [_, nonce @ ..] = self.counter.to_be_bytes();
         ConnectionId::new(&self.ring.seal(self.home, nonce))
     }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// An agent's QUIC stack, which counts the connections that get established and echoes streams.
+/// QUIC server of an agent that counts its handshakes and echoes streams.
 struct Agent {
     endpoint: Endpoint,
     data: SocketAddr,
@@ -73,16 +73,19 @@
 impl Agent {
     fn new(server: ServerConfig) -> Agent {
         let socket = std::net::UdpSocket::bind(loopback()).expect("bind");
-        let data = socket.local_addr().expect("an address");
-        let SocketAddr::V4(agent) = data else { panic!("IPv4") };
+        let data = socket.local_addr().expect("local address");
+        let SocketAddr::V4(agent) = data else { panic!("not an IPv4 address") };
         let home = Home { agent, service: ServiceId::new(common::SERVICE) };
         let reset = hmac::Key::new(hmac::HMAC_SHA256, common::ring().reset_key());
         let mut config = EndpointConfig::new(Arc::new(reset));
-        config.cid_generator(move || Box::new(SealedIds { ring: common::ring(), home, next: 0 }));
+        config.cid_generator(move || {
+            Box::new(SealedIdGenerator { ring: common::ring(), home, counter: 0 })
+        });
         let runtime = Arc::new(TokioRuntime);
-        let endpoint = Endpoint::new(config, Some(server), socket, runtime).expect("an endpoint");
+        let endpoint = Endpoint::new(config, Some(server), socket, runtime)
+            .expect("create the server endpoint");
         let counts = Arc::new(Counts::default());
-        tokio::spawn(serve(endpoint.clone(), Arc::clone(&counts)));
+        tokio::spawn(run_echo_server(endpoint.clone(), Arc::clone(&counts)));
         Agent { endpoint, data, counts }
     }
 
@@ -95,7 +98,7 @@
     }
 }
 
-async fn serve(endpoint: Endpoint, counts: Arc<Counts>) {
+async fn run_echo_server(endpoint: Endpoint, counts: Arc<Counts>) {
     while let Some(incoming) = endpoint.accept().await {
         counts.started.fetch_add(1, Ordering::Relaxed);
         let counts = Arc::clone(&counts);
@@ -105,26 +108,27 @@
             };
             counts.established.fetch_add(1, Ordering::Relaxed);
             while let Ok((mut send, mut recv)) = connection.accept_bi().await {
-                let request = recv.read_to_end(1_000).await.expect("a whole request");
-                send.write_all(&request).await.expect("the caller reads");
+                let request = recv.read_to_end(1_000).await.expect("read the request");
+                send.write_all(&request).await.expect("send the response");
                 send.finish().expect("the stream is open");
             }
         });
     }
 }
 
-/// Balancers that place by different snapshots, and a fabric that gives each datagram to all of them. Datagrams go out
-/// without encapsulation, from one socket per caller, so that agents' answers come back through it.
-async fn spray(service: UdpSocket, placers: watch::Receiver<Arc<Vec<Placer>>>) {
+/// Passes each datagram to all balancers, which place by different snapshots. Datagrams are forwarded without
+/// encapsulation from one socket per caller, which also receives the agents' responses.
+async fn forward_to_all(service: UdpSocket, placers: watch::Receiver<Arc<Vec<Placer>>>) {
     let service = Arc::new(service);
-    let address = service.local_addr().expect("an address");
+    let address = service.local_addr().expect("local address");
     let mut callers: HashMap<SocketAddr, Arc<UdpSocket>> = HashMap::new();
     let mut buffer = vec![0; 2_000];
     loop {
-        let (len, caller) = service.recv_from(&mut buffer).await.expect("the service's socket");
+        let (len, caller) =
+            service.recv_from(&mut buffer).await.expect("receive on the service socket");
         if let Entry::Vacant(entry) = callers.entry(caller) {
             let socket = Arc::new(UdpSocket::bind(loopback()).await.expect("bind"));
-            tokio::spawn(back(Arc::clone(&socket), Arc::clone(&service), caller));
+            tokio::spawn(forward_responses(Arc::clone(&socket), Arc::clone(&service), caller));
             entry.insert(socket);
         }
         let agents: Vec<SocketAddrV4> = {
@@ -138,7 +142,7 @@
     }
 }
 
-async fn back(socket: Arc<UdpSocket>, service: Arc<UdpSocket>, caller: SocketAddr) {
+async fn forward_responses(socket: Arc<UdpSocket>, service: Arc<UdpSocket>, caller: SocketAddr) {
     let mut buffer = vec![0; 2_000];
     while let Ok((len, _)) = socket.recv_from(&mut buffer).await {
         service.send_to(&buffer[..len], caller).await.expect("send");
@@ -153,39 +157,44 @@
     }
 }
 
-struct Rig {
+struct TestBed {
     agents: [Agent; 2],
     client: Endpoint,
     address: SocketAddr,
     placers: watch::Sender<Arc<Vec<Placer>>>,
-    spray: JoinHandle<()>,
+    forwarder: JoinHandle<()>,
 }
 
-impl Rig {
-    /// Two agents, and two balancers that each know one of them.
-    async fn new() -> Rig {
-        let cert = rcgen::generate_simple_self_signed([NAME.to_owned()]).expect("a certificate");
+impl TestBed {
+    /// Starts two agents, and two balancers whose snapshots have one agent each.
+    async fn new() -> TestBed {
+        let cert = rcgen::generate_simple_self_signed([SERVER_NAME.to_owned()])
+            .expect("generate a certificate");
         let key = PrivateKeyDer::Pkcs8(PrivatePkcs8KeyDer::from(cert.signing_key.serialize_der()));
         let chain = vec![cert.cert.der().clone()];
-        let server = ServerConfig::with_single_cert(chain, key).expect("a server config");
+        let server = ServerConfig::with_single_cert(chain, key).expect("valid server config");
         let mut roots = rustls::RootCertStore::empty();
-        roots.add(cert.cert.der().clone()).expect("a root");
-        let trust = ClientConfig::with_root_certificates(Arc::new(roots)).expect("a client config");
-        let mut client = Endpoint::client(loopback()).expect("a client");
+        roots.add(cert.cert.der().clone()).expect("add the root certificate");
+        let trust =
+            ClientConfig::with_root_certificates(Arc::new(roots)).expect("valid client config");
+        let mut client = Endpoint::client(loopback()).expect("create the client endpoint");
         client.set_default_client_config(trust);
 
         let agents = [Agent::new(server.clone()), Agent::new(server)];
         let service = UdpSocket::bind(loopback()).await.expect("bind");
-        let address = service.local_addr().expect("an address");
+        let address = service.local_addr().expect("local address");
         let each = agents.iter().map(|it| placer(&common::snapshot(address, &[it.data])));
         let (placers, receiver) = watch::channel(Arc::new(each.collect()));
-        let spray = tokio::spawn(spray(service, receiver));
-        Rig { agents, client, address, placers, spray }
+        let forwarder = tokio::spawn(forward_to_all(service, receiver));
+        TestBed { agents, client, address, placers, forwarder }
     }
 
     async fn connect(&self) -> Connection {
-        let connecting = self.client.connect(self.address, NAME).expect("a valid name");
-        timeout(TIMEOUT, connecting).await.expect("in time").expect("a connection")
+        let connecting = self.client.connect(self.address, SERVER_NAME).expect("valid server name");
+        timeout(TIMEOUT, connecting)
+            .await
+            .expect("the handshake completes in time")
+            .expect("connect")
     }
 
     fn established(&self) -> usize {
@@ -193,9 +202,9 @@
     }
 }
 
-impl Drop for Rig {
+impl Drop for TestBed {
     fn drop(&mut self) {
-        self.spray.abort();
+        self.forwarder.abort();
     }
 }
 
@@ -204,45 +213,47 @@
 }
 
 async fn echo(connection: &Connection) {
-    let (mut send, mut recv) = connection.open_bi().await.expect("a stream");
-    send.write_all(b"balance").await.expect("the agent reads");
+    let (mut send, mut recv) = connection.open_bi().await.expect("open a stream");
+    send.write_all(b"balance").await.expect("send the request");
     send.finish().expect("the stream is open");
-    assert_eq!(recv.read_to_end(100).await.expect("an answer"), b"balance");
+    assert_eq!(recv.read_to_end(100).await.expect("read the response"), b"balance");
 }
 
 #[tokio::test]
-async fn a_handshake_given_to_two_agents_is_established_at_one() {
-    let rig = Rig::new().await;
+async fn a_handshake_sent_to_two_agents_is_established_at_one() {
+    let test_bed = TestBed::new().await;
     for round in 1..=FLOWS {
-        let connection = rig.connect().await;
+        let connection = test_bed.connect().await;
         echo(&connection).await;
-        assert_eq!(rig.established(), round);
+        assert_eq!(test_bed.established(), round);
         connection.close(0_u32.into(), b"");
     }
-    let both = async {
-        while rig.agents.iter().any(|it| it.started() < FLOWS) {
+    let all_started = async {
+        while test_bed.agents.iter().any(|it| it.started() < FLOWS) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(TIMEOUT, both).await.expect("each agent was given each handshake");
-    assert_eq!(rig.established(), FLOWS);
+    timeout(TIMEOUT, all_started).await.expect("each agent receives each handshake");
+    assert_eq!(test_bed.established(), FLOWS);
 }
 
 #[tokio::test]
-async fn flows_of_a_dead_agent_are_reset_at_the_next_packet() {
-    let rig = Rig::new().await;
-    let connection = rig.connect().await;
+async fn flows_of_a_dead_agent_are_reset_by_the_next_packet() {
+    let test_bed = TestBed::new().await;
+    let connection = test_bed.connect().await;
     echo(&connection).await;
-    let owner = usize::from(rig.agents[1].established() == 1);
-    // Dead without a word: the socket goes on, but datagrams no longer reach it.
-    let mut snapshot = common::snapshot(rig.address, &[rig.agents[0].data, rig.agents[1].data]);
-    let dead = snapshot.agents.get_mut(&format!("ledger-{owner}")).expect("the agent");
+    let owner = usize::from(test_bed.agents[1].established() == 1);
+    // Simulates a crash without a close: the agent's state is Down and datagrams no longer reach it.
+    let mut snapshot =
+        common::snapshot(test_bed.address, &[test_bed.agents[0].data, test_bed.agents[1].data]);
+    let dead =
+        snapshot.agents.get_mut(&format!("ledger-{owner}")).expect("the agent is in the snapshot");
     dead.state = AgentState::Down;
-    rig.placers.send_replace(Arc::new(vec![placer(&snapshot)]));
+    test_bed.placers.send_replace(Arc::new(vec![placer(&snapshot)]));
 
-    let (mut send, _recv) = connection.open_bi().await.expect("a stream");
-    send.write_all(b"anyone there?").await.expect("queued");
-    let why = timeout(TIMEOUT, connection.closed()).await.expect("the caller learns in time");
-    assert_eq!(why, ConnectionError::Reset);
-    rig.agents[owner].endpoint.close(0_u32.into(), b"");
+    let (mut send, _recv) = connection.open_bi().await.expect("open a stream");
+    send.write_all(b"anyone there?").await.expect("queue the request");
+    let error = timeout(TIMEOUT, connection.closed()).await.expect("the connection closes in time");
+    assert_eq!(error, ConnectionError::Reset);
+    test_bed.agents[owner].endpoint.close(0_u32.into(), b"");
 }
--- a/crates/relay/tests/worker.rs
+++ b/crates/relay/tests/worker.rs
@@ -1,4 +1,4 @@
-//! A worker on real sockets.
+//! A worker on loopback sockets.
 
 mod common;
 
@@ -32,36 +32,36 @@
 }
 
 #[test]
-fn relays_to_the_owner_until_its_intake_is_closed() {
+fn a_worker_relays_to_the_owner_until_its_socket_is_closed() {
     let agent = receiver();
-    let data = agent.local_addr().expect("an address");
-    let SocketAddr::V4(home) = data else { panic!("IPv4") };
+    let data = agent.local_addr().expect("local address");
+    let SocketAddr::V4(home) = data else { panic!("not an IPv4 address") };
     let service = socket::bind(loopback()).expect("bind");
-    let address = service.local_addr().expect("an address");
+    let address = service.local_addr().expect("local address");
     let placer = Placer::new(&common::snapshot(address, &[data]), None, 0);
     let shared =
         Arc::new(Shared { placer: ArcSwap::from_pointee(placer), tally: Tally::default() });
-    let own = socket::bind(loopback()).expect("bind");
-    let worker = Worker::new("test", own, Arc::clone(&shared)).expect("start");
-    let (closer, closed) = oneshot::channel();
+    let data_socket = socket::bind(loopback()).expect("bind");
+    let worker = Worker::new("test", data_socket, Arc::clone(&shared)).expect("start the worker");
+    let (close, closed) = oneshot::channel();
     assert!(worker.open(Intake { address, socket: service, closed }));
 
     let caller = receiver();
-    let datagram = common::established(home, 1, 900);
+    let datagram = common::established_packet(home, 1, 900);
     caller.send_to(&[0; 30], address).expect("send");
     caller.send_to(&datagram, address).expect("send");
     let mut buffer = [0; 2_000];
-    let (len, _) = agent.recv_from(&mut buffer).expect("the datagram arrives");
-    let (header, payload) = encap::decode(&common::ring(), &buffer[..len]).expect("valid");
-    assert_eq!(header.caller, caller.local_addr().expect("an address"));
+    let (len, _) = agent.recv_from(&mut buffer).expect("receive the datagram");
+    let (header, payload) = encap::decode(&common::ring(), &buffer[..len]).expect("valid datagram");
+    assert_eq!(header.caller, caller.local_addr().expect("local address"));
     assert_eq!(payload, datagram);
-    drop(closer);
+    drop(close);
     worker.join();
-    // A batch is counted after it was sent, so only now for certain.
+    // Counters are updated after the batch is sent; `join` waits for that.
     assert_eq!(
         shared.tally.get(Outcome::Refused(Refusal::Epoch)),
         1,
-        "the first datagram's ID has an unknown epoch"
+        "the connection ID of the first datagram has an unknown key epoch"
     );
     assert!(socket::bind(address).is_ok());
 }
