--- a/crates/wire/src/handover.rs
+++ b/crates/wire/src/handover.rs
@@ -1,8 +1,8 @@
 //! Messages between agents: forwarded requests, and claims on idempotency keys.
 //!
 //! One connection carries one exchange at a time. A request is forwarded in two phases: the receiver of an offer
-//! reserves a slot, and starts the request only after `Go`. If the connection breaks before `Go` is sent, the request
-//! was not started.
+//! reserves a slot, and starts the request only on the start message. If the connection breaks before that is sent, the
+//! request was not started.
 
 use std::sync::Arc;
 
@@ -53,12 +53,12 @@
     /// Header fields.
     #[prost(message, repeated, tag = "7")]
     pub fields: Vec<Field>,
-    /// Whether a request body follows `Go`.
+    /// Whether a request body follows the start message.
     #[prost(bool, tag = "8")]
     pub body: bool,
 }
 
-/// The agent has reserved a slot for the request and waits for `Go`.
+/// The agent has reserved a slot for the request and waits for the start message.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct Taken {
     /// Fraction of its slots in use.
@@ -134,7 +134,7 @@
     pub state: i32,
     /// Response, in state `Done` only.
     #[prost(message, optional, tag = "7")]
-    pub answer: Option<StoredAnswer>,
+    pub answer: Option<StoredResponse>,
     /// Retention time of the key, in milliseconds.
     #[prost(uint64, tag = "8")]
     pub window_ms: u64,
@@ -156,7 +156,7 @@
 
 /// Complete response, stored to be repeated.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct StoredAnswer {
+pub struct StoredResponse {
     /// HTTP status code.
     #[prost(uint32, tag = "1")]
     pub status: u32,
@@ -328,7 +328,7 @@
         let (state, answer) = match &claim.state {
             State::Running => (ClaimState::Running, None),
             State::Unknown => (ClaimState::Unknown, None),
-            State::Done(it) => (ClaimState::Done, Some(StoredAnswer::new(it))),
+            State::Done(it) => (ClaimState::Done, Some(StoredResponse::new(it))),
         };
         ClaimRecord {
             service: key.service.0,
@@ -376,11 +376,11 @@
     }
 }
 
-impl StoredAnswer {
-    fn new(it: &Answer) -> StoredAnswer {
+impl StoredResponse {
+    fn new(it: &Answer) -> StoredResponse {
         let field =
             |(name, value): &(String, Vec<u8>)| Field { name: name.clone(), value: value.clone() };
-        StoredAnswer {
+        StoredResponse {
             status: u32::from(it.status),
             fields: it.headers.iter().map(field).collect(),
             body: it.body.clone(),
--- a/crates/wire/src/opaque.rs
+++ b/crates/wire/src/opaque.rs
@@ -11,7 +11,7 @@
 //! 3 control | Control
 //! 4 query | for each flow: caller 6, service 6
 //! 5 verdicts | for each flow: verdict 1, caller 6, service 6
-//! 6 spread | pool 8 | balancer 6 | count 1 | agent 6 each | packet
+//! 6 fan-out | pool 8 | balancer 6 | count 1 | agent 6 each | packet
 //! ```
 
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -374,7 +374,7 @@
     pub era: u64,
 }
 
-/// Zones out of service. The list is short, so each greeting carries all of it.
+/// Zones out of service. The list is short, so each announcement carries all of it.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ZonesEntry {
     /// Number of the store revision that the list is taken from.
--- a/crates/wire/src/opaque_convert.rs
+++ b/crates/wire/src/opaque_convert.rs
@@ -37,7 +37,7 @@
 }
 
 impl Greeting {
-    /// Creates a greeting with the sender's active configuration, if any.
+    /// Creates an announcement with the sender's active configuration, if any.
     pub fn new(config: Option<Stamp>) -> Greeting {
         let (version, era, revision) = config.map_or_else(Default::default, stamp_fields);
         Greeting { revision, version, era, ..Greeting::default() }
--- a/crates/wire/tests/opaque.rs
+++ b/crates/wire/tests/opaque.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_spread_round_trips_and_fits_an_ethernet_frame() {
+fn a_fan_out_round_trips_and_fits_an_ethernet_frame() {
     let relay = relay(Ask::Locate);
     let agents: Vec<_> = (1..=28).map(address).collect();
     let packet = [7; 1_232];
