--- a/crates/core/src/opaque.rs
+++ b/crates/core/src/opaque.rs
@@ -1,11 +1,11 @@
-//! Opaque flows: flows whose bytes only their two ends read and write.
+//! Opaque flows: flows whose payload only their two ends read and write.
 //!
-//! Such a flow has no connection ID of ours. It is known by its [`FlowKey`]; which agent holds it is learnt from the
-//! opening packet, from agents' answers, and in the end from the upstream itself, which bounces packets of flows that
-//! it does not hold. `docs/design/platform.md` tells how the parts work together.
+//! Such a flow has no connection ID assigned by the load balancer; its [`FlowKey`] identifies it. The agent that
+//! holds it is known from the opening packet or from agents' answers. As a last resort a packet is sent to the
+//! upstream, which bounces packets of flows that it does not hold. See `docs/design/platform.md`.
 //!
-//! [`Balancer`](balancer::Balancer) decides for a process on an entry VM, [`Agent`](agent::Agent) for the one beside an
-//! upstream. Both take events with the time and append [`Effect`](effect::Effect)s.
+//! [`Balancer`](balancer::Balancer) runs on an entry VM, [`Agent`](agent::Agent) beside an upstream. Both are state
+//! machines without I/O: they take events with the current time and append [`Effect`](effect::Effect)s.
 
 mod admission;
 pub mod agent;
--- a/crates/core/src/opaque/agents.rs
+++ b/crates/core/src/opaque/agents.rs
@@ -1,17 +1,17 @@
-//! The agents of a fleet, by pool: a new flow concerns the agents of one pool only.
+//! The agents of a fleet, indexed by pool, as placement needs the agents of one pool only.
 
 use std::{collections::BTreeMap, net::SocketAddrV4};
 
 use rustc_hash::FxHashMap;
 
-use super::{PoolId, fleet::Entry};
+use super::{PoolId, fleet::AgentEntry};
 
-type Pool = BTreeMap<SocketAddrV4, Entry>;
+type PoolAgents = BTreeMap<SocketAddrV4, AgentEntry>;
 
-/// The agents. Each is in one pool.
+/// The agents, each in one pool.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Agents {
-    pools: BTreeMap<PoolId, Pool>,
+    pools: BTreeMap<PoolId, PoolAgents>,
     pool_of: FxHashMap<SocketAddrV4, PoolId>,
 }
 
@@ -20,36 +20,35 @@
         self.pool_of.len()
     }
 
-    pub(super) fn get(&self, agent: SocketAddrV4) -> Option<&Entry> {
+    pub(super) fn get(&self, agent: SocketAddrV4) -> Option<&AgentEntry> {
         let pool = self.pool_of.get(&agent)?;
         self.pools.get(pool)?.get(&agent)
     }
 
-    pub(super) fn get_mut(&mut self, agent: SocketAddrV4) -> Option<&mut Entry> {
+    pub(super) fn get_mut(&mut self, agent: SocketAddrV4) -> Option<&mut AgentEntry> {
         let pool = self.pool_of.get(&agent)?;
         self.pools.get_mut(pool)?.get_mut(&agent)
     }
 
-    /// The pool of an agent.
     pub(super) fn pool_of(&self, agent: SocketAddrV4) -> Option<PoolId> {
         self.pool_of.get(&agent).copied()
     }
 
-    /// An agent, in `pool` with what `new` gives if it is not known.
+    /// Returns an agent; an unknown one is added to `pool`.
     pub(super) fn get_or_insert<F>(
         &mut self,
         agent: SocketAddrV4,
         pool: PoolId,
         new: F,
-    ) -> &mut Entry
+    ) -> &mut AgentEntry
     where
-        F: FnOnce() -> Entry,
+        F: FnOnce() -> AgentEntry,
     {
         let pool = *self.pool_of.entry(agent).or_insert(pool);
         self.pools.entry(pool).or_default().entry(agent).or_insert_with(new)
     }
 
-    pub(super) fn remove(&mut self, agent: SocketAddrV4) -> Option<Entry> {
+    pub(super) fn remove(&mut self, agent: SocketAddrV4) -> Option<AgentEntry> {
         let pool = self.pool_of.remove(&agent)?;
         let agents = self.pools.get_mut(&pool)?;
         let entry = agents.remove(&agent);
@@ -71,7 +70,7 @@
 
     pub(super) fn retain<F>(&mut self, keep: F)
     where
-        F: Fn(&Entry) -> bool,
+        F: Fn(&AgentEntry) -> bool,
     {
         let gone: Vec<_> = self.iter().filter(|(_, it)| !keep(it)).map(|(it, _)| it).collect();
         for agent in gone {
@@ -79,21 +78,22 @@
         }
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = (SocketAddrV4, &Entry)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (SocketAddrV4, &AgentEntry)> {
         self.pools.values().flatten().map(|(&agent, it)| (agent, it))
     }
 
-    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (SocketAddrV4, &mut Entry)> {
+    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (SocketAddrV4, &mut AgentEntry)> {
         self.pools.values_mut().flatten().map(|(&agent, it)| (agent, it))
     }
 
-    /// The agents of a pool.
-    pub(super) fn of(&self, pool: PoolId) -> impl Iterator<Item = (SocketAddrV4, &Entry)> {
+    pub(super) fn in_pool(
+        &self,
+        pool: PoolId,
+    ) -> impl Iterator<Item = (SocketAddrV4, &AgentEntry)> {
         self.pools.get(&pool).into_iter().flatten().map(|(&agent, it)| (agent, it))
     }
 
-    /// The agents of the pools that `allows` names.
-    pub(super) fn of_all<P>(&self, allows: P) -> impl Iterator<Item = (SocketAddrV4, &Entry)>
+    pub(super) fn in_pools<P>(&self, allows: P) -> impl Iterator<Item = (SocketAddrV4, &AgentEntry)>
     where
         P: Fn(PoolId) -> bool,
     {
--- a/crates/core/src/opaque/balancer.rs
+++ b/crates/core/src/opaque/balancer.rs
@@ -1,7 +1,6 @@
-//! Decisions of a balancer on opaque flows.
+//! Placement and forwarding decisions of a balancer for opaque flows.
 //!
-//! A balancer remembers where the flows are whose packets it gets, but nothing depends on that memory: what it does
-//! not know it searches for among the agents of the route's pools.
+//! The flow table is a cache. If a flow's agent is not in it, the balancer queries the agents of the route's pools.
 
 mod duties;
 mod search;
@@ -15,7 +14,7 @@
 
 use self::{
     duties::MAX_WITHDRAWN,
-    search::{SEARCH_MS, Search},
+    search::{SEARCH_TIMEOUT_MS, Search},
 };
 use super::{
     FlowKey, Head, Kind, PoolId,
@@ -27,37 +26,35 @@
     zone::{Regions, ZoneNews, ZonesOut},
 };
 
-/// Time for which packets are held for an agent that restarts: a start takes about a second.
+/// How long packets are held for a restarting agent.
 const RESTART_HOLD_MS: u64 = 3_000;
-/// Time after which an unused flow is forgotten. It is searched for when it comes back.
-const FLOW_IDLE_MS: u64 = 20_000;
-/// Pause between two looks for such flows.
-const PRUNE_EVERY_MS: u64 = 5_000;
-/// Time after the first list of members from which the balancer takes its view of them for complete: whoever joined
-/// after the list reports to this balancer as soon as to those that place flows there, so a few round trips between regions
-/// are enough. After a loss of power callers of dead flows learn it by this time later: with three times as much some 90 of
-/// 2,500 requests of its two seconds more are late (large fleet, two days with a loss of power).
-const SETTLED_AFTER_MS: u64 = 100;
-/// Pause between two looks for agents to greet: a look passes over all of them, 5,900 in the size designed for.
-const GREET_LOOK_MS: u64 = 60;
-/// Time without any event after which the balancer's process must have stood still: it looks at what is due each 20 ms.
-const STOOD_STILL_MS: u64 = 1_000;
-/// Time after the first list of members at which it is read again if some of them never reported: they may have left
-/// just then. Two round trips of a greeting on a slow VM.
-const LIST_AGAIN_MS: u64 = 600;
+/// Idle time after which a flow is dropped from the table; its next packet starts a search.
+const FLOW_IDLE_TIMEOUT_MS: u64 = 20_000;
+/// Interval between removals of idle flows.
+const PRUNE_INTERVAL_MS: u64 = 5_000;
+/// Time from the first member list until the membership counts as complete: a few round trips between regions, so
+/// that agents that joined after the list was read have reported.
+const MEMBERSHIP_SETTLE_MS: u64 = 100;
+/// Interval between scans of all agents for those due a greeting.
+const GREET_CHECK_INTERVAL_MS: u64 = 60;
+/// Gap between events that means that the process was stalled; ticks come every 20 ms.
+const STALL_THRESHOLD_MS: u64 = 1_000;
+/// Delay after the first member list until it is read again if some listed agents have not reported; they may have
+/// left while it was read.
+const LIST_REFRESH_DELAY_MS: u64 = 600;
 
 #[derive(Clone, Debug, Default)]
 struct Flow {
     agent: Option<SocketAddrV4>,
-    /// Pool in which the flow was placed or found. A later configuration does not move it.
+    /// Pool in which the flow was placed or found; later configurations do not change it.
     pool: Option<PoolId>,
     confirmed: bool,
     search: Option<Search>,
-    failed_ms: Option<u64>,
-    failures: u32,
-    /// When the caller's last packet came.
-    packet_ms: u64,
-    seen_ms: u64,
+    last_failed_search_ms: Option<u64>,
+    failed_searches: u32,
+    /// Time of the caller's last packet.
+    last_packet_ms: u64,
+    last_used_ms: u64,
     ack: u32,
 }
 
@@ -70,22 +67,23 @@
     fleet: Fleet,
     flows: FxHashMap<FlowKey, Flow>,
     hold: Hold,
-    questions: BTreeMap<SocketAddrV4, Vec<FlowKey>>,
-    /// Agents whose objects this balancer had taken off the store's list, as they were gone.
+    pending_queries: BTreeMap<SocketAddrV4, Vec<FlowKey>>,
+    /// Agents whose entries this balancer removed from the store.
     withdrawn: BTreeSet<SocketAddrV4>,
-    /// Agents that said that they leave, and when. While the store is away they can't remove their objects themselves.
-    left: BTreeMap<SocketAddrV4, u64>,
-    /// The configuration that a peer was asked for last, and when.
-    asked: Option<(Stamp, u64)>,
-    listed_ms: Option<u64>,
-    listed_again: bool,
-    event_ms: u64,
-    greeted_ms: u64,
-    pruned_ms: u64,
+    /// Agents that announced that they leave, with the time. They can't remove their own entries during a store
+    /// outage.
+    left_agents: BTreeMap<SocketAddrV4, u64>,
+    /// The last configuration requested from a peer, with the time of the request.
+    requested_config: Option<(Stamp, u64)>,
+    member_list_ms: Option<u64>,
+    list_refreshed: bool,
+    last_event_ms: u64,
+    last_greet_check_ms: u64,
+    last_prune_ms: u64,
 }
 
 impl Balancer {
-    /// A balancer that other processes reach at `address`.
+    /// Creates a balancer that other processes reach at `address`.
     pub fn new(address: SocketAddrV4, zone: ZoneId) -> Balancer {
         Balancer {
             address,
@@ -94,39 +92,39 @@
             fleet: Fleet::default(),
             flows: FxHashMap::default(),
             hold: Hold::default(),
-            questions: BTreeMap::new(),
+            pending_queries: BTreeMap::new(),
             withdrawn: BTreeSet::new(),
-            left: BTreeMap::new(),
-            asked: None,
-            listed_ms: None,
-            listed_again: false,
-            event_ms: 0,
-            greeted_ms: 0,
-            pruned_ms: 0,
+            left_agents: BTreeMap::new(),
+            requested_config: None,
+            member_list_ms: None,
+            list_refreshed: false,
+            last_event_ms: 0,
+            last_greet_check_ms: 0,
+            last_prune_ms: 0,
         }
     }
 
-    /// A balancer that places no flow before it knows which zones are out of service.
+    /// Drops opening packets until the zones out of service are set.
     pub fn with_unknown_zones(self) -> Balancer {
         Balancer { fleet: self.fleet.with_unknown_zones(), ..self }
     }
 
-    /// A balancer that knows the region of each zone.
+    /// Sets the region of each zone.
     pub fn with_regions(self, regions: Regions) -> Balancer {
         Balancer { fleet: self.fleet.with_regions(regions), ..self }
     }
 
-    /// The routes in force.
+    /// Routes in force.
     pub fn routes(&self) -> &RouteTable {
         &self.routes
     }
 
-    /// The agents.
+    /// Agents and zones known to the balancer.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Flows remembered.
+    /// Number of flows in the table.
     pub fn flows(&self) -> usize {
         self.flows.len()
     }
@@ -136,38 +134,38 @@
         self.hold.bytes()
     }
 
-    /// Puts routes in force; false if newer ones are.
+    /// Applies a configuration; false if one that is as new or newer is already in force.
     pub fn put_routes(&mut self, routes: Routes) -> bool {
         self.routes.put(routes)
     }
 
-    /// Takes news on zones out of service.
+    /// Applies an update of the zones out of service.
     pub fn put_zones(&mut self, news: ZonesOut, now_ms: u64) -> ZoneNews {
         self.fleet.put_zones(news, now_ms)
     }
 
-    /// Takes a peer's word on zones whose entries the store lost; whether it changes anything.
+    /// Merges zones that a peer keeps out of service after the store lost their entries; true if this adds any.
     pub fn learn_lost_zones(&mut self, names: Vec<String>, now_ms: u64) -> bool {
         self.fleet.learn_lost_zones(names, now_ms)
     }
 
-    /// Takes back zones whose lost entries were not written again in time; whether there were some.
+    /// Returns zones to service whose lost entries were not written again in time; true if there were any.
     pub fn release_zones(&mut self, now_ms: u64) -> bool {
         self.fleet.release_zones(now_ms)
     }
 
-    /// Takes the store's list of members.
+    /// Replaces the member list by the one read from the store.
     pub fn list(&mut self, members: &[Listed], now_ms: u64) {
-        self.listed_ms.get_or_insert(now_ms);
-        self.fleet.list(members, now_ms);
+        self.member_list_ms.get_or_insert(now_ms);
+        self.fleet.sync_members(members, now_ms);
     }
 
-    /// Takes members that a peer knows of, which may be some of them only.
+    /// Adds members received from a peer, whose list may be partial.
     pub fn learn(&mut self, members: &[Listed], now_ms: u64) {
-        self.fleet.learn(members, now_ms);
+        self.fleet.merge_members(members, now_ms);
     }
 
-    /// Takes an agent's report.
+    /// Applies an agent's report.
     pub fn report(
         &mut self,
         from: SocketAddrV4,
@@ -175,34 +173,36 @@
         now_ms: u64,
         out: &mut Vec<Effect>,
     ) -> Change {
-        self.wake(now_ms);
-        let change = self.fleet.report(from, report, now_ms);
+        self.record_event_time(now_ms);
+        let change = self.fleet.apply_report(from, report, now_ms);
         if change == Change::Restarted {
-            self.release(from, out);
+            self.flush_held_packets(from, out);
         }
-        if change == Change::Left && self.left.len() < MAX_WITHDRAWN {
-            self.left.insert(from, now_ms);
+        if change == Change::Left && self.left_agents.len() < MAX_WITHDRAWN {
+            self.left_agents.insert(from, now_ms);
         }
         if change == Change::Old || report.plan == Plan::Leave {
             return change;
         }
-        self.left.remove(&from);
+        self.left_agents.remove(&from);
         if self.withdrawn.remove(&from) {
             out.push(Effect::Unlisted { to: from });
         }
         change
     }
 
-    /// Takes a packet that a caller sent.
+    /// Handles a packet from a caller.
     pub fn packet(&mut self, head: &Head, bytes: &[u8], now_ms: u64, out: &mut Vec<Effect>) {
-        self.wake(now_ms);
+        self.record_event_time(now_ms);
         match head.kind {
-            Kind::Open => self.open(head, now_ms, out),
-            Kind::Data | Kind::Finish | Kind::Reset => self.carry(head, bytes, now_ms, out),
+            Kind::Open => self.handle_open(head, now_ms, out),
+            Kind::Data | Kind::Finish | Kind::Reset => {
+                self.handle_flow_packet(head, bytes, now_ms, out)
+            }
         }
     }
 
-    /// Takes an agent's answer; `returned` is the packet that it sent back.
+    /// Handles an agent's answer; `returned` is the packet sent back with it.
     pub fn answer(
         &mut self,
         from: SocketAddrV4,
@@ -213,63 +213,67 @@
         out: &mut Vec<Effect>,
     ) {
         match answer {
-            Answer::Here => self.here(from, key, now_ms, out),
-            Answer::Absent => self.absent(from, key, returned, now_ms, out),
+            Answer::Here => self.handle_here(from, key, now_ms, out),
+            Answer::Absent => self.handle_absent(from, key, returned, now_ms, out),
             Answer::WrongPool(pool) => {
-                self.fleet.move_to(from, pool);
-                self.absent(from, key, returned, now_ms, out);
+                self.fleet.correct_pool(from, pool);
+                self.handle_absent(from, key, returned, now_ms, out);
             }
         }
     }
 
-    /// Does what is due.
+    /// Runs the periodic work: greetings, searches, expiry of held packets and removal of idle flows.
     pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
-        self.wake(now_ms);
-        self.greet(now_ms, out);
-        self.list_again(now_ms, out);
-        self.widen(now_ms, out);
+        self.record_event_time(now_ms);
+        self.greet_agents(now_ms, out);
+        self.refresh_member_list(now_ms, out);
+        self.continue_searches(now_ms, out);
         for key in self.hold.expired(now_ms) {
-            self.expire(key, now_ms, out);
+            self.handle_hold_expiry(key, now_ms, out);
         }
-        if now_ms.saturating_sub(self.pruned_ms) >= PRUNE_EVERY_MS {
-            self.pruned_ms = now_ms;
-            self.flows.retain(|_, it| now_ms.saturating_sub(it.seen_ms) < FLOW_IDLE_MS);
+        if now_ms.saturating_sub(self.last_prune_ms) >= PRUNE_INTERVAL_MS {
+            self.last_prune_ms = now_ms;
+            self.flows
+                .retain(|_, it| now_ms.saturating_sub(it.last_used_ms) < FLOW_IDLE_TIMEOUT_MS);
         }
     }
 
-    fn greet(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
-        if now_ms.saturating_sub(self.greeted_ms) < GREET_LOOK_MS {
+    fn greet_agents(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
+        if now_ms.saturating_sub(self.last_greet_check_ms) < GREET_CHECK_INTERVAL_MS {
             return;
         }
-        self.greeted_ms = now_ms;
-        for to in self.fleet.to_greet(now_ms) {
+        self.last_greet_check_ms = now_ms;
+        for to in self.fleet.agents_to_greet(now_ms) {
             out.push(Effect::Greet { to });
         }
     }
 
-    /// Notes the time. While the process stood still it heard nobody, and that says nothing about the agents.
-    fn wake(&mut self, now_ms: u64) {
-        let passed = now_ms.saturating_sub(self.event_ms);
-        if passed > STOOD_STILL_MS && self.event_ms > 0 {
-            self.fleet.excuse(passed, now_ms);
-            self.listed_ms = self.listed_ms.map(|_| now_ms);
+    /// Records the time of an event. After a stall, the agents' last-seen times are shifted, as no report could be
+    /// received meanwhile.
+    fn record_event_time(&mut self, now_ms: u64) {
+        let passed = now_ms.saturating_sub(self.last_event_ms);
+        if passed > STALL_THRESHOLD_MS && self.last_event_ms > 0 {
+            self.fleet.shift_last_seen(passed, now_ms);
+            self.member_list_ms = self.member_list_ms.map(|_| now_ms);
         }
-        self.event_ms = now_ms;
+        self.last_event_ms = now_ms;
     }
 
-    /// Asks once more for the list of members if the first one names some that never reported.
-    fn list_again(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
-        let due = self.listed_ms.is_some_and(|it| now_ms.saturating_sub(it) >= LIST_AGAIN_MS);
-        if !due || self.listed_again {
+    /// Requests the member list once more if it names agents that never reported.
+    fn refresh_member_list(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
+        let due = self
+            .member_list_ms
+            .is_some_and(|it| now_ms.saturating_sub(it) >= LIST_REFRESH_DELAY_MS);
+        if !due || self.list_refreshed {
             return;
         }
-        self.listed_again = true;
-        if self.fleet.unheard() > 0 {
+        self.list_refreshed = true;
+        if self.fleet.unreported_count() > 0 {
             out.push(Effect::List);
         }
     }
 
-    fn open(&mut self, head: &Head, now_ms: u64, out: &mut Vec<Effect>) {
+    fn handle_open(&mut self, head: &Head, now_ms: u64, out: &mut Vec<Effect>) {
         let key = head.key;
         let copies = head.ack;
         let route = match self.routes.lookup(key.service) {
@@ -289,10 +293,11 @@
         }
         let known = self.flows.get(&key).filter(|_| copies > 0);
         if let Some(flow) = known.filter(|it| it.confirmed && copies == 1) {
-            // The flow's upstream has answered, so the answer was lost: its agent sends another one.
-            let may_get =
-                |it: &SocketAddrV4| !self.fleet.is_out(*it) && self.fleet.may_get(*it, allowed);
-            if let Some(agent) = flow.agent.filter(may_get) {
+            // The upstream accepted the flow and its answer was lost, so its agent sends another one.
+            let is_usable = |it: &SocketAddrV4| {
+                !self.fleet.is_out_of_service(*it) && self.fleet.is_region_allowed(*it, allowed)
+            };
+            if let Some(agent) = flow.agent.filter(is_usable) {
                 let pool = flow.pool.unwrap_or(pool);
                 return self.relay(agent, Ask::Deliver, pool, Payload::Current, out);
             }
@@ -300,10 +305,10 @@
         let avoid = known.and_then(|it| it.agent);
         let found = self.fleet.candidates(pool, key.hash(), self.zone, avoid, allowed, now_ms);
         let Some(&first) = found.agents.first() else {
-            return self.open_nowhere(key, pool, now_ms, out);
+            return self.reject_open(key, pool, now_ms, out);
         };
         let flow =
-            Flow { agent: Some(first), pool: Some(pool), seen_ms: now_ms, ..Flow::default() };
+            Flow { agent: Some(first), pool: Some(pool), last_used_ms: now_ms, ..Flow::default() };
         self.flows.insert(key, flow);
         note(key, Decision::Placed { first, copies }, out);
         let walk = Walk::new(found.agents, found.limit).with_objective(objective);
@@ -312,17 +317,28 @@
         self.relay(first, Ask::Open(walk), pool, Payload::Current, out);
     }
 
-    fn open_nowhere(&self, key: FlowKey, pool: PoolId, now_ms: u64, out: &mut Vec<Effect>) {
-        let complete = self.is_settled(now_ms) && self.fleet.is_complete(|it| it == pool, now_ms);
+    fn reject_open(&self, key: FlowKey, pool: PoolId, now_ms: u64, out: &mut Vec<Effect>) {
+        let complete =
+            self.is_membership_settled(now_ms) && self.fleet.is_complete(|it| it == pool, now_ms);
         if complete {
-            let why = if self.fleet.has_out(pool) { Why::ZonesOut } else { Why::NoUpstream };
+            let why = if self.fleet.has_agents_out_of_service(pool) {
+                Why::ZonesOut
+            } else {
+                Why::NoUpstream
+            };
             reset(key, 0, why, out)
         } else {
             drop(key, Drop::NoUpstream, out)
         }
     }
 
-    fn carry(&mut self, head: &Head, bytes: &[u8], now_ms: u64, out: &mut Vec<Effect>) {
+    fn handle_flow_packet(
+        &mut self,
+        head: &Head,
+        bytes: &[u8],
+        now_ms: u64,
+        out: &mut Vec<Effect>,
+    ) {
         let key = head.key;
         let (pool, dropped) = match self.routes.lookup(key.service) {
             Lookup::NoConfig => return drop(key, Drop::NoConfig, out),
@@ -342,29 +358,29 @@
         };
         let flow = self.flows.entry(key).or_default();
         let pool = flow.pool.unwrap_or(pool);
-        flow.seen_ms = now_ms;
-        flow.packet_ms = now_ms;
+        flow.last_used_ms = now_ms;
+        flow.last_packet_ms = now_ms;
         flow.ack = head.ack;
         if flow.search.is_some() {
-            self.keep(key, bytes, now_ms + SEARCH_MS, out);
+            self.hold_packet(key, bytes, now_ms + SEARCH_TIMEOUT_MS, out);
             return;
         }
         let Some(agent) = flow.agent else {
-            return self.search(key, bytes, None, now_ms, out);
+            return self.start_search(key, bytes, None, now_ms, out);
         };
-        if self.fleet.is_away(agent) {
+        if self.fleet.is_restarting(agent) {
             note(key, Decision::Held { agent }, out);
-            self.keep(key, bytes, now_ms + RESTART_HOLD_MS, out);
+            self.hold_packet(key, bytes, now_ms + RESTART_HOLD_MS, out);
             return;
         }
         if self.fleet.is_gone(agent, now_ms) {
-            return self.search(key, bytes, None, now_ms, out);
+            return self.start_search(key, bytes, None, now_ms, out);
         }
         self.relay(agent, Ask::Deliver, pool, Payload::Current, out);
     }
 
-    fn is_settled(&self, now_ms: u64) -> bool {
-        self.listed_ms.is_some_and(|it| now_ms.saturating_sub(it) > SETTLED_AFTER_MS)
+    fn is_membership_settled(&self, now_ms: u64) -> bool {
+        self.member_list_ms.is_some_and(|it| now_ms.saturating_sub(it) > MEMBERSHIP_SETTLE_MS)
     }
 
     fn relay(
--- a/crates/core/src/opaque/fleet.rs
+++ b/crates/core/src/opaque/fleet.rs
@@ -1,4 +1,4 @@
-//! What a balancer knows of the agents: from the store's list, and from what they report.
+//! A balancer's view of the agents, from the store's member list and from their reports.
 
 mod candidates;
 mod zones;
@@ -13,34 +13,34 @@
     zone::{Regions, ZoneTable},
 };
 
-/// Pause between two reports of an agent to a balancer, in milliseconds; longer in a fleet of many balancers.
+/// Default interval between two reports of an agent to a balancer, in milliseconds; longer in a fleet of many
+/// balancers.
 pub const REPORT_MS: u32 = 1_000;
-/// Pauses between reports after which an agent that says nothing gets no new flows: two reports may be lost.
-const SILENT_REPORTS: u64 = 2;
-/// Time by which a report may be late, on top of that.
-const LATE_MS: u64 = 600;
-/// Silence after which the flows of an agent are of no use to their callers: longer than the time budgets of most
-/// requests, and than the restart of an agent after a crash takes.
-const GONE_MS: u64 = 4_500;
-/// The same for an agent that said that it restarts: a start on a slow VM.
-const RESTART_MS: u64 = 10_000;
-/// Time without a report after which an agent is greeted, so that one that has restarted learns of this balancer.
+/// Report intervals after which a silent agent gets no new flows; one report may be lost.
+const MAX_MISSED_REPORTS: u64 = 2;
+/// Allowance for late reports, in addition.
+const REPORT_GRACE_MS: u64 = 600;
+/// Silence after which an agent counts as gone: longer than most request timeouts and than a restart after a crash.
+const GONE_AFTER_MS: u64 = 4_500;
+/// The same for an agent that announced a restart, which may take long on a slow VM.
+const RESTART_GONE_AFTER_MS: u64 = 10_000;
+/// Silence after which an agent is greeted, so that one that has restarted learns this balancer's address.
 const GREET_AFTER_MS: u64 = 1_500;
-/// Pause between two greetings of the same agent.
-const GREET_EVERY_MS: u64 = 1_000;
-/// Time after its last sign of life for which an agent that the store doesn't list is remembered.
-const FORGET_MS: u64 = 120_000;
+/// Interval between two greetings of the same agent.
+const GREET_INTERVAL_MS: u64 = 1_000;
+/// Silence after which an agent that the store does not list is forgotten.
+const FORGET_AFTER_MS: u64 = 120_000;
 
 /// State of the upstream beside an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Upstream {
-    /// Not heard of since the agent started, or not for some time.
+    /// No heartbeat since the agent started, or none for some time.
     Unknown,
-    /// Takes flows.
+    /// Accepts new flows.
     Ready,
-    /// Keeps its flows and takes no new ones.
+    /// Keeps its flows and accepts no new ones.
     Draining,
-    /// Has ended.
+    /// The process has ended.
     Ended,
 }
 
@@ -59,92 +59,92 @@
 /// What the agent itself is about to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plan {
-    /// Goes on.
+    /// Keeps running.
     Stay,
-    /// Will stop soon and start again; its upstream lives on.
+    /// Will restart soon; its upstream keeps running.
     Pause,
-    /// Stops now and starts again.
+    /// Restarts now.
     Restart,
-    /// Stops for good.
+    /// Stops permanently.
     Leave,
 }
 
-/// An agent's report.
+/// An agent's report to the balancers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Number of the agent process, drawn at its start.
+    /// Random number of the agent process, chosen at its start.
     pub incarnation: u64,
-    /// Number of the report within the incarnation.
+    /// Sequence number within the incarnation.
     pub seq: u64,
-    /// Pool of its upstream.
+    /// Pool of the upstream.
     pub pool: PoolId,
-    /// Its zone.
+    /// Zone of the agent.
     pub zone: ZoneId,
-    /// State of its upstream.
+    /// State of the upstream.
     pub upstream: Upstream,
-    /// What it is about to do.
+    /// What the agent is about to do.
     pub plan: Plan,
-    /// Requests that its upstream runs at once.
+    /// Requests that the upstream serves concurrently.
     pub slots: u32,
     /// Load in thousandths of the slots.
     pub load: u16,
-    /// Mean time that its upstream works on a request, in milliseconds, once some were answered.
+    /// Mean service time of a request in milliseconds, once some were answered.
     pub service_ms: Option<u32>,
-    /// Whether its upstream has as much as it can begin or more, or is cold: not known to be able to do more.
+    /// Whether the upstream has no free capacity, or is still cold.
     pub full: bool,
-    /// Pause between two reports, in milliseconds.
+    /// Interval between two reports in milliseconds.
     pub every_ms: u32,
 }
 
-/// A member as the store lists it.
+/// A member, an agent or a balancer, as listed in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Listed {
     /// Address for packets between processes.
     pub address: SocketAddrV4,
-    /// Its pool, if it is an agent.
+    /// Pool of an agent; none for a balancer.
     pub pool: Option<PoolId>,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: ZoneId,
 }
 
 /// What a report changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing that matters to flows.
+    /// Nothing that affects flows.
     None,
-    /// The agent is new, or its upstream's state or its plan changed.
+    /// The agent is new, or its pool, its upstream's state or its plan changed.
     State,
-    /// The agent has started again.
+    /// The agent has restarted.
     Restarted,
-    /// The agent has stopped and will be back.
+    /// The agent is restarting and not back yet.
     Away,
     /// The agent has left.
     Left,
-    /// The report is older than one that was taken.
+    /// The report is older than one already applied, and is ignored.
     Old,
 }
 
-/// What is known of an agent.
 #[derive(Clone, Debug)]
-pub(super) struct Entry {
+pub(super) struct AgentEntry {
     zone: ZoneId,
     listed: bool,
     report: Option<Report>,
-    /// The upstream leaves, by the last report that knew its state: an agent that has restarted does not know it.
+    /// Whether the last report with a known upstream state said draining. A restarted agent reports an unknown state
+    /// at first.
     draining: bool,
-    heard_ms: u64,
-    greeted_ms: u64,
+    last_seen_ms: u64,
+    last_greeted_ms: u64,
 }
 
-impl Entry {
-    fn new(zone: ZoneId, now_ms: u64) -> Entry {
-        Entry {
+impl AgentEntry {
+    fn new(zone: ZoneId, now_ms: u64) -> AgentEntry {
+        AgentEntry {
             zone,
             listed: false,
             report: None,
             draining: false,
-            heard_ms: now_ms,
-            greeted_ms: 0,
+            last_seen_ms: now_ms,
+            last_greeted_ms: 0,
         }
     }
 
@@ -152,18 +152,20 @@
         let Some(report) = &self.report else {
             return true;
         };
-        let allowed = u64::from(report.every_ms) * SILENT_REPORTS + LATE_MS;
-        now_ms.saturating_sub(self.heard_ms) > allowed
+        let allowed = u64::from(report.every_ms) * MAX_MISSED_REPORTS + REPORT_GRACE_MS;
+        now_ms.saturating_sub(self.last_seen_ms) > allowed
     }
 
     fn is_gone(&self, now_ms: u64) -> bool {
         if self.report.is_some_and(|it| it.upstream == Upstream::Ended) {
-            // Without an upstream it holds nothing that could be waited for.
+            // An agent without an upstream holds no flows worth waiting for.
             return self.is_silent(now_ms);
         }
-        let allowed = if self.plan() == Plan::Restart { RESTART_MS } else { GONE_MS };
+        let allowed =
+            if self.plan() == Plan::Restart { RESTART_GONE_AFTER_MS } else { GONE_AFTER_MS };
         let every_ms = self.report.map_or(0, |it| u64::from(it.every_ms));
-        self.is_silent(now_ms) && now_ms.saturating_sub(self.heard_ms) > allowed.max(every_ms * 3)
+        self.is_silent(now_ms)
+            && now_ms.saturating_sub(self.last_seen_ms) > allowed.max(every_ms * 3)
     }
 
     fn plan(&self) -> Plan {
@@ -174,7 +176,7 @@
         self.report.is_some_and(|it| it.upstream == Upstream::Ready)
     }
 
-    fn takes_flows(&self, now_ms: u64) -> bool {
+    fn accepts_flows(&self, now_ms: u64) -> bool {
         let open = self.report.is_some_and(|it| {
             matches!(it.upstream, Upstream::Ready | Upstream::Unknown) && it.plan == Plan::Stay
         });
@@ -182,7 +184,7 @@
     }
 }
 
-/// The agents, the zones whose agents get no new flows, and the regions.
+/// The agents, the zones out of service, and the regions.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     agents: Agents,
@@ -191,12 +193,12 @@
 }
 
 impl Fleet {
-    /// Takes a list of the store. Agents that it no longer holds are forgotten once they are silent.
-    pub fn list(&mut self, members: &[Listed], now_ms: u64) {
+    /// Applies a member list read from the store. Agents missing from it are removed once they are silent.
+    pub fn sync_members(&mut self, members: &[Listed], now_ms: u64) {
         for (_, entry) in self.agents.iter_mut() {
             entry.listed = false;
         }
-        self.learn(members, now_ms);
+        self.merge_members(members, now_ms);
         for member in members {
             if let Some(entry) = self.agents.get_mut(member.address) {
                 entry.listed = true;
@@ -205,20 +207,20 @@
         self.agents.retain(|it| it.listed || !it.is_silent(now_ms));
     }
 
-    /// Takes members that a peer knows of.
-    pub fn learn(&mut self, members: &[Listed], now_ms: u64) {
+    /// Adds members received from a peer.
+    pub fn merge_members(&mut self, members: &[Listed], now_ms: u64) {
         for member in members {
             let Some(pool) = member.pool else {
                 continue;
             };
-            let new = || Entry::new(member.zone, now_ms);
+            let new = || AgentEntry::new(member.zone, now_ms);
             self.agents.get_or_insert(member.address, pool, new);
         }
     }
 
-    /// All agents, as a peer may be told of them.
+    /// All known agents, as sent to peers.
     pub fn members(&self) -> Vec<Listed> {
-        let listed = |(address, it): (SocketAddrV4, &Entry)| Listed {
+        let listed = |(address, it): (SocketAddrV4, &AgentEntry)| Listed {
             address,
             pool: self.agents.pool_of(address),
             zone: it.zone,
@@ -226,15 +228,15 @@
         self.agents.iter().map(listed).collect()
     }
 
-    /// Takes an agent's report.
-    pub fn report(&mut self, from: SocketAddrV4, report: Report, now_ms: u64) -> Change {
+    /// Applies an agent's report.
+    pub fn apply_report(&mut self, from: SocketAddrV4, report: Report, now_ms: u64) -> Change {
         if report.plan == Plan::Leave {
             return if self.agents.remove(from).is_some() { Change::Left } else { Change::None };
         }
-        let new = || Entry::new(report.zone, now_ms);
+        let new = || AgentEntry::new(report.zone, now_ms);
         let entry = self.agents.get_or_insert(from, report.pool, new);
         let change = match &entry.report {
-            Some(old) => compare(old, &report),
+            Some(old) => classify_report(old, &report),
             None => Change::State,
         };
         if change == Change::Old {
@@ -245,13 +247,14 @@
             entry.draining = report.upstream == Upstream::Draining;
         }
         entry.report = Some(report);
-        entry.heard_ms = now_ms;
+        entry.last_seen_ms = now_ms;
         self.agents.set_pool(from, report.pool);
         change
     }
 
-    /// Notes the pool that an agent says it is of. What was known of the address concerns another agent.
-    pub fn move_to(&mut self, agent: SocketAddrV4, pool: PoolId) {
+    /// Sets the pool that an agent claims and discards its last report, which concerned another agent at this
+    /// address.
+    pub fn correct_pool(&mut self, agent: SocketAddrV4, pool: PoolId) {
         if self.agents.pool_of(agent) == Some(pool) {
             return;
         }
@@ -260,16 +263,16 @@
         };
         entry.report = None;
         entry.draining = false;
-        entry.greeted_ms = 0;
+        entry.last_greeted_ms = 0;
         self.agents.set_pool(agent, pool);
     }
 
-    /// Whether the agent said that it restarts and has not been back yet.
-    pub fn is_away(&self, agent: SocketAddrV4) -> bool {
+    /// Whether the agent announced a restart and has not reported since.
+    pub fn is_restarting(&self, agent: SocketAddrV4) -> bool {
         self.agents.get(agent).is_some_and(|it| it.plan() == Plan::Restart)
     }
 
-    /// Whether the agent has left or was silent for so long that its flows are of no use to their callers.
+    /// Whether the agent is unknown, or silent for too long for its flows to be of use to their callers.
     pub fn is_gone(&self, agent: SocketAddrV4, now_ms: u64) -> bool {
         self.agents.get(agent).is_none_or(|it| it.is_gone(now_ms))
     }
@@ -279,7 +282,7 @@
         self.agents.pool_of(agent)
     }
 
-    /// Agents known.
+    /// Number of known agents.
     pub fn len(&self) -> usize {
         self.agents.len()
     }
@@ -289,74 +292,77 @@
         self.agents.len() == 0
     }
 
-    /// Leaves out a time in which nobody could be heard.
-    pub fn excuse(&mut self, passed_ms: u64, now_ms: u64) {
+    /// Shifts the agents' last-seen times by a stall of this process, during which no report could be received.
+    pub fn shift_last_seen(&mut self, passed_ms: u64, now_ms: u64) {
         for (_, entry) in self.agents.iter_mut() {
-            entry.heard_ms = (entry.heard_ms + passed_ms).min(now_ms);
+            entry.last_seen_ms = (entry.last_seen_ms + passed_ms).min(now_ms);
         }
     }
 
-    /// Agents that the store lists and that never reported.
-    pub fn unheard(&self) -> usize {
+    /// Number of listed agents that never reported.
+    pub fn unreported_count(&self) -> usize {
         self.agents.iter().filter(|(_, it)| it.listed && it.report.is_none()).count()
     }
 
-    /// Agents that were heard of lately.
+    /// Number of agents that are not silent.
     pub fn heard(&self, now_ms: u64) -> usize {
         self.agents.iter().filter(|(_, it)| !it.is_silent(now_ms)).count()
     }
 
-    /// Agents that were heard of lately and are about to go on.
-    pub fn steady(&self, now_ms: u64) -> Vec<SocketAddrV4> {
-        let steady = |it: &Entry| it.plan() == Plan::Stay && !it.is_silent(now_ms);
-        self.agents.iter().filter(|(_, it)| steady(it)).map(|(agent, _)| agent).collect()
+    /// Agents that are not silent and plan to keep running.
+    pub fn stable_agents(&self, now_ms: u64) -> Vec<SocketAddrV4> {
+        let stable = |it: &AgentEntry| it.plan() == Plan::Stay && !it.is_silent(now_ms);
+        self.agents.iter().filter(|(_, it)| stable(it)).map(|(agent, _)| agent).collect()
     }
 
-    /// Agents that were heard of lately and are about to go on, though the store does not list them.
-    pub fn unlisted(&self, now_ms: u64) -> Vec<SocketAddrV4> {
-        let agents = self.steady(now_ms).into_iter();
+    /// The same agents, as far as the store does not list them.
+    pub fn unlisted_agents(&self, now_ms: u64) -> Vec<SocketAddrV4> {
+        let agents = self.stable_agents(now_ms).into_iter();
         agents.filter(|&it| self.agents.get(it).is_some_and(|it| !it.listed)).collect()
     }
 
-    /// Agents that have been gone for at least `for_ms`, though the store lists them.
-    pub fn long_gone(&self, for_ms: u64, now_ms: u64) -> Vec<SocketAddrV4> {
+    /// Listed agents that are gone and have been silent for at least `for_ms`.
+    pub fn listed_but_gone(&self, for_ms: u64, now_ms: u64) -> Vec<SocketAddrV4> {
         let gone = self.agents.iter().filter(|(_, it)| {
-            it.listed && it.is_gone(now_ms) && now_ms.saturating_sub(it.heard_ms) >= for_ms
+            it.listed && it.is_gone(now_ms) && now_ms.saturating_sub(it.last_seen_ms) >= for_ms
         });
         gone.map(|(agent, _)| agent).collect()
     }
 
-    /// Whether each agent of these pools was heard of lately or is gone.
+    /// Whether each agent of the allowed pools either reports or is gone, so that none is in doubt.
     pub fn is_complete<P>(&self, allows: P, now_ms: u64) -> bool
     where
         P: Fn(PoolId) -> bool,
     {
-        self.agents.of_all(allows).all(|(_, it)| {
+        self.agents.in_pools(allows).all(|(_, it)| {
             let there = !it.is_silent(now_ms) && it.plan() != Plan::Restart;
             there || it.is_gone(now_ms)
         })
     }
 
-    /// Agents to greet now; those that nothing was heard of for very long are forgotten.
-    pub fn to_greet(&mut self, now_ms: u64) -> Vec<SocketAddrV4> {
-        self.agents.retain(|it| it.listed || now_ms.saturating_sub(it.heard_ms) < FORGET_MS);
+    /// Agents to greet now. Also forgets unlisted agents after a long silence.
+    pub fn agents_to_greet(&mut self, now_ms: u64) -> Vec<SocketAddrV4> {
+        self.agents
+            .retain(|it| it.listed || now_ms.saturating_sub(it.last_seen_ms) < FORGET_AFTER_MS);
         let mut due = Vec::new();
         for (agent, entry) in self.agents.iter_mut() {
-            let quiet = now_ms.saturating_sub(entry.heard_ms) > GREET_AFTER_MS;
+            let quiet = now_ms.saturating_sub(entry.last_seen_ms) > GREET_AFTER_MS;
             if entry.report.is_some() && !quiet {
                 continue;
             }
-            if entry.greeted_ms != 0 && now_ms.saturating_sub(entry.greeted_ms) < GREET_EVERY_MS {
+            if entry.last_greeted_ms != 0
+                && now_ms.saturating_sub(entry.last_greeted_ms) < GREET_INTERVAL_MS
+            {
                 continue;
             }
-            entry.greeted_ms = now_ms;
+            entry.last_greeted_ms = now_ms;
             due.push(agent);
         }
         due
     }
 }
 
-fn compare(old: &Report, new: &Report) -> Change {
+fn classify_report(old: &Report, new: &Report) -> Change {
     if old.incarnation == new.incarnation && new.seq <= old.seq {
         return Change::Old;
     }
--- a/crates/core/src/opaque/fleet/candidates.rs
+++ b/crates/core/src/opaque/fleet/candidates.rs
@@ -1,4 +1,4 @@
-//! Which agents a new flow may go to, and which may hold one that is there.
+//! Selection of the agents for a new flow, and of the possible holders of an existing one.
 
 use std::net::SocketAddrV4;
 
@@ -12,28 +12,27 @@
     Fleet, ZoneId,
 };
 
-/// Room above the mean load up to which an agent accepts a flow at once: a tenth, so that kept flows are spread evenly,
-/// and a part of a slot so that idle pools keep flows in their zone.
+/// Factor and headroom, in thousandths of the slots, for the load up to which an agent accepts a flow at once. The
+/// headroom lets idle pools keep flows in their zone.
 const LIMIT_FACTOR: f64 = 1.0;
-const LIMIT_ROOM: f64 = 40.0;
-/// Candidates of the balancer's own zone at the most, if other zones have some: a zone that is full must not keep flows
-/// from the others.
-const OWN_ZONE_SEATS: usize = MAX_SEATS / 2;
+const LIMIT_HEADROOM: f64 = 40.0;
+/// Most candidates of the balancer's own zone if other zones have some, so that a full zone does not block a flow.
+const MAX_OWN_ZONE_CANDIDATES: usize = MAX_SEATS / 2;
 
-/// Candidates of a new flow, best first, with the load up to which they should accept.
+/// Candidates of a new flow, best first, and the load limit for accepting it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidates {
-    /// The agents.
+    /// The agents, best first.
     pub agents: Vec<SocketAddrV4>,
-    /// Load in thousandths of the slots.
+    /// Load up to which a candidate accepts at once, in thousandths of the slots.
     pub limit: u16,
-    /// What is known of the pool as a whole.
+    /// Aggregate load of the pool.
     pub pool: PoolLoad,
 }
 
 impl Fleet {
-    /// Candidates for a new flow: the zone's own first, in an order that the flow's hash gives. Only agents in one of the
-    /// `allowed` regions; none named allow all.
+    /// Returns candidates for a new flow: the zone's own first, in rendezvous hashing order, with `avoid` and agents
+    /// of unknown state last. Only agents in one of the `allowed` regions; an empty list allows all.
     pub fn candidates(
         &self,
         pool: PoolId,
@@ -43,9 +42,9 @@
         allowed: &[RegionId],
         now_ms: u64,
     ) -> Candidates {
-        let takers = self.takers(pool, now_ms);
-        let takers = takers.filter(|(_, it)| self.is_within(it.zone, allowed));
-        let mut ranked: Vec<_> = takers
+        let eligible = self.eligible_agents(pool, now_ms);
+        let eligible = eligible.filter(|(_, it)| self.is_zone_allowed(it.zone, allowed));
+        let mut ranked: Vec<_> = eligible
             .map(|(agent, it)| {
                 let last = Some(agent) == avoid || !it.is_ready();
                 (last, it.zone != zone, rank(agent, hash), agent)
@@ -54,23 +53,28 @@
         ranked.sort_unstable();
         let own = ranked.iter().filter(|it| !it.0 && !it.1).count();
         let others = ranked.iter().filter(|it| !it.0 && it.1).count();
-        let keep = OWN_ZONE_SEATS.max(MAX_SEATS.saturating_sub(others));
+        let keep = MAX_OWN_ZONE_CANDIDATES.max(MAX_SEATS.saturating_sub(others));
         ranked.drain(keep.min(own)..own);
         ranked.truncate(MAX_SEATS);
         Candidates {
             agents: ranked.into_iter().map(|it| it.3).collect(),
-            limit: self.limit(pool, now_ms),
+            limit: self.accept_limit(pool, now_ms),
             pool: self.pool_load(pool, now_ms),
         }
     }
 
-    /// Agents that may hold a flow of these pools, the most likely first: in the order of candidates. Those that are
-    /// gone are left out.
-    pub fn holders<P>(&self, allows: P, hash: u64, zone: ZoneId, now_ms: u64) -> Vec<SocketAddrV4>
+    /// Agents that may hold a flow of the allowed pools, in the order of candidates; without those that are gone.
+    pub fn possible_holders<P>(
+        &self,
+        allows: P,
+        hash: u64,
+        zone: ZoneId,
+        now_ms: u64,
+    ) -> Vec<SocketAddrV4>
     where
         P: Fn(PoolId) -> bool,
     {
-        let members = self.agents.of_all(allows).filter(|(_, it)| !it.is_gone(now_ms));
+        let members = self.agents.in_pools(allows).filter(|(_, it)| !it.is_gone(now_ms));
         let mut ranked: Vec<_> =
             members.map(|(agent, it)| (it.zone != zone, rank(agent, hash), agent)).collect();
         ranked.sort_unstable();
@@ -78,7 +82,7 @@
     }
 
     fn pool_load(&self, pool: PoolId, now_ms: u64) -> PoolLoad {
-        let members = self.takers(pool, now_ms);
+        let members = self.eligible_agents(pool, now_ms);
         let (mut service, mut measured, mut slots, mut full) = (0, 0, 0, 0);
         for report in members.filter_map(|(_, it)| it.report) {
             slots += report.slots;
@@ -92,8 +96,8 @@
         PoolLoad { service_ms, full_percent: (full * 100).checked_div(slots).unwrap_or(0) as u8 }
     }
 
-    fn limit(&self, pool: PoolId, now_ms: u64) -> u16 {
-        let members = self.takers(pool, now_ms);
+    fn accept_limit(&self, pool: PoolId, now_ms: u64) -> u16 {
+        let members = self.eligible_agents(pool, now_ms);
         let (mut work, mut slots) = (0.0, 0.0);
         for report in members.filter_map(|(_, it)| it.report) {
             work += f64::from(report.load) * f64::from(report.slots);
@@ -102,6 +106,6 @@
         if slots == 0.0 {
             return 0;
         }
-        (work / slots * LIMIT_FACTOR + LIMIT_ROOM) as u16
+        (work / slots * LIMIT_FACTOR + LIMIT_HEADROOM) as u16
     }
 }
--- a/crates/core/src/opaque/listing.rs
+++ b/crates/core/src/opaque/listing.rs
@@ -1,8 +1,8 @@
-//! The store's list of members, told on by those who have it.
+//! Distribution of the store's member list between processes.
 //!
-//! Each process that starts needs the list, and in a large fleet it has many pages. So a few processes read it, and whoever was told
-//! it tells it on. A list counts by the revision of the store as of which it was read, whoever tells it: one that is not older than
-//! a process's own entry names everyone who was listed before, so of two that start at once one sees the other.
+//! In a large fleet the list has many pages, so only a few processes read it from the store and the others receive it
+//! from them. Lists are ordered by the store revision as of which they were read. A process needs one at least as new
+//! as its own entry: then of two processes that start at once, one sees the other.
 
 use std::{collections::VecDeque, net::SocketAddrV4};
 
@@ -11,28 +11,28 @@
     revision::Revision,
 };
 
-/// Lists that a process tells in one span; who asks beyond that is referred to those who were told.
-const TOLD_IN_SPAN: usize = 4;
-/// Length of a span. With four lists of 1,000 members in each it fills a link of 20 Mbit/s for most of the time.
-const SPAN_MS: u64 = 100;
-/// Processes that a referral names: one may be gone.
-const REFERRED: usize = 2;
-/// Processes that are remembered as told.
-const TOLD_KEPT: usize = 64;
+/// Lists that a process sends within one window; further requests are referred to earlier recipients.
+const MAX_SENDS_PER_WINDOW: usize = 4;
+/// Length of a window. Four lists of 1,000 members each use most of a 20 Mbit/s link for that time.
+const SEND_WINDOW_MS: u64 = 100;
+/// Processes named in a referral; one may be gone.
+const MAX_REFERRALS: usize = 2;
+/// Recipients that are remembered.
+const MAX_RECIPIENTS: usize = 64;
 
-/// How new a list has to be.
+/// Required freshness of a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
-    /// Whatever is known.
+    /// Any list.
     Any,
-    /// Not older than this revision.
+    /// At least as new as this revision.
     Since(Revision),
-    /// Read after it was asked for.
+    /// Read from the store after the request.
     Fresh,
 }
 
 impl Need {
-    /// Whether a list that was read before the question is new enough.
+    /// Whether a list of this revision, read before the request, is new enough.
     pub fn is_met(self, at: Option<Revision>) -> bool {
         match self {
             Need::Any => true,
@@ -42,78 +42,82 @@
     }
 }
 
-/// How to answer a process that asks for the list.
+/// How to answer a request for the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Tell it what is known here.
+    /// Send the local list.
     Tell,
-    /// Name processes that were told a list which is new enough.
+    /// Refer to processes that were sent a list that is new enough.
     Refer(Vec<SocketAddrV4>),
     /// Read the store first.
     Read,
 }
 
-/// What a process knows of the list, and whom it told.
+/// Revision of the local member list, and the processes that it was sent to.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
-    at: Option<Revision>,
-    told: VecDeque<(SocketAddrV4, Revision)>,
-    span_ms: u64,
-    in_span: usize,
+    revision: Option<Revision>,
+    recipients: VecDeque<(SocketAddrV4, Revision)>,
+    window_start_ms: u64,
+    sent_in_window: usize,
 }
 
 impl Listing {
-    /// Takes note of a list as of a revision.
+    /// Records that a list as of a revision was received; older ones are ignored.
     pub fn take(&mut self, at: Revision) {
-        self.at = self.at.max(Some(at));
+        self.revision = self.revision.max(Some(at));
     }
 
-    /// The revision as of which the list is known.
+    /// Revision of the local list.
     pub fn at(&self) -> Option<Revision> {
-        self.at
+        self.revision
     }
 
-    /// Decides on a question. An `asker` that can tell the list on has an address.
+    /// Decides how to answer a request. `asker` is an address if that process can send the list to others.
     pub fn answer(&mut self, asker: Option<SocketAddrV4>, need: Need, now_ms: u64) -> Reply {
-        if !need.is_met(self.at) {
+        if !need.is_met(self.revision) {
             return Reply::Read;
         }
-        if now_ms.saturating_sub(self.span_ms) >= SPAN_MS {
-            self.span_ms = now_ms;
-            self.in_span = 0;
+        if now_ms.saturating_sub(self.window_start_ms) >= SEND_WINDOW_MS {
+            self.window_start_ms = now_ms;
+            self.sent_in_window = 0;
         }
-        let others = if self.in_span < TOLD_IN_SPAN { Vec::new() } else { self.refer(need) };
+        let others = if self.sent_in_window < MAX_SENDS_PER_WINDOW {
+            Vec::new()
+        } else {
+            self.next_recipients(need)
+        };
         if !others.is_empty() {
             return Reply::Refer(others);
         }
-        self.in_span += 1;
-        self.remember(asker);
+        self.sent_in_window += 1;
+        self.record_recipient(asker);
         Reply::Tell
     }
 
-    fn remember(&mut self, asker: Option<SocketAddrV4>) {
-        let (Some(asker), Some(at)) = (asker, self.at) else {
+    fn record_recipient(&mut self, asker: Option<SocketAddrV4>) {
+        let (Some(asker), Some(at)) = (asker, self.revision) else {
             return;
         };
-        self.told.retain(|it| it.0 != asker);
-        if self.told.len() == TOLD_KEPT {
-            self.told.pop_front();
+        self.recipients.retain(|it| it.0 != asker);
+        if self.recipients.len() == MAX_RECIPIENTS {
+            self.recipients.pop_front();
         }
-        self.told.push_back((asker, at));
+        self.recipients.push_back((asker, at));
     }
 
-    /// The next few of those that were told, in turn.
-    fn refer(&mut self, need: Need) -> Vec<SocketAddrV4> {
+    /// Returns the next recipients with a list that is new enough, round-robin.
+    fn next_recipients(&mut self, need: Need) -> Vec<SocketAddrV4> {
         let mut others = Vec::new();
-        for _ in 0..self.told.len() {
-            let Some((process, at)) = self.told.pop_front() else {
+        for _ in 0..self.recipients.len() {
+            let Some((process, at)) = self.recipients.pop_front() else {
                 break;
             };
-            self.told.push_back((process, at));
+            self.recipients.push_back((process, at));
             if need.is_met(Some(at)) {
                 others.push(process);
             }
-            if others.len() == REFERRED {
+            if others.len() == MAX_REFERRALS {
                 break;
             }
         }
@@ -121,7 +125,7 @@
     }
 }
 
-/// The order in which a process asks others: each has one of its own, so that they share the work.
+/// Order in which a process queries others. Each process has its own order, which spreads the load.
 pub fn ask_order(own: SocketAddrV4, others: &[SocketAddrV4]) -> Vec<SocketAddrV4> {
     let mut order: Vec<_> = others.iter().copied().filter(|&it| it != own).collect();
     order.sort_unstable_by_key(|&it| rank(it, number(own)));
--- a/crates/core/src/opaque/presence.rs
+++ b/crates/core/src/opaque/presence.rs
@@ -1,243 +1,249 @@
-//! What an agent knows of the upstream beside it, from heartbeats.
+//! Tracks the upstream beside an agent by its heartbeats.
 //!
-//! An upstream may start again under the id that it had, so a life is told by its id and by the time of its start. That
-//! time is from the upstream's own clock, which may jump back between two lives. A heartbeat that was held up on its way
-//! may be from a former life. So a later start ends what is known at once, and what may be either is believed only if it
-//! goes on while the known life is silent.
+//! An upstream may restart under the same id, so an instance is identified by its id and start time. The start time
+//! comes from the upstream's own clock, which may jump back between two instances, and a delayed heartbeat may come
+//! from a former instance. A later start time therefore replaces the current instance at once. An ambiguous heartbeat
+//! does so only if more of them follow while the current instance is silent.
 
 use super::fleet::Upstream;
 
-/// Heartbeats that may be missing before an upstream's state counts as unknown.
-const MISSED_BEATS: u64 = 3;
-/// Heartbeats that may be missing before a life that can't be told from a former one replaces the known one: one may be
-/// lost, and a live upstream is not given up for what a cut held back.
-const RIVAL_BEATS: u64 = 2;
-/// Former lives of this address that are remembered, so that a late heartbeat is not taken for a new one.
-const FORMER_KEPT: usize = 16;
+/// Heartbeat intervals without one after which a ready upstream's state is unknown.
+const MAX_MISSED_HEARTBEATS: u64 = 3;
+/// Heartbeat intervals without one after which an ambiguous instance may replace the current one; one heartbeat may
+/// be lost.
+const REPLACE_AFTER_MISSED_HEARTBEATS: u64 = 2;
+/// Former instances remembered, so that their delayed heartbeats are recognized.
+const MAX_FORMER_INSTANCES: usize = 16;
 
-/// One life of an upstream process.
+/// One instance of an upstream process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Life {
-    /// Name of the process. It may start again under the same one.
+    /// Name of the process; it may be reused after a restart.
     pub id: String,
-    /// Its start by its own clock, in milliseconds since the Unix epoch, if it says so.
+    /// Start time by its own clock, in milliseconds since the Unix epoch, if reported.
     pub born_ms: Option<u64>,
 }
 
 /// A heartbeat of the upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Whose it is.
+    /// The instance that sent it.
     pub life: Life,
-    /// Number of the heartbeat within the life.
+    /// Sequence number within the instance.
     pub seq: u64,
-    /// Whether the upstream leaves.
+    /// Whether the upstream is draining.
     pub draining: bool,
-    /// Requests that it runs at once.
+    /// Requests that the upstream serves concurrently.
     pub slots: u32,
-    /// Time for which it goes on being slow after its start.
+    /// Remaining time for which the upstream is slow after its start, in milliseconds.
     pub cold_ms: u64,
 }
 
-/// What a heartbeat says of which process it is from.
+/// Which instance a heartbeat is attributed to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Sender {
-    /// The one that is known, or the first one after the agent's start.
+    /// The current one, or the first one seen since the agent started.
     Known,
-    /// The first one, and its first heartbeat: the agent has seen its whole life.
+    /// The first one, by its first heartbeat, so that the agent has seen it from its start.
     Newborn,
-    /// Another one, in place of the one that was known.
+    /// A new one that replaces the current one.
     Successor {
-        /// Until then what came to the agent was for the former one.
+        /// Events up to this time belong to the former instance.
         until_ms: u64,
     },
-    /// The heartbeat is older than what is known.
+    /// An outdated heartbeat.
     Late,
-    /// It is from a former life or from a new one after a jump of the clock.
+    /// A former instance, or a new one after a clock jump.
     Unclear,
-    /// It does not say when its sender started, though the upstream here does.
+    /// Unknown: no start time, though the current instance reports one.
     Foreign,
 }
 
-/// How the life that a heartbeat is from relates to the known one.
+/// How the sender of a heartbeat relates to the current instance.
 enum Relation {
-    /// The same one.
+    /// Same instance.
     Same,
-    /// It began later.
-    After,
-    /// It has the same id and a lower count, and does not say when it began: most likely a late heartbeat.
+    /// Later start time, or a new id where start times are missing.
+    Newer,
+    /// Same id, lower sequence number and no start times: most likely a delayed heartbeat.
     Older,
-    /// It began earlier, or its clock has jumped back.
-    Unclear,
-    /// It does not say when it began, though the known one does.
-    Foreign,
+    /// Earlier start time, or a clock that jumped back.
+    Ambiguous,
+    /// No start time, though the current instance reports one.
+    MissingStartTime,
 }
 
 #[derive(Clone, Debug)]
-struct Present {
+struct Current {
     life: Life,
     seq: u64,
     state: Upstream,
     slots: u32,
-    cold_until: u64,
-    heard_ms: u64,
+    cold_until_ms: u64,
+    last_seen_ms: u64,
 }
 
-impl Present {
-    fn new(beat: &Heartbeat, now_ms: u64) -> Present {
-        Present {
+impl Current {
+    fn new(beat: &Heartbeat, now_ms: u64) -> Current {
+        Current {
             life: beat.life.clone(),
             seq: beat.seq,
             state: if beat.draining { Upstream::Draining } else { Upstream::Ready },
             slots: beat.slots,
-            cold_until: now_ms.saturating_add(beat.cold_ms),
-            heard_ms: now_ms,
+            cold_until_ms: now_ms.saturating_add(beat.cold_ms),
+            last_seen_ms: now_ms,
         }
     }
 
     fn relation(&self, beat: &Heartbeat) -> Relation {
         let same_id = self.life.id == beat.life.id;
         match (self.life.born_ms, beat.life.born_ms) {
-            (Some(_), None) => Relation::Foreign,
+            (Some(_), None) => Relation::MissingStartTime,
             (Some(own), Some(other)) if own == other && same_id => Relation::Same,
-            (Some(own), Some(other)) if own <= other => Relation::After,
-            (Some(_), Some(_)) => Relation::Unclear,
-            (None, Some(_)) => Relation::After,
-            (None, None) if !same_id => Relation::After,
+            (Some(own), Some(other)) if own <= other => Relation::Newer,
+            (Some(_), Some(_)) => Relation::Ambiguous,
+            (None, Some(_)) => Relation::Newer,
+            (None, None) if !same_id => Relation::Newer,
             (None, None) if beat.seq > self.seq => Relation::Same,
             (None, None) => Relation::Older,
         }
     }
 }
 
-/// A life that may be a former one, and its last heartbeat.
+/// The last heartbeat of an instance that may be a former one or the successor.
 #[derive(Clone, Debug)]
-struct Rival {
+struct PendingReplacement {
     life: Life,
     seq: u64,
 }
 
-/// The upstream that is there, and those that were.
+/// The current upstream instance and the former ones.
 #[derive(Clone, Debug)]
 pub(super) struct Presence {
     beat_ms: u64,
-    present: Option<Present>,
-    rival: Option<Rival>,
+    current: Option<Current>,
+    pending: Option<PendingReplacement>,
     former: Vec<Life>,
 }
 
 impl Presence {
     pub(super) fn new(beat_ms: u64) -> Presence {
-        Presence { beat_ms, present: None, rival: None, former: Vec::new() }
+        Presence { beat_ms, current: None, pending: None, former: Vec::new() }
     }
 
-    /// Whether an upstream is known that may be there.
+    /// Whether an upstream is known and has not ended.
     pub(super) fn is_known(&self) -> bool {
-        self.present.as_ref().is_some_and(|it| it.state != Upstream::Ended)
+        self.current.as_ref().is_some_and(|it| it.state != Upstream::Ended)
     }
 
     /// Whether an upstream is or was known.
     pub(super) fn was_known(&self) -> bool {
-        self.present.is_some()
+        self.current.is_some()
     }
 
-    /// State of the upstream, if one is known.
+    /// State of the upstream; none if no heartbeat was received.
     pub(super) fn state(&self, now_ms: u64) -> Option<Upstream> {
-        let present = self.present.as_ref()?;
-        let silent = now_ms.saturating_sub(present.heard_ms) > self.beat_ms * MISSED_BEATS;
-        let unsure = present.state == Upstream::Ready && silent;
-        Some(if unsure { Upstream::Unknown } else { present.state })
+        let current = self.current.as_ref()?;
+        let silent =
+            now_ms.saturating_sub(current.last_seen_ms) > self.beat_ms * MAX_MISSED_HEARTBEATS;
+        let unsure = current.state == Upstream::Ready && silent;
+        Some(if unsure { Upstream::Unknown } else { current.state })
     }
 
-    /// Requests that the upstream runs at once, and whether it is still slow from its start.
+    /// Slots of the upstream, and whether it is still cold.
     pub(super) fn capacity(&self, now_ms: u64) -> (u32, bool) {
-        self.present.as_ref().map_or((1, false), |it| (it.slots, now_ms < it.cold_until))
+        self.current.as_ref().map_or((1, false), |it| (it.slots, now_ms < it.cold_until_ms))
     }
 
-    /// Requests that the upstream runs at once, if it has said so.
+    /// Slots of the upstream; none before the first heartbeat.
     pub(super) fn slots(&self) -> Option<u32> {
-        self.present.as_ref().map(|it| it.slots)
+        self.current.as_ref().map(|it| it.slots)
     }
 
-    /// Takes a heartbeat.
+    /// Applies a heartbeat and returns which instance sent it.
     pub(super) fn hear(&mut self, beat: &Heartbeat, now_ms: u64) -> Sender {
         if self.former.contains(&beat.life) {
             return Sender::Late;
         }
-        let Some(present) = &self.present else {
-            self.present = Some(Present::new(beat, now_ms));
+        let Some(current) = &self.current else {
+            self.current = Some(Current::new(beat, now_ms));
             return if beat.seq <= 1 { Sender::Newborn } else { Sender::Known };
         };
-        let old = beat.seq <= present.seq || present.state == Upstream::Ended;
-        match present.relation(beat) {
-            Relation::Foreign => Sender::Foreign,
+        let old = beat.seq <= current.seq || current.state == Upstream::Ended;
+        match current.relation(beat) {
+            Relation::MissingStartTime => Sender::Foreign,
             Relation::Same if old => Sender::Late,
             Relation::Same => {
-                self.rival = None;
-                self.present = Some(Present::new(beat, now_ms));
+                self.pending = None;
+                self.current = Some(Current::new(beat, now_ms));
                 Sender::Known
             }
-            Relation::Older if !self.is_replaced(beat, now_ms) => Sender::Late,
-            Relation::Unclear if !self.is_replaced(beat, now_ms) => Sender::Unclear,
-            Relation::After | Relation::Older | Relation::Unclear => self.succeed(beat, now_ms),
+            Relation::Older if !self.confirms_replacement(beat, now_ms) => Sender::Late,
+            Relation::Ambiguous if !self.confirms_replacement(beat, now_ms) => Sender::Unclear,
+            Relation::Newer | Relation::Older | Relation::Ambiguous => {
+                self.replace_current(beat, now_ms)
+            }
         }
     }
 
-    /// The latest time at which the life of a heartbeat may have begun: each of its heartbeats came at most one pause
-    /// after another.
-    fn born_before(&self, beat: &Heartbeat, now_ms: u64) -> u64 {
+    /// The latest time at which the sender can have started, given that successive heartbeats are at most one
+    /// interval apart.
+    fn latest_start_ms(&self, beat: &Heartbeat, now_ms: u64) -> u64 {
         match beat.seq {
             0 | 1 => now_ms,
             seq => now_ms.saturating_sub(self.beat_ms.saturating_mul(seq.saturating_add(1))),
         }
     }
 
-    fn succeed(&mut self, beat: &Heartbeat, now_ms: u64) -> Sender {
-        self.rival = None;
-        let born_ms = self.born_before(beat, now_ms);
-        let Some(former) = self.present.replace(Present::new(beat, now_ms)) else {
+    fn replace_current(&mut self, beat: &Heartbeat, now_ms: u64) -> Sender {
+        self.pending = None;
+        let start_ms = self.latest_start_ms(beat, now_ms);
+        let Some(former) = self.current.replace(Current::new(beat, now_ms)) else {
             return Sender::Known;
         };
-        if self.former.len() == FORMER_KEPT {
+        if self.former.len() == MAX_FORMER_INSTANCES {
             self.former.remove(0);
         }
-        // Lives under one id that don't say when they started can't be told apart.
+        // Instances with the same id and no start times can't be told apart.
         if former.life != beat.life {
             self.former.push(former.life);
         }
-        Sender::Successor { until_ms: former.heard_ms.min(born_ms) }
+        Sender::Successor { until_ms: former.last_seen_ms.min(start_ms) }
     }
 
-    /// Whether a life that may be a former one goes on, while the known one is silent.
-    fn is_replaced(&mut self, beat: &Heartbeat, now_ms: u64) -> bool {
-        let Some(present) = &self.present else {
+    /// Records an ambiguous heartbeat; true if its instance has sent an earlier one and the current instance is
+    /// silent or ended.
+    fn confirms_replacement(&mut self, beat: &Heartbeat, now_ms: u64) -> bool {
+        let Some(current) = &self.current else {
             return true;
         };
-        let ended = present.state == Upstream::Ended;
-        let silent = now_ms.saturating_sub(present.heard_ms) > self.beat_ms * RIVAL_BEATS;
-        let before = self.rival.replace(Rival { life: beat.life.clone(), seq: beat.seq });
+        let ended = current.state == Upstream::Ended;
+        let silent = now_ms.saturating_sub(current.last_seen_ms)
+            > self.beat_ms * REPLACE_AFTER_MISSED_HEARTBEATS;
+        let before =
+            self.pending.replace(PendingReplacement { life: beat.life.clone(), seq: beat.seq });
         let goes_on = before.is_some_and(|it| it.life == beat.life && it.seq < beat.seq);
         goes_on && (silent || ended)
     }
 
-    /// An upstream says that it ends; whether it is the one that is known. One that does not say when it started, beside
-    /// others that do, is believed if it was about to leave: then its word can't be of a former life.
+    /// Handles the announcement of an upstream that it ends; true if that is the current one. One without a start
+    /// time counts only if the current instance was draining, as it can't come from a former one then.
     pub(super) fn deregister(&mut self, life: &Life) -> bool {
-        let Some(present) = self.present.as_mut().filter(|it| it.life.id == life.id) else {
+        let Some(current) = self.current.as_mut().filter(|it| it.life.id == life.id) else {
             return false;
         };
-        let unsaid = life.born_ms.is_none() && present.state == Upstream::Draining;
-        if present.life.born_ms != life.born_ms && !unsaid {
+        let without_start_time = life.born_ms.is_none() && current.state == Upstream::Draining;
+        if current.life.born_ms != life.born_ms && !without_start_time {
             return false;
         }
-        present.state = Upstream::Ended;
+        current.state = Upstream::Ended;
         true
     }
 
-    /// The upstream's process is proven to have ended.
+    /// Marks the upstream as ended.
     pub(super) fn end(&mut self) {
-        if let Some(present) = &mut self.present {
-            present.state = Upstream::Ended;
+        if let Some(current) = &mut self.current {
+            current.state = Upstream::Ended;
         }
     }
 }
--- a/crates/core/src/opaque/route.rs
+++ b/crates/core/src/opaque/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which pool the flows to an address go to. An older configuration never replaces a newer one.
+//! Routes from service addresses to pools. An older configuration never replaces a newer one.
 
 use std::{hash::Hasher, net::SocketAddrV4};
 
@@ -16,7 +16,7 @@
 pub struct PoolId(pub u64);
 
 impl PoolId {
-    /// The pool of this name.
+    /// Returns the pool of this name.
     pub fn of(name: &str) -> PoolId {
         let mut hasher = SipHasher13::new();
         hasher.write(name.as_bytes());
@@ -24,29 +24,29 @@
     }
 }
 
-/// A pool that flows of a route may go to.
+/// A pool of a route, with its weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
     /// The pool.
     pub pool: PoolId,
-    /// Its share of new flows, relative to the others.
+    /// Share of new flows, relative to the other weights of the route.
     pub weight: u32,
 }
 
-/// What the operator wants for the requests of a route.
+/// Service level objective for the requests of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Objective {
-    /// Which requests go first if not all can be in time; 0 is the highest.
+    /// Priority under overload; 0 is the highest.
     pub priority: u8,
-    /// Latency below which an answer is in time, in milliseconds.
+    /// Target latency in milliseconds.
     pub latency_ms: u32,
-    /// Time after which an answer is of no use, in milliseconds.
+    /// Time in milliseconds after which an answer is of no use to the caller.
     pub timeout_ms: u32,
-    /// Whether a caller may send a request again after any failure.
+    /// Whether a caller may retry a request after any failure.
     pub idempotent: bool,
 }
 
-/// Where flows to one address go.
+/// The pools and constraints for flows to one address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     shares: Vec<Share>,
@@ -55,104 +55,104 @@
 }
 
 impl Route {
-    /// A route over these pools.
+    /// Creates a route over weighted pools.
     pub fn new(shares: Vec<Share>) -> Route {
         Route { shares, objective: None, regions: Vec::new() }
     }
 
-    /// The route with an objective for its requests.
+    /// Sets the objective of its requests.
     pub fn with_objective(self, objective: Objective) -> Route {
         Route { objective: Some(objective), ..self }
     }
 
-    /// The route for requests that may be served in these regions only; none named allow all.
+    /// Restricts the route to regions; an empty list allows all.
     pub fn with_regions(self, regions: Vec<RegionId>) -> Route {
         Route { regions, ..self }
     }
 
-    /// The regions in which its requests may be served; none named allow all.
+    /// Allowed regions; an empty list allows all.
     pub fn regions(&self) -> &[RegionId] {
         &self.regions
     }
 
-    /// The pool that a new flow goes to.
+    /// Selects the pool of a new flow by weight; none if the route has no pools.
     pub fn pick(&self, hash: u64) -> Option<PoolId> {
         let total: u64 = self.shares.iter().map(|it| u64::from(it.weight)).sum();
         if total == 0 {
             return self.shares.first().map(|it| it.pool);
         }
-        // The low bits choose the candidates.
-        let mut left = (hash >> 32) % total;
+        // The low bits select the candidates.
+        let mut remaining = (hash >> 32) % total;
         for share in &self.shares {
             let weight = u64::from(share.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(share.pool);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
 
-    /// Whether flows of the route may be in the pool.
+    /// Whether the route includes the pool.
     pub fn allows(&self, pool: PoolId) -> bool {
         self.shares.iter().any(|it| it.pool == pool)
     }
 
-    /// The objective of its requests, if one is known.
+    /// Objective of its requests, if one is configured.
     pub fn objective(&self) -> Option<Objective> {
         self.objective
     }
 
-    /// The pools.
+    /// The pools and their weights.
     pub fn shares(&self) -> &[Share] {
         &self.shares
     }
 }
 
-/// What orders configurations. The operator's version goes first: it outlives the store's coming back from an older copy, after
-/// which an old version may stand at a newer revision than the one in force.
+/// Orders configurations, by the operator's version first: after a store reset to an older copy, an old version may
+/// have a newer revision than the configuration in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Stamp {
-    /// Version that the operator gave to the configuration.
+    /// Version set by the operator.
     pub version: u64,
-    /// Revision that the store gave to it.
+    /// Revision assigned by the store.
     pub revision: Revision,
 }
 
 /// All routes of one version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Routes {
-    /// Revision that the store gave to this configuration.
+    /// Revision assigned by the store.
     pub revision: Revision,
-    /// Version that the operator gave to it.
+    /// Version set by the operator.
     pub version: u64,
-    /// Route of each address.
+    /// Routes by service address.
     pub by_address: FxHashMap<SocketAddrV4, Route>,
-    /// New flows a second that a cold upstream bears, for pools where that is bounded.
+    /// Most new flows per second for a cold upstream, for pools with such a limit.
     pub cold_rates: FxHashMap<PoolId, u32>,
 }
 
 impl Routes {
-    /// What orders them among others.
+    /// Returns the stamp that orders this configuration.
     pub fn stamp(&self) -> Stamp {
         Stamp { version: self.version, revision: self.revision }
     }
 }
 
-/// What the table says of an address.
+/// Result of a route lookup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lookup<'a> {
     /// No configuration is known.
     NoConfig,
     /// The address has a route.
     Route(&'a Route),
-    /// It had one, which a later configuration dropped.
+    /// The address had a route that a later configuration removed.
     Dropped,
-    /// It has none.
+    /// The address has no route.
     None,
 }
 
-/// The routes in force.
+/// The routes in force, and the addresses whose routes were removed.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     routes: Option<Routes>,
@@ -160,20 +160,20 @@
 }
 
 impl RouteTable {
-    /// The routes in force.
+    /// Routes in force; none before the first configuration.
     pub fn routes(&self) -> Option<&Routes> {
         self.routes.as_ref()
     }
 
-    /// Stamp of the routes in force; none if there are none.
+    /// Stamp of the routes in force; none before the first configuration.
     pub fn stamp(&self) -> Option<Stamp> {
         self.routes.as_ref().map(Routes::stamp)
     }
 
-    /// Puts routes in force unless they are older than those that are; whether they were.
+    /// Applies a configuration if it is newer than the one in force; returns whether it was applied.
     pub fn put(&mut self, routes: Routes) -> bool {
         if let Some(known) = &self.routes {
-            if !has_grown(&known.stamp(), &routes.stamp()) {
+            if !is_newer(&known.stamp(), &routes.stamp()) {
                 return false;
             }
             let gone = known.by_address.keys().filter(|it| !routes.by_address.contains_key(it));
@@ -184,12 +184,12 @@
         true
     }
 
-    /// New flows a second that a cold upstream of the pool bears, if that is bounded.
+    /// Most new flows per second for a cold upstream of the pool, if limited.
     pub fn cold_rate(&self, pool: PoolId) -> Option<u32> {
         self.routes.as_ref()?.cold_rates.get(&pool).copied()
     }
 
-    /// What is known of an address.
+    /// Looks up the route of an address.
     pub fn lookup(&self, address: SocketAddrV4) -> Lookup<'_> {
         let Some(routes) = &self.routes else {
             return Lookup::NoConfig;
@@ -202,9 +202,12 @@
     }
 }
 
-/// Whether a configuration is newer than the known one. Within an era a later revision never has a lower version.
-fn has_grown(known: &Stamp, news: &Stamp) -> bool {
-    let later = news.revision > known.revision && news.revision.era == known.revision.era;
-    let grows = !later || invariant::check(Invariant::VersionGrows, news.version >= known.version);
-    grows && news > known
+/// Whether a configuration is newer than the known one. Within a store era, a later revision never has a lower
+/// version.
+fn is_newer(known: &Stamp, update: &Stamp) -> bool {
+    let later_in_era =
+        update.revision > known.revision && update.revision.era == known.revision.era;
+    let version_grows =
+        !later_in_era || invariant::check(Invariant::VersionGrows, update.version >= known.version);
+    version_grows && update > known
 }
--- a/crates/core/src/opaque/zone.rs
+++ b/crates/core/src/opaque/zone.rs
@@ -1,8 +1,8 @@
-//! Zones that the operator has taken out of service: no new flow goes to their upstreams, flows that are open stay.
+//! Zones that the operator has taken out of service: their upstreams get no new flows, open flows stay.
 //!
-//! The store holds one entry for each such zone. What a process knows is the whole set as of a revision of the store,
-//! so news that come out of order never bring a former set back. When the store comes back from an older copy it may lack
-//! entries that it had confirmed: their zones stay out of service until the operator has had time to write them again.
+//! The store holds one entry per zone. Processes handle the whole set as of a store revision, so updates that arrive
+//! out of order never restore an older set. When the store is reset to an older copy it may lack confirmed entries;
+//! their zones stay out of service until the operator has had time to write them again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +14,7 @@
 pub struct ZoneId(pub u64);
 
 impl ZoneId {
-    /// The zone of this name.
+    /// Returns the zone of this name.
     pub fn of(name: &str) -> ZoneId {
         ZoneId(PoolId::of(name).0)
     }
@@ -25,7 +25,7 @@
 pub struct RegionId(pub u64);
 
 impl RegionId {
-    /// The region of this name.
+    /// Returns the region of this name.
     pub fn of(name: &str) -> RegionId {
         RegionId(PoolId::of(name).0)
     }
@@ -34,7 +34,7 @@
 /// The region of each zone.
 pub type Regions = BTreeMap<ZoneId, RegionId>;
 
-/// The zones that are out of service at a revision of the store.
+/// The zones out of service as of a store revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ZonesOut {
     revision: Revision,
@@ -42,7 +42,7 @@
 }
 
 impl ZonesOut {
-    /// The zones of these names, as of a revision of the store.
+    /// Creates a set from zone names, as of a store revision.
     pub fn new<I>(revision: Revision, names: I) -> ZonesOut
     where
         I: IntoIterator<Item = String>,
@@ -51,7 +51,7 @@
         ZonesOut { revision, names }
     }
 
-    /// The set after changes up to a revision of the store: names, and whether each is out of service from then on.
+    /// Returns the set after changes up to a revision: zone names, each with whether it is now out of service.
     pub fn with_changes<I>(&self, revision: Revision, changes: I) -> ZonesOut
     where
         I: IntoIterator<Item = (String, bool)>,
@@ -68,7 +68,7 @@
         ZonesOut { revision, names }
     }
 
-    /// Revision of the store.
+    /// Store revision of the set.
     pub fn revision(&self) -> Revision {
         self.revision
     }
@@ -84,42 +84,42 @@
     }
 }
 
-/// What became of news on zones.
+/// Result of an update of the zones out of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneNews {
-    /// They are older than what is known and were ignored.
+    /// The update is not newer than the set in force and was ignored.
     Old,
-    /// They confirm the set that is known.
+    /// The update left the set of zones unchanged.
     Same,
-    /// The set is in force that they tell of.
+    /// The set of zones changed.
     Changed,
 }
 
 /// A zone whose entry the store lost.
 #[derive(Clone, Debug)]
-struct Lost {
+struct LostZone {
     name: String,
     until_ms: u64,
 }
 
-/// The set in force, if one is known.
+/// The zones out of service: the store's set, if known, and lost entries.
 #[derive(Clone, Debug)]
 pub(super) struct ZoneTable {
     known: Option<ZonesOut>,
-    lost: BTreeMap<ZoneId, Lost>,
-    /// When the first news came: what peers say of lost entries counts for the time of one reset from then on, so that they can't
-    /// tell one another of it for ever.
-    first_ms: Option<u64>,
+    lost: BTreeMap<ZoneId, LostZone>,
+    /// Time of the first update. Lost entries reported by peers are accepted only for a limited time after it, so
+    /// that balancers can't refresh them among themselves forever.
+    first_update_ms: Option<u64>,
 }
 
 impl Default for ZoneTable {
     fn default() -> ZoneTable {
-        ZoneTable { known: Some(ZonesOut::default()), lost: BTreeMap::new(), first_ms: None }
+        ZoneTable { known: Some(ZonesOut::default()), lost: BTreeMap::new(), first_update_ms: None }
     }
 }
 
 impl ZoneTable {
-    /// A table that knows nothing yet.
+    /// A table before the first update.
     pub(super) fn unknown() -> ZoneTable {
         ZoneTable { known: None, ..ZoneTable::default() }
     }
@@ -128,8 +128,8 @@
         self.known.as_ref()
     }
 
-    /// Names of all zones that get no new flow, those of lost entries among them.
-    pub(super) fn names(&self) -> Vec<&str> {
+    /// Names of all zones that get no new flows, including those of lost entries.
+    pub(super) fn out_names(&self) -> Vec<&str> {
         let lost = self.lost.values().map(|it| it.name.as_str());
         self.known.iter().flat_map(ZonesOut::names).chain(lost).collect()
     }
@@ -139,9 +139,9 @@
         self.lost.values().map(|it| it.name.as_str())
     }
 
-    /// Takes a peer's word on entries that the store lost before this process knew it; whether it changes anything.
-    pub(super) fn learn_lost(&mut self, names: Vec<String>, now_ms: u64) -> bool {
-        let until_ms = *self.first_ms.get_or_insert(now_ms) + WRITTEN_AGAIN_MS;
+    /// Merges lost entries reported by a peer; true if this adds any.
+    pub(super) fn merge_lost(&mut self, names: Vec<String>, now_ms: u64) -> bool {
+        let until_ms = *self.first_update_ms.get_or_insert(now_ms) + WRITTEN_AGAIN_MS;
         if now_ms >= until_ms {
             return false;
         }
@@ -151,44 +151,46 @@
             if self.known.as_ref().is_some_and(|it| it.contains(zone)) {
                 continue;
             }
-            self.lost.entry(zone).or_insert(Lost { name, until_ms });
+            self.lost.entry(zone).or_insert(LostZone { name, until_ms });
         }
         self.lost.len() > before
     }
 
-    pub(super) fn put(&mut self, news: ZonesOut, now_ms: u64) -> ZoneNews {
-        self.first_ms.get_or_insert(now_ms);
-        let before = self.zones();
+    pub(super) fn apply(&mut self, update: ZonesOut, now_ms: u64) -> ZoneNews {
+        self.first_update_ms.get_or_insert(now_ms);
+        let before = self.ids();
         if let Some(known) = &self.known {
-            let is_same = news.revision == known.revision && news.names == known.names;
-            if news.revision <= known.revision && !is_same {
+            let is_same = update.revision == known.revision && update.names == known.names;
+            if update.revision <= known.revision && !is_same {
                 return ZoneNews::Old;
             }
-            if news.revision.era > known.revision.era {
-                let lost =
-                    |it: &String| Lost { name: it.clone(), until_ms: now_ms + WRITTEN_AGAIN_MS };
+            if update.revision.era > known.revision.era {
+                let lost = |it: &String| LostZone {
+                    name: it.clone(),
+                    until_ms: now_ms + WRITTEN_AGAIN_MS,
+                };
                 self.lost.extend(known.names.iter().map(|(&zone, it)| (zone, lost(it))));
             }
         }
-        // From its entry on the store's word holds for a zone.
-        self.lost.retain(|it, _| !news.contains(*it));
-        let is_first = self.known.replace(news).is_none();
-        if is_first || self.zones() != before { ZoneNews::Changed } else { ZoneNews::Same }
+        // Once an entry is written again, the store decides for its zone.
+        self.lost.retain(|it, _| !update.contains(*it));
+        let is_first = self.known.replace(update).is_none();
+        if is_first || self.ids() != before { ZoneNews::Changed } else { ZoneNews::Same }
     }
 
-    /// Gives up waiting for entries that the operator did not write again; whether there were some.
-    pub(super) fn release(&mut self, now_ms: u64) -> bool {
+    /// Drops lost entries that the operator did not write again in time; true if there were any.
+    pub(super) fn expire_lost(&mut self, now_ms: u64) -> bool {
         let before = self.lost.len();
         self.lost.retain(|_, it| now_ms < it.until_ms);
         self.lost.len() < before
     }
 
-    pub(super) fn is_out(&self, zone: ZoneId) -> bool {
+    pub(super) fn is_out_of_service(&self, zone: ZoneId) -> bool {
         let known = self.known.as_ref().is_some_and(|it| it.contains(zone));
         known || self.lost.contains_key(&zone)
     }
 
-    fn zones(&self) -> BTreeSet<ZoneId> {
+    fn ids(&self) -> BTreeSet<ZoneId> {
         let known = self.known.iter().flat_map(|it| it.names.keys());
         known.chain(self.lost.keys()).copied().collect()
     }
--- a/crates/core/tests/opaque/fleet.rs
+++ b/crates/core/tests/opaque/fleet.rs
@@ -2,18 +2,18 @@
 
 use crate::support::{POOL, ZONE, address, report};
 
-const FAR: ZoneId = ZoneId(2);
+const OTHER_ZONE: ZoneId = ZoneId(2);
 
-fn fleet(own: u8, far: u8) -> Fleet {
+fn fleet(own: u8, other: u8) -> Fleet {
     let mut fleet = Fleet::default();
-    for host in 0..own + far {
-        let zone = if host < own { ZONE } else { FAR };
-        fleet.report(address(host), Report { zone, ..report(1, 0) }, 0);
+    for host in 0..own + other {
+        let zone = if host < own { ZONE } else { OTHER_ZONE };
+        fleet.apply_report(address(host), Report { zone, ..report(1, 0) }, 0);
     }
     fleet
 }
 
-fn picked(fleet: &Fleet, hash: u64, now_ms: u64) -> Vec<u8> {
+fn candidate_hosts(fleet: &Fleet, hash: u64, now_ms: u64) -> Vec<u8> {
     let agents = fleet.candidates(POOL, hash, ZONE, None, &[], now_ms).agents;
     agents.iter().map(|it| it.ip().octets()[3]).collect()
 }
@@ -21,42 +21,42 @@
 #[test]
 fn the_own_zone_comes_first_and_leaves_half_of_the_seats_to_others() {
     for hash in 0..50 {
-        let hosts = picked(&fleet(10, 10), hash, 0);
+        let hosts = candidate_hosts(&fleet(10, 10), hash, 0);
         assert_eq!(hosts.len(), 8);
         assert!(hosts[..4].iter().all(|&it| it < 10), "{hosts:?}");
         assert!(hosts[4..].iter().all(|&it| it >= 10), "{hosts:?}");
     }
-    assert_eq!(picked(&fleet(10, 1), 0, 0).len(), 8);
-    assert_eq!(picked(&fleet(2, 2), 0, 0).len(), 4);
+    assert_eq!(candidate_hosts(&fleet(10, 1), 0, 0).len(), 8);
+    assert_eq!(candidate_hosts(&fleet(2, 2), 0, 0).len(), 4);
 }
 
 #[test]
 fn silent_draining_and_pausing_agents_get_no_flows() {
     let mut fleet = fleet(4, 0);
-    fleet.report(address(0), Report { upstream: Upstream::Draining, ..report(2, 0) }, 100);
-    fleet.report(address(1), Report { plan: Plan::Pause, ..report(2, 0) }, 100);
-    fleet.report(address(2), report(2, 0), 3_000);
-    assert_eq!(picked(&fleet, 9, 3_000), [2]);
+    fleet.apply_report(address(0), Report { upstream: Upstream::Draining, ..report(2, 0) }, 100);
+    fleet.apply_report(address(1), Report { plan: Plan::Pause, ..report(2, 0) }, 100);
+    fleet.apply_report(address(2), report(2, 0), 3_000);
+    assert_eq!(candidate_hosts(&fleet, 9, 3_000), [2]);
 }
 
 // Random fleets, seed 1233: an agent that restarted beside a leaving upstream took flows for it as a last resort.
 #[test]
 fn an_upstream_that_leaves_goes_on_leaving_when_its_agent_restarts() {
     let mut fleet = fleet(1, 0);
-    fleet.report(address(0), Report { upstream: Upstream::Draining, ..report(2, 0) }, 1);
+    fleet.apply_report(address(0), Report { upstream: Upstream::Draining, ..report(2, 0) }, 1);
     let restarted = Report { incarnation: 2, upstream: Upstream::Unknown, ..report(1, 0) };
-    fleet.report(address(0), restarted, 2);
-    assert!(picked(&fleet, 0, 2).is_empty());
-    fleet.report(address(0), Report { incarnation: 2, ..report(2, 0) }, 3);
-    assert_eq!(picked(&fleet, 0, 3), [0]);
+    fleet.apply_report(address(0), restarted, 2);
+    assert!(candidate_hosts(&fleet, 0, 2).is_empty());
+    fleet.apply_report(address(0), Report { incarnation: 2, ..report(2, 0) }, 3);
+    assert_eq!(candidate_hosts(&fleet, 0, 3), [0]);
 }
 
 #[test]
 fn an_upstream_of_unknown_state_comes_last() {
     let mut fleet = fleet(1, 3);
-    fleet.report(address(0), Report { upstream: Upstream::Unknown, ..report(2, 0) }, 1);
+    fleet.apply_report(address(0), Report { upstream: Upstream::Unknown, ..report(2, 0) }, 1);
     for hash in 0..20 {
-        assert_eq!(picked(&fleet, hash, 1).last(), Some(&0));
+        assert_eq!(candidate_hosts(&fleet, hash, 1).last(), Some(&0));
     }
 }
 
@@ -71,23 +71,23 @@
 #[test]
 fn old_reports_change_nothing() {
     let mut fleet = fleet(1, 0);
-    assert_eq!(fleet.report(address(0), report(5, 10), 1), Change::None);
+    assert_eq!(fleet.apply_report(address(0), report(5, 10), 1), Change::None);
     let old = Report { upstream: Upstream::Draining, ..report(4, 10) };
-    assert_eq!(fleet.report(address(0), old, 2), Change::Old);
-    assert_eq!(picked(&fleet, 0, 2), [0]);
+    assert_eq!(fleet.apply_report(address(0), old, 2), Change::Old);
+    assert_eq!(candidate_hosts(&fleet, 0, 2), [0]);
     let away = Report { plan: Plan::Restart, ..report(6, 10) };
-    assert_eq!(fleet.report(address(0), away, 3), Change::Away);
-    assert!(fleet.is_away(address(0)));
+    assert_eq!(fleet.apply_report(address(0), away, 3), Change::Away);
+    assert!(fleet.is_restarting(address(0)));
     let back = Report { incarnation: 2, ..report(1, 10) };
-    assert_eq!(fleet.report(address(0), back, 4), Change::Restarted);
-    assert!(!fleet.is_away(address(0)));
+    assert_eq!(fleet.apply_report(address(0), back, 4), Change::Restarted);
+    assert!(!fleet.is_restarting(address(0)));
 }
 
 #[test]
 fn the_limit_follows_the_mean_load() {
     let mut fleet = fleet(2, 0);
-    fleet.report(address(0), report(2, 1_000), 1);
-    fleet.report(address(1), report(2, 2_000), 1);
+    fleet.apply_report(address(0), report(2, 1_000), 1);
+    fleet.apply_report(address(1), report(2, 2_000), 1);
     let limit = fleet.candidates(POOL, 0, ZONE, None, &[], 1).limit;
     assert!((1_500..1_600).contains(&limit), "{limit}");
 }
@@ -95,7 +95,7 @@
 #[test]
 fn a_restart_that_was_announced_is_waited_for_longer() {
     let mut fleet = fleet(2, 0);
-    fleet.report(address(0), Report { plan: Plan::Restart, ..report(2, 0) }, 0);
+    fleet.apply_report(address(0), Report { plan: Plan::Restart, ..report(2, 0) }, 0);
     assert!(!fleet.is_gone(address(0), 5_000));
     assert!(fleet.is_gone(address(1), 5_000));
     assert!(fleet.is_gone(address(0), 11_000));
@@ -105,7 +105,7 @@
 #[test]
 fn an_agent_without_an_upstream_is_not_waited_for() {
     let mut fleet = fleet(1, 0);
-    fleet.report(address(0), Report { upstream: Upstream::Ended, ..report(2, 0) }, 0);
+    fleet.apply_report(address(0), Report { upstream: Upstream::Ended, ..report(2, 0) }, 0);
     assert!(!fleet.is_gone(address(0), 2_000));
     assert!(fleet.is_gone(address(0), 3_000));
 }
@@ -114,20 +114,20 @@
 fn a_listed_agent_is_greeted_until_it_reports() {
     let mut fleet = Fleet::default();
     let listed = Listed { address: address(1), pool: Some(POOL), zone: ZONE };
-    fleet.list(&[listed], 1_000);
-    assert_eq!(fleet.to_greet(1_000), [address(1)]);
-    assert!(fleet.to_greet(1_500).is_empty());
-    assert_eq!(fleet.to_greet(2_100), [address(1)]);
-    fleet.report(address(1), report(1, 0), 2_200);
-    assert!(fleet.to_greet(3_300).is_empty());
-    assert_eq!(fleet.to_greet(3_900), [address(1)]);
+    fleet.sync_members(&[listed], 1_000);
+    assert_eq!(fleet.agents_to_greet(1_000), [address(1)]);
+    assert!(fleet.agents_to_greet(1_500).is_empty());
+    assert_eq!(fleet.agents_to_greet(2_100), [address(1)]);
+    fleet.apply_report(address(1), report(1, 0), 2_200);
+    assert!(fleet.agents_to_greet(3_300).is_empty());
+    assert_eq!(fleet.agents_to_greet(3_900), [address(1)]);
 }
 
 #[test]
 fn an_agent_that_the_store_no_longer_lists_is_kept_while_it_reports() {
     let mut fleet = fleet(1, 0);
-    fleet.list(&[], 100);
+    fleet.sync_members(&[], 100);
     assert_eq!(fleet.len(), 1);
-    fleet.list(&[], 10_000);
+    fleet.sync_members(&[], 10_000);
     assert!(fleet.is_empty());
 }
