--- a/crates/core/src/opaque/balancer.rs
+++ b/crates/core/src/opaque/balancer.rs
@@ -140,8 +140,8 @@
     }
 
     /// Applies an update of the zones out of service.
-    pub fn put_zones(&mut self, news: ZonesOut, now_ms: u64) -> ZoneNews {
-        self.fleet.put_zones(news, now_ms)
+    pub fn put_zones(&mut self, update: ZonesOut, now_ms: u64) -> ZoneNews {
+        self.fleet.put_zones(update, now_ms)
     }
 
     /// Merges zones that a peer keeps out of service after the store lost their entries; true if this adds any.
@@ -251,9 +251,9 @@
     /// Records the time of an event. After a stall, the agents' last-seen times are shifted, as no report could be
     /// received meanwhile.
     fn record_event_time(&mut self, now_ms: u64) {
-        let passed = now_ms.saturating_sub(self.last_event_ms);
-        if passed > STALL_THRESHOLD_MS && self.last_event_ms > 0 {
-            self.fleet.shift_last_seen(passed, now_ms);
+        let elapsed_ms = now_ms.saturating_sub(self.last_event_ms);
+        if elapsed_ms > STALL_THRESHOLD_MS && self.last_event_ms > 0 {
+            self.fleet.shift_last_seen(elapsed_ms, now_ms);
             self.member_list_ms = self.member_list_ms.map(|_| now_ms);
         }
         self.last_event_ms = now_ms;
--- a/crates/core/src/opaque/balancer/duties.rs
+++ b/crates/core/src/opaque/balancer/duties.rs
@@ -113,7 +113,8 @@
         others.into_iter().filter(|&&it| rank(it, seed) < own).count() < count
     }
 
-    /// Whether to request a configuration from a peer that has it in force; requests are not repeated within the retry interval.
+    /// Whether to request a configuration from a peer that has it in force; a request is not repeated within the retry
+    /// interval.
     pub fn wants(&mut self, stamp: Stamp, now_ms: u64) -> bool {
         if Some(stamp) <= self.routes.stamp() {
             return false;
--- a/crates/core/src/opaque/balancer/search.rs
+++ b/crates/core/src/opaque/balancer/search.rs
@@ -266,11 +266,11 @@
         if let Some(search) = &mut flow.search {
             search.pending.retain(|&it| it != from);
             search.absent.push(from);
-            let open = search.pending.is_empty();
+            let all_answered = search.pending.is_empty();
             if let Some((_, bytes)) = returned {
                 self.hold_packet(key, bytes, now_ms + SEARCH_TIMEOUT_MS, out);
             }
-            if open && !self.query_remaining(key, out) {
+            if all_answered && !self.query_remaining(key, out) {
                 self.finish_search(key, now_ms, out);
             }
             return;
@@ -291,13 +291,13 @@
 
     /// Ends a search that found no holder: resets the flow if it certainly has none, and schedules a retry otherwise.
     fn finish_search(&mut self, key: FlowKey, now_ms: u64, out: &mut Vec<Effect>) {
-        let sure = self.is_certainly_absent(&key, now_ms);
+        let certain = self.is_certainly_absent(&key, now_ms);
         let Some(flow) = self.record_failed_search(key, now_ms, out) else {
             self.hold.take(&key);
             return;
         };
         let (ack, due_ms) = (flow.ack, now_ms + flow.retry_delay_ms());
-        if sure {
+        if certain {
             self.hold.take(&key);
             reset(key, ack, Why::NotHeld, out);
         } else {
@@ -308,13 +308,14 @@
     /// Handles a flow whose hold time expired: ends its search, retries it, or drops the held packets.
     pub(super) fn handle_hold_expiry(&mut self, key: FlowKey, now_ms: u64, out: &mut Vec<Effect>) {
         let flow = self.flows.get(&key);
-        let waits =
+        let awaits_retry =
             flow.is_some_and(|it| it.search.is_none() && it.last_failed_search_ms.is_some());
-        let live = |it: &Flow| now_ms.saturating_sub(it.last_packet_ms) < CALLER_IDLE_MS;
-        if !waits {
+        let is_caller_active =
+            |it: &Flow| now_ms.saturating_sub(it.last_packet_ms) < CALLER_IDLE_MS;
+        if !awaits_retry {
             return self.finish_search(key, now_ms, out);
         }
-        if flow.is_some_and(live) {
+        if flow.is_some_and(is_caller_active) {
             self.retry_search(key, now_ms, out);
         } else {
             self.hold.take(&key);
@@ -350,8 +351,8 @@
         let holders =
             self.fleet.possible_holders(|it| route.allows(it), key.hash(), self.zone, now_ms);
         let absent = holders.iter().all(|it| search.absent.contains(it));
-        let known = self.fleet.is_complete(|it| route.allows(it), now_ms);
-        absent && known && self.is_membership_settled(now_ms)
+        let complete = self.fleet.is_complete(|it| route.allows(it), now_ms);
+        absent && complete && self.is_membership_settled(now_ms)
     }
 
     /// Ends the search as failed and returns its flow; none if no search was running.
--- a/crates/core/src/opaque/fleet.rs
+++ b/crates/core/src/opaque/fleet.rs
@@ -177,10 +177,10 @@
     }
 
     fn accepts_flows(&self, now_ms: u64) -> bool {
-        let open = self.report.is_some_and(|it| {
+        let accepting = self.report.is_some_and(|it| {
             matches!(it.upstream, Upstream::Ready | Upstream::Unknown) && it.plan == Plan::Stay
         });
-        open && !self.draining && !self.is_silent(now_ms)
+        accepting && !self.draining && !self.is_silent(now_ms)
     }
 }
 
@@ -293,9 +293,9 @@
     }
 
     /// Shifts the agents' last-seen times by a stall of this process, during which no report could be received.
-    pub fn shift_last_seen(&mut self, passed_ms: u64, now_ms: u64) {
+    pub fn shift_last_seen(&mut self, elapsed_ms: u64, now_ms: u64) {
         for (_, entry) in self.agents.iter_mut() {
-            entry.last_seen_ms = (entry.last_seen_ms + passed_ms).min(now_ms);
+            entry.last_seen_ms = (entry.last_seen_ms + elapsed_ms).min(now_ms);
         }
     }
 
@@ -335,8 +335,8 @@
         P: Fn(PoolId) -> bool,
     {
         self.agents.in_pools(allows).all(|(_, it)| {
-            let there = !it.is_silent(now_ms) && it.plan() != Plan::Restart;
-            there || it.is_gone(now_ms)
+            let reporting = !it.is_silent(now_ms) && it.plan() != Plan::Restart;
+            reporting || it.is_gone(now_ms)
         })
     }
 
--- a/crates/core/src/opaque/fleet/candidates.rs
+++ b/crates/core/src/opaque/fleet/candidates.rs
@@ -83,17 +83,20 @@
 
     fn pool_load(&self, pool: PoolId, now_ms: u64) -> PoolLoad {
         let members = self.eligible_agents(pool, now_ms);
-        let (mut service, mut measured, mut slots, mut full) = (0, 0, 0, 0);
+        let (mut service_total_ms, mut measured_slots, mut slots, mut full_slots) = (0, 0, 0, 0);
         for report in members.filter_map(|(_, it)| it.report) {
             slots += report.slots;
-            full += if report.full { report.slots } else { 0 };
+            full_slots += if report.full { report.slots } else { 0 };
             if let Some(service_ms) = report.service_ms {
-                service += service_ms * report.slots;
-                measured += report.slots;
+                service_total_ms += service_ms * report.slots;
+                measured_slots += report.slots;
             }
         }
-        let service_ms = service.checked_div(measured);
-        PoolLoad { service_ms, full_percent: (full * 100).checked_div(slots).unwrap_or(0) as u8 }
+        let service_ms = service_total_ms.checked_div(measured_slots);
+        PoolLoad {
+            service_ms,
+            full_percent: (full_slots * 100).checked_div(slots).unwrap_or(0) as u8,
+        }
     }
 
     fn accept_limit(&self, pool: PoolId, now_ms: u64) -> u16 {
--- a/crates/core/src/opaque/fleet/zones.rs
+++ b/crates/core/src/opaque/fleet/zones.rs
@@ -43,8 +43,8 @@
     }
 
     /// Applies an update of the zones out of service.
-    pub fn put_zones(&mut self, news: ZonesOut, now_ms: u64) -> ZoneNews {
-        self.zones.apply(news, now_ms)
+    pub fn put_zones(&mut self, update: ZonesOut, now_ms: u64) -> ZoneNews {
+        self.zones.apply(update, now_ms)
     }
 
     /// Names of all zones that get no new flows, including those whose entries the store lost.
--- a/crates/core/src/opaque/presence.rs
+++ b/crates/core/src/opaque/presence.rs
@@ -120,15 +120,15 @@
 /// The current upstream instance and the former ones.
 #[derive(Clone, Debug)]
 pub(super) struct Presence {
-    beat_ms: u64,
+    heartbeat_interval_ms: u64,
     current: Option<Current>,
     pending: Option<PendingReplacement>,
     former: Vec<Life>,
 }
 
 impl Presence {
-    pub(super) fn new(beat_ms: u64) -> Presence {
-        Presence { beat_ms, current: None, pending: None, former: Vec::new() }
+    pub(super) fn new(heartbeat_interval_ms: u64) -> Presence {
+        Presence { heartbeat_interval_ms, current: None, pending: None, former: Vec::new() }
     }
 
     /// Whether an upstream is known and has not ended.
@@ -144,10 +144,10 @@
     /// State of the upstream; none if no heartbeat was received.
     pub(super) fn state(&self, now_ms: u64) -> Option<Upstream> {
         let current = self.current.as_ref()?;
-        let silent =
-            now_ms.saturating_sub(current.last_seen_ms) > self.beat_ms * MAX_MISSED_HEARTBEATS;
-        let unsure = current.state == Upstream::Ready && silent;
-        Some(if unsure { Upstream::Unknown } else { current.state })
+        let silent = now_ms.saturating_sub(current.last_seen_ms)
+            > self.heartbeat_interval_ms * MAX_MISSED_HEARTBEATS;
+        let is_unknown = current.state == Upstream::Ready && silent;
+        Some(if is_unknown { Upstream::Unknown } else { current.state })
     }
 
     /// Slots of the upstream, and whether it is still cold.
@@ -169,10 +169,10 @@
             self.current = Some(Current::new(beat, now_ms));
             return if beat.seq <= 1 { Sender::Newborn } else { Sender::Known };
         };
-        let old = beat.seq <= current.seq || current.state == Upstream::Ended;
+        let outdated = beat.seq <= current.seq || current.state == Upstream::Ended;
         match current.relation(beat) {
             Relation::MissingStartTime => Sender::Foreign,
-            Relation::Same if old => Sender::Late,
+            Relation::Same if outdated => Sender::Late,
             Relation::Same => {
                 self.pending = None;
                 self.current = Some(Current::new(beat, now_ms));
@@ -191,7 +191,8 @@
     fn latest_start_ms(&self, beat: &Heartbeat, now_ms: u64) -> u64 {
         match beat.seq {
             0 | 1 => now_ms,
-            seq => now_ms.saturating_sub(self.beat_ms.saturating_mul(seq.saturating_add(1))),
+            seq => now_ms
+                .saturating_sub(self.heartbeat_interval_ms.saturating_mul(seq.saturating_add(1))),
         }
     }
 
@@ -219,11 +220,11 @@
         };
         let ended = current.state == Upstream::Ended;
         let silent = now_ms.saturating_sub(current.last_seen_ms)
-            > self.beat_ms * REPLACE_AFTER_MISSED_HEARTBEATS;
-        let before =
+            > self.heartbeat_interval_ms * REPLACE_AFTER_MISSED_HEARTBEATS;
+        let previous =
             self.pending.replace(PendingReplacement { life: beat.life.clone(), seq: beat.seq });
-        let goes_on = before.is_some_and(|it| it.life == beat.life && it.seq < beat.seq);
-        goes_on && (silent || ended)
+        let continues = previous.is_some_and(|it| it.life == beat.life && it.seq < beat.seq);
+        continues && (silent || ended)
     }
 
     /// Handles the announcement of an upstream that it ends; true if that is the current one. One without a start
--- a/crates/core/src/opaque/zone.rs
+++ b/crates/core/src/opaque/zone.rs
@@ -88,9 +88,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneNews {
     /// The update is not newer than the set in force and was ignored.
-    Old,
+    Stale,
     /// The update left the set of zones unchanged.
-    Same,
+    Unchanged,
     /// The set of zones changed.
     Changed,
 }
@@ -162,7 +162,7 @@
         if let Some(known) = &self.known {
             let is_same = update.revision == known.revision && update.names == known.names;
             if update.revision <= known.revision && !is_same {
-                return ZoneNews::Old;
+                return ZoneNews::Stale;
             }
             if update.revision.era > known.revision.era {
                 let lost = |it: &String| LostZone {
@@ -175,7 +175,7 @@
         // Once an entry is written again, the store decides for its zone.
         self.lost.retain(|it, _| !update.contains(*it));
         let is_first = self.known.replace(update).is_none();
-        if is_first || self.ids() != before { ZoneNews::Changed } else { ZoneNews::Same }
+        if is_first || self.ids() != before { ZoneNews::Changed } else { ZoneNews::Unchanged }
     }
 
     /// Drops lost entries that the operator did not write again in time; true if there were any.
--- a/crates/core/tests/opaque/fleet.rs
+++ b/crates/core/tests/opaque/fleet.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_own_zone_comes_first_and_leaves_half_of_the_seats_to_others() {
+fn own_zone_candidates_come_first_and_take_at_most_half_of_the_places() {
     for hash in 0..50 {
         let hosts = candidate_hosts(&fleet(10, 10), hash, 0);
         assert_eq!(hosts.len(), 8);
@@ -39,9 +39,9 @@
     assert_eq!(candidate_hosts(&fleet, 9, 3_000), [2]);
 }
 
-// Random fleets, seed 1233: an agent that restarted beside a leaving upstream took flows for it as a last resort.
+// A restarted agent beside a draining upstream got new flows as a last resort.
 #[test]
-fn an_upstream_that_leaves_goes_on_leaving_when_its_agent_restarts() {
+fn an_upstream_stays_draining_when_its_agent_restarts() {
     let mut fleet = fleet(1, 0);
     fleet.apply_report(address(0), Report { upstream: Upstream::Draining, ..report(2, 0) }, 1);
     let restarted = Report { incarnation: 2, upstream: Upstream::Unknown, ..report(1, 0) };
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_candidate_that_did_not_answer_comes_last() {
+fn a_candidate_to_avoid_comes_last() {
     let fleet = fleet(4, 0);
     let first = fleet.candidates(POOL, 3, ZONE, None, &[], 0).agents[0];
     let again = fleet.candidates(POOL, 3, ZONE, Some(first), &[], 0).agents;
@@ -75,8 +75,8 @@
     let old = Report { upstream: Upstream::Draining, ..report(4, 10) };
     assert_eq!(fleet.apply_report(address(0), old, 2), Change::Old);
     assert_eq!(candidate_hosts(&fleet, 0, 2), [0]);
-    let away = Report { plan: Plan::Restart, ..report(6, 10) };
-    assert_eq!(fleet.apply_report(address(0), away, 3), Change::Away);
+    let restarting = Report { plan: Plan::Restart, ..report(6, 10) };
+    assert_eq!(fleet.apply_report(address(0), restarting, 3), Change::Away);
     assert!(fleet.is_restarting(address(0)));
     let back = Report { incarnation: 2, ..report(1, 10) };
     assert_eq!(fleet.apply_report(address(0), back, 4), Change::Restarted);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_restart_that_was_announced_is_waited_for_longer() {
+fn an_agent_that_announced_its_restart_counts_as_gone_later() {
     let mut fleet = fleet(2, 0);
     fleet.apply_report(address(0), Report { plan: Plan::Restart, ..report(2, 0) }, 0);
     assert!(!fleet.is_gone(address(0), 5_000));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn an_agent_without_an_upstream_is_not_waited_for() {
+fn an_agent_without_an_upstream_is_gone_once_silent() {
     let mut fleet = fleet(1, 0);
     fleet.apply_report(address(0), Report { upstream: Upstream::Ended, ..report(2, 0) }, 0);
     assert!(!fleet.is_gone(address(0), 2_000));
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn an_agent_that_the_store_no_longer_lists_is_kept_while_it_reports() {
+fn an_unlisted_agent_is_kept_while_it_reports() {
     let mut fleet = fleet(1, 0);
     fleet.sync_members(&[], 100);
     assert_eq!(fleet.len(), 1);
--- a/crates/core/tests/opaque/listing.rs
+++ b/crates/core/tests/opaque/listing.rs
@@ -1,7 +1,6 @@
-//! Starts of whole fleets: what reading and telling the list of members costs, by the size of the fleet.
+//! Cost of distributing the member list when a whole fleet starts, by fleet size.
 //!
-//! Seen: on a fleet of 981 processes each start cost the store six to seven calls, most of them pages of the list, as each process
-//! read the whole list twice. Calls for each process grew with the number of pages, bytes with the square of the fleet.
+//! Guards against every process reading the whole list from the store.
 
 use std::{
     cmp::Reverse,
@@ -14,28 +13,28 @@
     revision::Revision,
 };
 
-/// Members on a page of the store's list.
-const PAGE: usize = 500;
+/// Members per page of the store's list.
+const PAGE_SIZE: usize = 500;
 const CALL_MS: u64 = 5;
-const HOP_MS: u64 = 2;
-/// Pause between the beginnings of two reads of one process.
-const READ_GAP_MS: u64 = 200;
-/// Bytes of a member in a list that is told, and what a slow link carries in a millisecond.
+const LATENCY_MS: u64 = 2;
+/// Minimum interval between two reads by one process.
+const READ_INTERVAL_MS: u64 = 200;
+/// Size of a member in a list, and the capacity of a slow link.
 const MEMBER_BYTES: usize = 60;
-const LINK_BYTES_MS: usize = 2_500;
+const LINK_BYTES_PER_MS: usize = 2_500;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Announced(usize),
-    Asked { at: usize, by: usize, need: Option<Revision>, referred: bool },
-    Told { to: usize, list: Revision },
+    Registered(usize),
+    Requested { at: usize, by: usize, need: Option<Revision>, referred: bool },
+    Received { to: usize, list: Revision },
     Referred { to: usize, others: Vec<usize>, list: Revision },
-    ReadBegins(usize),
-    ReadEnds { by: usize, list: Revision },
+    ReadStarted(usize),
+    ReadFinished { by: usize, list: Revision },
 }
 
-/// A fleet that starts at once: the first three processes are the seeds, and `balancers` of all need the list.
-struct Start {
+/// A fleet that starts at once. The first three processes are seeds; the first `balancers` processes need the list.
+struct FleetStart {
     balancers: usize,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     order: u64,
@@ -46,7 +45,7 @@
     link_free_ms: Vec<u64>,
     done_ms: Vec<Option<u64>>,
     calls: usize,
-    told: Vec<usize>,
+    lists_sent: Vec<usize>,
     members: usize,
 }
 
@@ -58,11 +57,11 @@
     (address.ip().to_bits() - 0x0a00_0000) as usize
 }
 
-impl Start {
-    fn new(members: usize) -> Start {
-        // As on the fleet: of ten processes three are balancers.
+impl FleetStart {
+    fn new(members: usize) -> FleetStart {
+        // Three in ten processes are balancers.
         let balancers = members * 3 / 10;
-        Start {
+        FleetStart {
             balancers,
             events: BinaryHeap::new(),
             order: 0,
@@ -73,143 +72,162 @@
             link_free_ms: vec![0; balancers],
             done_ms: vec![None; balancers],
             calls: 0,
-            told: vec![0; balancers],
+            lists_sent: vec![0; balancers],
             members,
         }
     }
 
-    fn at(&mut self, ms: u64, event: Event) {
+    fn schedule(&mut self, ms: u64, event: Event) {
         self.order += 1;
         self.events.push(Reverse((ms, self.order, event)));
     }
 
-    fn run(mut self) -> Start {
+    fn run(mut self) -> FleetStart {
         for it in 0..self.members {
-            // All start within 0.3 s, in any order.
+            // All processes start within 0.3 s, in mixed order.
             let start_ms = (it as u64 * 7_919) % 300;
-            self.at(start_ms + CALL_MS, Event::Announced(it));
+            self.schedule(start_ms + CALL_MS, Event::Registered(it));
         }
         while let Some(Reverse((now, _, event))) = self.events.pop() {
-            self.take(now, event);
+            self.handle(now, event);
         }
         self
     }
 
-    fn take(&mut self, now: u64, event: Event) {
+    fn handle(&mut self, now: u64, event: Event) {
         match event {
-            Event::Announced(it) => {
+            Event::Registered(it) => {
                 self.calls += 1;
                 self.revision += 1;
                 if it >= self.balancers {
                     return;
                 }
                 if it < 3 {
-                    return self.want_read(it, now);
+                    return self.schedule_read(it, now);
                 }
                 let since = Some(Revision::new(0, self.revision));
-                self.ask(it, now, since);
+                self.request_list(it, now, since);
             }
-            Event::Asked { at, by, need, referred } => self.answer(at, by, need, referred, now),
-            Event::ReadBegins(by) => {
-                let pages = self.members.min(self.revision as usize).div_ceil(PAGE).max(1);
+            Event::Requested { at, by, need, referred } => {
+                self.handle_request(at, by, need, referred, now)
+            }
+            Event::ReadStarted(by) => {
+                let pages = self.members.min(self.revision as usize).div_ceil(PAGE_SIZE).max(1);
                 self.calls += pages;
                 self.reading.insert(by, now);
                 let list = Revision::new(0, self.revision);
-                self.at(now + CALL_MS * pages as u64, Event::ReadEnds { by, list });
+                self.schedule(now + CALL_MS * pages as u64, Event::ReadFinished { by, list });
             }
-            Event::ReadEnds { by, list } => self.have(by, list, now),
-            Event::Told { to, list } => self.have(to, list, now),
+            Event::ReadFinished { by, list } => self.receive_list(by, list, now),
+            Event::Received { to, list } => self.receive_list(to, list, now),
             Event::Referred { to, others, list } => {
                 let at = others[0];
                 let need = Some(list);
-                self.at(now + HOP_MS, Event::Asked { at, by: to, need, referred: true });
+                self.schedule(
+                    now + LATENCY_MS,
+                    Event::Requested { at, by: to, need, referred: true },
+                );
             }
         }
     }
 
-    fn have(&mut self, it: usize, list: Revision, now: u64) {
+    fn receive_list(&mut self, it: usize, list: Revision, now: u64) {
         self.listings[it].take(list);
         self.done_ms[it].get_or_insert(now);
         for (asker, need) in self.waiting.remove(&it).unwrap_or_default() {
-            self.answer(it, asker, need, false, now);
+            self.handle_request(it, asker, need, false, now);
         }
     }
 
-    fn ask(&mut self, by: usize, now: u64, need: Option<Revision>) {
+    fn request_list(&mut self, by: usize, now: u64, need: Option<Revision>) {
         let seeds = [address(0), address(1), address(2)];
         let at = process(ask_order(address(by), &seeds)[0]);
-        self.at(now + HOP_MS, Event::Asked { at, by, need, referred: false });
+        self.schedule(now + LATENCY_MS, Event::Requested { at, by, need, referred: false });
     }
 
-    fn answer(&mut self, at: usize, by: usize, need: Option<Revision>, referred: bool, now: u64) {
+    fn handle_request(
+        &mut self,
+        at: usize,
+        by: usize,
+        need: Option<Revision>,
+        referred: bool,
+        now: u64,
+    ) {
         let wanted = need.map_or(Need::Fresh, Need::Since);
         match self.listings[at].answer(Some(address(by)), wanted, now) {
             Reply::Tell => {
-                self.told[at] += 1;
+                self.lists_sent[at] += 1;
                 let bytes = self.members * MEMBER_BYTES;
                 let begin = self.link_free_ms[at].max(now);
-                self.link_free_ms[at] = begin + (bytes / LINK_BYTES_MS) as u64;
-                let list = self.listings[at].at().expect("it is told");
-                self.at(self.link_free_ms[at] + HOP_MS, Event::Told { to: by, list });
+                self.link_free_ms[at] = begin + (bytes / LINK_BYTES_PER_MS) as u64;
+                let list = self.listings[at].at().expect("a list is sent");
+                self.schedule(self.link_free_ms[at] + LATENCY_MS, Event::Received { to: by, list });
             }
             Reply::Refer(others) => {
-                let list = self.listings[at].at().expect("it was told");
+                let list = self.listings[at].at().expect("a list was sent");
                 let others = others.into_iter().map(process).collect();
-                self.at(now + HOP_MS, Event::Referred { to: by, others, list });
+                self.schedule(now + LATENCY_MS, Event::Referred { to: by, others, list });
             }
             Reply::Read => {
                 self.waiting.entry(at).or_default().push((by, need));
-                // Who was referred waits for the list that is on its way to the one that it asks.
+                // A referred process waits for the list that its target is receiving, and causes no read.
                 if !referred {
-                    self.want_read(at, now);
+                    self.schedule_read(at, now);
                 }
             }
         }
     }
 
-    fn want_read(&mut self, by: usize, now: u64) {
-        let due = self.reading.get(&by).map_or(now, |it| (it + READ_GAP_MS).max(now));
-        let planned = |it: &Reverse<(u64, u64, Event)>| it.0.2 == Event::ReadBegins(by);
-        if !self.events.iter().any(planned) {
-            self.at(due, Event::ReadBegins(by));
+    fn schedule_read(&mut self, by: usize, now: u64) {
+        let due = self.reading.get(&by).map_or(now, |it| (it + READ_INTERVAL_MS).max(now));
+        let scheduled = |it: &Reverse<(u64, u64, Event)>| it.0.2 == Event::ReadStarted(by);
+        if !self.events.iter().any(scheduled) {
+            self.schedule(due, Event::ReadStarted(by));
         }
     }
 
-    fn calls_each(&self) -> f64 {
+    fn calls_per_member(&self) -> f64 {
         self.calls as f64 / self.members as f64
     }
 
     fn last_ms(&self) -> u64 {
         let done = self.done_ms.iter().map(|it| it.expect("each balancer has the list"));
-        done.max().expect("there are some")
+        done.max().expect("the fleet is not empty")
     }
 }
 
 #[test]
-fn calls_of_a_start_do_not_grow_faster_than_the_fleet() {
+fn store_calls_at_start_grow_no_faster_than_the_fleet() {
     for members in [300, 1_000, 2_000] {
-        let start = Start::new(members).run();
-        // One call of each process is its own entry. Read by each process for itself, twice, it would be 3, 5 and 9 calls each.
-        assert!(start.calls_each() < 1.1, "{members} members: {} calls each", start.calls_each());
+        let start = FleetStart::new(members).run();
+        // One call per process registers it. If each process read the list itself, it would be 3 to 9.
+        assert!(
+            start.calls_per_member() < 1.1,
+            "{members} members: {} calls per member",
+            start.calls_per_member()
+        );
     }
 }
 
 #[test]
-fn no_process_tells_the_list_to_many() {
+fn each_process_sends_the_member_list_to_few_others() {
     let mut before = 0;
     for members in [300, 1_000, 2_000] {
-        let start = Start::new(members).run();
-        let most = start.told.iter().copied().max().expect("there are some");
-        // Twice the fleet must not be twice the work of one process.
-        assert!(most <= 24, "{members} members: one told {most}, {before} in the fleet before");
+        let start = FleetStart::new(members).run();
+        let most = start.lists_sent.iter().copied().max().expect("the fleet is not empty");
+        // The work of one process must not grow with the fleet.
+        assert!(
+            most <= 24,
+            "{members} members: one sent {most} lists, {before} in the smaller fleet"
+        );
         before = most;
     }
 }
 
 #[test]
-fn all_have_the_list_within_a_second_of_a_start() {
+fn all_balancers_have_the_member_list_soon_after_a_start() {
     for members in [300, 1_000, 2_000] {
-        let start = Start::new(members).run();
+        let start = FleetStart::new(members).run();
         assert!(
             start.last_ms() < 1_300,
             "{members} members: the last one after {}",
@@ -219,7 +237,7 @@
 }
 
 #[test]
-fn a_list_counts_by_its_revision() {
+fn lists_are_ordered_by_revision() {
     let mut listing = Listing::default();
     let since = |number| Need::Since(Revision::new(0, number));
     assert_eq!(listing.answer(None, Need::Any, 0), Reply::Tell);
@@ -228,7 +246,7 @@
     assert_eq!(listing.answer(None, since(5), 0), Reply::Tell);
     assert_eq!(listing.answer(None, since(6), 0), Reply::Read);
     assert_eq!(listing.answer(None, Need::Fresh, 0), Reply::Read);
-    // Of a later era: numbers of the former one say nothing.
+    // Revision numbers of different eras are not comparable.
     assert_eq!(listing.answer(None, Need::Since(Revision::new(1, 1)), 0), Reply::Read);
     listing.take(Revision::new(0, 3));
     assert_eq!(
@@ -239,7 +257,7 @@
 }
 
 #[test]
-fn who_was_told_an_older_list_is_not_named_for_a_newer_one() {
+fn a_recipient_of_an_older_list_is_not_named_for_a_newer_one() {
     let mut listing = Listing::default();
     listing.take(Revision::new(0, 5));
     for host in 0..4 {
@@ -248,6 +266,6 @@
     let old = listing.answer(None, Need::Since(Revision::new(0, 5)), 1_000);
     assert!(matches!(old, Reply::Refer(_)), "{old:?}");
     listing.take(Revision::new(0, 9));
-    // Nobody else can tell it, so it is told though the span is used up.
+    // No other process has this list, so it is sent though the window is used up.
     assert_eq!(listing.answer(None, Need::Since(Revision::new(0, 9)), 1_000), Reply::Tell);
 }
--- a/crates/core/tests/opaque/main.rs
+++ b/crates/core/tests/opaque/main.rs
@@ -1,17 +1,17 @@
-//! Opaque flows: the parts, and small fleets of them under load and faults.
+//! Opaque flows: unit tests, and simulated small fleets under load and faults.
 
 mod admission;
 mod agent;
 mod balancer;
 mod fleet;
 mod listing;
-mod lives;
 mod load;
-mod placing;
+mod placement;
 mod regions;
 mod route;
 mod support;
 mod survival;
+mod upstream_instances;
 mod walk;
 mod warmup;
 mod world;
--- a/crates/core/tests/opaque/regions.rs
+++ b/crates/core/tests/opaque/regions.rs
@@ -1,4 +1,4 @@
-//! Routes that may be served in some regions only, as a customer's law may ask for.
+//! Routes restricted to some regions.
 
 use camphorwinch_core::opaque::{
     Kind,
@@ -13,8 +13,8 @@
 use crate::support::{POOL, address, data, decisions, head, key, relays, report, resets, service};
 
 /// Two regions of one zone each; the balancer and agents 1 to 4 are in the first one, agents 5 to 8 in the second.
-const HOME: &str = "home";
-const ABROAD: &str = "abroad";
+const LOCAL: &str = "home";
+const REMOTE: &str = "abroad";
 
 fn routes(revision: u64, allowed: &[&str]) -> Routes {
     let mut routes =
@@ -27,18 +27,22 @@
 
 fn balancer(allowed: &[&str]) -> Balancer {
     let regions: Regions =
-        [HOME, ABROAD].iter().map(|it| (ZoneId::of(it), RegionId::of(it))).collect();
-    let mut it = Balancer::new(address(200), ZoneId::of(HOME)).with_regions(regions);
+        [LOCAL, REMOTE].iter().map(|it| (ZoneId::of(it), RegionId::of(it))).collect();
+    let mut it = Balancer::new(address(200), ZoneId::of(LOCAL)).with_regions(regions);
     it.put_routes(routes(1, allowed));
     it.list(&[], 0);
     for host in 1..=8 {
-        let zone = ZoneId::of(if host <= 4 { HOME } else { ABROAD });
+        let zone = ZoneId::of(if host <= 4 { LOCAL } else { REMOTE });
         it.report(address(host), Report { zone, ..report(1, 0) }, 0, &mut Vec::new());
     }
     it
 }
 
-fn packet(it: &mut Balancer, head: &camphorwinch_core::opaque::Head, now_ms: u64) -> Vec<Effect> {
+fn send_packet(
+    it: &mut Balancer,
+    head: &camphorwinch_core::opaque::Head,
+    now_ms: u64,
+) -> Vec<Effect> {
     let mut out = Vec::new();
     it.packet(head, b"body", now_ms, &mut out);
     out
@@ -47,7 +51,7 @@
 fn hosts_of_new_flows(it: &mut Balancer) -> Vec<u8> {
     let mut hosts = Vec::new();
     for port in 0..30 {
-        for (_, ask) in relays(&packet(it, &head(port, Kind::Open), 10)) {
+        for (_, ask) in relays(&send_packet(it, &head(port, Kind::Open), 10)) {
             let Ask::Open(walk) = ask else { panic!("{ask:?}") };
             hosts.extend(walk.seats().iter().map(|it| it.agent.ip().octets()[3]));
         }
@@ -58,35 +62,36 @@
 }
 
 #[test]
-fn flows_go_to_allowed_regions_only() {
+fn new_flows_go_to_allowed_regions_only() {
     assert_eq!(hosts_of_new_flows(&mut balancer(&[])), [1, 2, 3, 4, 5, 6, 7, 8]);
-    assert_eq!(hosts_of_new_flows(&mut balancer(&[HOME])), [1, 2, 3, 4]);
-    assert_eq!(hosts_of_new_flows(&mut balancer(&[ABROAD])), [5, 6, 7, 8]);
-    assert_eq!(hosts_of_new_flows(&mut balancer(&["elsewhere", HOME])), [1, 2, 3, 4]);
+    assert_eq!(hosts_of_new_flows(&mut balancer(&[LOCAL])), [1, 2, 3, 4]);
+    assert_eq!(hosts_of_new_flows(&mut balancer(&[REMOTE])), [5, 6, 7, 8]);
+    assert_eq!(hosts_of_new_flows(&mut balancer(&["elsewhere", LOCAL])), [1, 2, 3, 4]);
 }
 
 #[test]
-fn a_route_whose_regions_have_no_zone_is_refused_at_once() {
+fn flows_of_a_route_without_a_zone_in_its_regions_are_reset_at_once() {
     let mut it = balancer(&["elsewhere"]);
-    let effects = packet(&mut it, &head(1, Kind::Open), 10);
+    let effects = send_packet(&mut it, &head(1, Kind::Open), 10);
     assert_eq!(resets(&effects), 1);
     assert_eq!(decisions(&effects), [Decision::Reset(Why::NoRegion)]);
 }
 
-/// A body must not leave the allowed regions, while a flow from before the route's present regions must not be taken for dead.
+/// A flow may be older than the route's present regions, but its data must not leave them.
 #[test]
-fn a_search_asks_other_regions_without_the_packet() {
-    let mut it = balancer(&[HOME]);
-    let mut effects = packet(&mut it, &data(1, 1, 1), 10);
+fn a_search_queries_other_regions_without_the_packet() {
+    let mut it = balancer(&[LOCAL]);
+    let mut effects = send_packet(&mut it, &data(1, 1, 1), 10);
     for host in 1..=4 {
         it.answer(address(host), key(1), Answer::Absent, None, 20, &mut effects);
     }
     it.tick(1_000, &mut effects);
-    let located = relays(&effects).into_iter().map(|it| it.0.ip().octets()[3]);
-    assert!(located.into_iter().all(|it| it <= 4), "{effects:?}");
+    let located_hosts = relays(&effects).into_iter().map(|it| it.0.ip().octets()[3]);
+    assert!(located_hosts.into_iter().all(|it| it <= 4), "{effects:?}");
     assert_eq!(resets(&effects), 0);
-    let asked = |it: &Effect| matches!(it, Effect::Query { to, .. } if to.ip().octets()[3] > 4);
-    assert_eq!(effects.iter().filter(|&it| asked(it)).count(), 4);
+    let is_remote_query =
+        |it: &Effect| matches!(it, Effect::Query { to, .. } if to.ip().octets()[3] > 4);
+    assert_eq!(effects.iter().filter(|&it| is_remote_query(it)).count(), 4);
     effects.clear();
     it.verdict(address(6), key(1), Verdict::Here, 30, &mut effects);
     assert!(relays(&effects).contains(&(address(6), Ask::Deliver)), "{effects:?}");
@@ -94,8 +99,8 @@
 
 #[test]
 fn an_unsure_agent_of_another_region_does_not_get_the_packet() {
-    let mut it = balancer(&[HOME]);
-    let mut effects = packet(&mut it, &data(1, 1, 1), 10);
+    let mut it = balancer(&[LOCAL]);
+    let mut effects = send_packet(&mut it, &data(1, 1, 1), 10);
     for host in 1..=4 {
         it.answer(address(host), key(1), Answer::Absent, None, 20, &mut effects);
     }
--- a/crates/core/tests/opaque/route.rs
+++ b/crates/core/tests/opaque/route.rs
@@ -19,24 +19,23 @@
     assert_eq!(table.stamp(), Some(routes(5).stamp()));
 }
 
-// Callers were served on a dropped route for seconds after the store had confirmed a configuration without it. The store had
-// come back from an older copy, and gave later versions revisions below the one that was known, by which they were ordered.
+// After a store reset, later versions have lower revisions; ordered by revision, a dropped route stayed in force.
 #[test]
-fn a_later_version_is_in_force_though_its_revision_is_lower() {
+fn a_later_version_replaces_one_with_a_higher_revision() {
     let mut table = RouteTable::default();
     let at = |era, number| Revision::new(era, number);
     assert!(table.put(Routes { version: 22, ..routes(25) }));
     assert!(table.put(Routes { revision: at(1, 23), version: 26, ..Routes::default() }));
     assert_eq!(table.lookup(service()), Lookup::Dropped);
-    // The next one stands at the revision that was known.
+    // The next version has the revision known before the reset.
     assert!(table.put(Routes { revision: at(1, 25), version: 28, ..routes(25) }));
-    // Also from a store that does not tell its era.
+    // Also from a store that does not report its era.
     assert!(table.put(Routes { revision: at(0, 24), version: 30, ..routes(24) }));
 }
 
-// Until the operator has written again what the store lost, it holds a former version at a revision of a new era.
+// After a reset the store holds an earlier version at a revision of a new era.
 #[test]
-fn a_former_version_never_comes_back_with_the_store() {
+fn a_store_reset_never_restores_an_earlier_version() {
     let mut table = RouteTable::default();
     assert!(table.put(Routes { version: 26, ..Routes::default() }));
     assert!(!table.put(Routes { revision: Revision::new(1, 9), version: 22, ..routes(9) }));
@@ -46,7 +45,7 @@
 }
 
 #[test]
-fn a_dropped_route_is_told_from_one_that_never_was() {
+fn a_dropped_route_differs_from_an_unknown_one() {
     let mut table = RouteTable::default();
     assert_eq!(table.lookup(service()), Lookup::NoConfig);
     table.put(Routes { revision: Revision::new(0, 1), version: 1, ..Routes::default() });
@@ -71,15 +70,15 @@
 }
 
 quickcheck! {
-    fn revisions_only_grow(revisions: Vec<u8>) -> bool {
+    fn the_highest_stamp_is_in_force(revisions: Vec<u8>) -> bool {
         let mut table = RouteTable::default();
         let mut highest = None;
         for revision in revisions {
             let before = table.stamp();
             let news = routes(u64::from(revision) + 1);
             highest = highest.max(Some(news.stamp()));
-            let put = table.put(news);
-            if put != (table.stamp() > before) || table.stamp() != highest {
+            let applied = table.put(news);
+            if applied != (table.stamp() > before) || table.stamp() != highest {
                 return false;
             }
         }
