--- a/crates/core/src/opaque/balancer.rs
+++ b/crates/core/src/opaque/balancer.rs
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Drops opening packets until the zones out of service are set.
+    /// Drops opening packets until the first update of the zones out of service.
     pub fn with_unknown_zones(self) -> Balancer {
         Balancer { fleet: self.fleet.with_unknown_zones(), ..self }
     }
@@ -154,7 +154,7 @@
         self.fleet.release_zones(now_ms)
     }
 
-    /// Replaces the member list by the one read from the store.
+    /// Syncs the agents with the member list read from the store.
     pub fn list(&mut self, members: &[Listed], now_ms: u64) {
         self.member_list_ms.get_or_insert(now_ms);
         self.fleet.sync_members(members, now_ms);
--- a/crates/core/src/opaque/balancer/search.rs
+++ b/crates/core/src/opaque/balancer/search.rs
@@ -27,7 +27,7 @@
 /// Delay after the first failed search, shorter than the caller's retransmission interval of 200 ms. It doubles with
 /// each further failure.
 const SEARCH_RETRY_DELAY_MS: u64 = 100;
-/// Most doublings of the retry delay.
+/// Maximum doublings of the retry delay.
 const MAX_RETRY_DOUBLINGS: u32 = 4;
 /// Time after a caller's last packet for which failed searches are repeated: slightly longer than the longest
 /// retransmission interval.
--- a/crates/core/src/opaque/fleet/candidates.rs
+++ b/crates/core/src/opaque/fleet/candidates.rs
@@ -16,7 +16,7 @@
 /// headroom lets idle pools keep flows in their zone.
 const LIMIT_FACTOR: f64 = 1.0;
 const LIMIT_HEADROOM: f64 = 40.0;
-/// Most candidates of the balancer's own zone if other zones have some, so that a full zone does not block a flow.
+/// Maximum candidates of the balancer's own zone if other zones have some, so that a full zone does not block a flow.
 const MAX_OWN_ZONE_CANDIDATES: usize = MAX_SEATS / 2;
 
 /// Candidates of a new flow, best first, and the load limit for accepting it.
@@ -83,16 +83,16 @@
 
     fn pool_load(&self, pool: PoolId, now_ms: u64) -> PoolLoad {
         let members = self.eligible_agents(pool, now_ms);
-        let (mut service_total_ms, mut measured_slots, mut slots, mut full_slots) = (0, 0, 0, 0);
+        let (mut weighted_service_ms, mut measured_slots, mut slots, mut full_slots) = (0, 0, 0, 0);
         for report in members.filter_map(|(_, it)| it.report) {
             slots += report.slots;
             full_slots += if report.full { report.slots } else { 0 };
             if let Some(service_ms) = report.service_ms {
-                service_total_ms += service_ms * report.slots;
+                weighted_service_ms += service_ms * report.slots;
                 measured_slots += report.slots;
             }
         }
-        let service_ms = service_total_ms.checked_div(measured_slots);
+        let service_ms = weighted_service_ms.checked_div(measured_slots);
         PoolLoad {
             service_ms,
             full_percent: (full_slots * 100).checked_div(slots).unwrap_or(0) as u8,
--- a/crates/core/src/opaque/route.rs
+++ b/crates/core/src/opaque/route.rs
@@ -128,7 +128,7 @@
     pub version: u64,
     /// Routes by service address.
     pub by_address: FxHashMap<SocketAddrV4, Route>,
-    /// Most new flows per second for a cold upstream, for pools with such a limit.
+    /// Maximum new flows per second for a cold upstream, for pools with such a limit.
     pub cold_rates: FxHashMap<PoolId, u32>,
 }
 
@@ -184,7 +184,7 @@
         true
     }
 
-    /// Most new flows per second for a cold upstream of the pool, if limited.
+    /// Maximum new flows per second for a cold upstream of the pool, if limited.
     pub fn cold_rate(&self, pool: PoolId) -> Option<u32> {
         self.routes.as_ref()?.cold_rates.get(&pool).copied()
     }
