--- a/crates/core/tests/opaque/route.rs
+++ b/crates/core/tests/opaque/route.rs
@@ -75,9 +75,9 @@
         let mut highest = None;
         for revision in revisions {
             let before = table.stamp();
-            let news = routes(u64::from(revision) + 1);
-            highest = highest.max(Some(news.stamp()));
-            let applied = table.put(news);
+            let update = routes(u64::from(revision) + 1);
+            highest = highest.max(Some(update.stamp()));
+            let applied = table.put(update);
             if applied != (table.stamp() > before) || table.stamp() != highest {
                 return false;
             }
--- a/crates/core/tests/opaque/zones.rs
+++ b/crates/core/tests/opaque/zones.rs
@@ -206,7 +206,7 @@
 }
 
 /// The set of the highest revision is in force, whatever the order and number of updates.
-fn newest_set_is_in_force(news: &[(u8, u8)]) -> bool {
+fn newest_set_is_in_force(updates: &[(u8, u8)]) -> bool {
     // Each revision has one set, as in the store.
     let set = |revision: u8| {
         let names = NAMES.iter().enumerate().filter(|(at, _)| revision & (1 << at) != 0);
@@ -214,7 +214,7 @@
     };
     let mut it = balancer();
     let mut newest = None;
-    for &(revision, _) in news {
+    for &(revision, _) in updates {
         it.put_zones(set(revision), 0);
         newest = newest.max(Some(revision));
     }
@@ -222,8 +222,8 @@
 }
 
 quickcheck! {
-    fn the_newest_update_is_in_force(news: Vec<(u8, u8)>) -> bool {
-        newest_set_is_in_force(&news)
+    fn the_newest_update_is_in_force(updates: Vec<(u8, u8)>) -> bool {
+        newest_set_is_in_force(&updates)
     }
 }
 
