--- a/crates/core/src/opaque/agent.rs
+++ b/crates/core/src/opaque/agent.rs
@@ -1,4 +1,4 @@
-//! Decisions of an agent on opaque flows.
+//! State machine of the agent: admits, tracks and resets the flows of one upstream.
 
 mod flows;
 mod opening;
@@ -18,110 +18,106 @@
     effect::{Answer, Ask, Effect, Payload, Relay, Verdict},
     fleet::{Plan, REPORT_MS, Report, Upstream, ZoneId},
     hold::Hold,
-    load::{Habits, Load},
+    load::{FlowUsageTracker, Load},
     presence::{Presence, Sender},
     walk::Last,
-    warmup::Warmup,
+    warmup::WarmupLimiter,
 };
 
-/// Time after its start for which an agent may not know all flows of its upstream, unless it has seen the upstream
-/// start: longer than flows that must be kept may live.
-const LEARN_MS: u64 = 65_000;
-/// Reports between two regular ones, at the most, that the upstream is full or no longer: each goes to all balancers. With
-/// 520 balancers and 60 bytes a report they take 10 KB/s at worst.
-const FULL_REPORTS: u32 = 4;
-/// Pause between two looks for old flows.
-const PRUNE_EVERY_MS: u64 = 1_000;
-/// Room above what the caller has acknowledged within which it may acknowledge the upstream's opening packet: what
-/// can be in flight, 16 packets of 1,200 bytes, four times.
-const ACK_WINDOW: u32 = 76_800;
-
-/// What became of a heartbeat.
+/// Time after a restart for which the agent may not know all flows of its upstream; longer than the idle timeout.
+const LEARNING_MS: u64 = 65_000;
+/// Most extra reports per report interval on a change of the full state; each goes to all balancers.
+const MAX_FULL_REPORTS: u32 = 4;
+const PRUNE_INTERVAL_MS: u64 = 1_000;
+/// Range above the upstream's first sequence number in which a caller's acknowledgement is for this upstream: four
+/// times the most bytes in flight.
+const ACK_WINDOW_BYTES: u32 = 76_800;
+
+/// Result of processing a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Heard {
-    /// It told nothing new.
+    /// The state is unchanged.
     Same,
     /// The state changed.
     Changed,
-    /// It is older than what is known and was ignored.
+    /// It is older than the last accepted heartbeat and was ignored.
     Late,
-    /// It may be of a former life of the upstream or of a new one: nothing is concluded from it, so its sender must not
-    /// take it as acknowledged.
+    /// It may be from a former upstream process or a new one. It was ignored and must not be acknowledged.
     Unclear,
-    /// It is not from an upstream here: it does not say when its sender started.
+    /// It lacks the start time that the upstream here sends, so it is from another process.
     Foreign,
 }
 
-/// Who an agent is.
+/// Identity of an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// Address at which other processes reach it.
+    /// Address at which other processes reach the agent.
     pub address: SocketAddrV4,
     /// Pool of its upstream.
     pub pool: PoolId,
     /// Its zone.
     pub zone: ZoneId,
-    /// A number that differs between its starts.
+    /// Random number drawn at each start of the agent.
     pub incarnation: u64,
 }
 
 /// State of an agent.
 #[derive(Debug)]
 pub struct Agent {
-    own: Identity,
+    identity: Identity,
     report_seq: u64,
-    report_ms: u32,
+    report_interval_ms: u32,
     started_ms: u64,
     learning: bool,
     plan: Plan,
     presence: Presence,
     load: Load,
-    habits: Habits,
+    flow_usage: FlowUsageTracker,
     admission: Admission,
     breaker: Breaker,
-    warmup: Warmup,
-    /// Whether the upstream has become full or no longer is since that was last told, and when that was.
-    full_untold: bool,
-    full_told_ms: Option<u64>,
-    /// Packets of requests that wait.
+    warmup: WarmupLimiter,
+    /// The full state changed since it was last reported.
+    full_report_pending: bool,
+    full_reported_ms: Option<u64>,
+    /// Packets of waiting requests.
     hold: Hold,
     flows: FxHashMap<FlowKey, Flow>,
-    probing: usize,
-    pruned_ms: u64,
+    probing_flows: usize,
+    last_prune_ms: u64,
 }
 
 impl Agent {
-    /// An agent whose upstream sends a heartbeat each `beat_ms`. `learning` says that the upstream may be older than
-    /// the agent and hold flows that it does not know.
-    pub fn new(own: Identity, beat_ms: u64, learning: bool, now_ms: u64) -> Agent {
+    /// Creates an agent whose upstream sends a heartbeat every `beat_ms`. Set `learning` if the upstream may have
+    /// started before the agent and hold flows that the agent does not know.
+    pub fn new(identity: Identity, beat_ms: u64, learning: bool, now_ms: u64) -> Agent {
         Agent {
-            own,
+            identity,
             report_seq: 0,
-            report_ms: REPORT_MS,
+            report_interval_ms: REPORT_MS,
             started_ms: now_ms,
             learning,
             plan: Plan::Stay,
             presence: Presence::new(beat_ms),
             load: Load::default(),
-            habits: Habits::default(),
+            flow_usage: FlowUsageTracker::default(),
             admission: Admission::default(),
             breaker: Breaker::default(),
-            warmup: Warmup::default(),
-            full_untold: false,
-            full_told_ms: None,
+            warmup: WarmupLimiter::default(),
+            full_report_pending: false,
+            full_reported_ms: None,
             hold: Hold::default(),
             flows: FxHashMap::default(),
-            probing: 0,
-            pruned_ms: now_ms,
+            probing_flows: 0,
+            last_prune_ms: now_ms,
         }
     }
 
-    /// Requests in progress.
+    /// Requests in progress, including those that wait at the agent.
     pub fn busy(&self) -> u32 {
         self.load.busy()
     }
 
-    /// Requests that wait here until the upstream has a free slot.
+    /// Requests that wait at the agent for a free slot of the upstream.
     pub fn waiting(&self) -> usize {
         self.admission.waiting()
     }
@@ -131,17 +127,17 @@
         self.load.flows()
     }
 
-    /// Whether an upstream is or was there. If not, nobody needs to know of this agent.
+    /// Whether the agent has or had an upstream. If not, it need not be listed.
     pub fn has_served(&self) -> bool {
         self.learning || self.presence.was_known()
     }
 
-    /// What the agent is about to do.
+    /// Planned stop or restart of the agent.
     pub fn plan(&self) -> Plan {
         self.plan
     }
 
-    /// Sets what the agent is about to do.
+    /// Sets the plan and reports it. Releases all waiting requests if the agent stops.
     pub fn set_plan(&mut self, plan: Plan, now_ms: u64, out: &mut Vec<Effect>) {
         self.plan = plan;
         if matches!(plan, Plan::Restart | Plan::Leave) {
@@ -152,35 +148,35 @@
 
     /// State of the upstream.
     pub fn upstream(&self, now_ms: u64) -> Upstream {
-        let unheard = if self.learning { Upstream::Unknown } else { Upstream::Ended };
-        self.presence.state(now_ms).unwrap_or(unheard)
+        let default_state = if self.learning { Upstream::Unknown } else { Upstream::Ended };
+        self.presence.state(now_ms).unwrap_or(default_state)
     }
 
-    /// The next report to balancers. An agent that never had an upstream says that it leaves: balancers that know it from
-    /// a list, or from before its start, need not ask it for flows.
+    /// Builds the next report to balancers. An agent that never had an upstream reports that it leaves, so that
+    /// balancers do not query it for flows.
     pub fn next_report(&mut self, now_ms: u64) -> Report {
         self.report_seq += 1;
         Report {
-            incarnation: self.own.incarnation,
+            incarnation: self.identity.incarnation,
             seq: self.report_seq,
-            pool: self.own.pool,
-            zone: self.own.zone,
+            pool: self.identity.pool,
+            zone: self.identity.zone,
             upstream: self.upstream(now_ms),
             plan: if self.has_served() { self.plan } else { Plan::Leave },
             slots: self.presence.capacity(now_ms).0,
-            load: self.lasting_load(now_ms),
+            load: self.average_load(now_ms),
             service_ms: self.admission.mean_ms().map(|it| it.max(1.0) as u32),
             full: self.admission.is_full() || self.presence.capacity(now_ms).1,
-            every_ms: self.report_ms,
+            every_ms: self.report_interval_ms,
         }
     }
 
-    /// Sets the pause between two reports.
+    /// Sets the report interval, in milliseconds.
     pub fn set_report_pause(&mut self, pause_ms: u32) {
-        self.report_ms = pause_ms;
+        self.report_interval_ms = pause_ms;
     }
 
-    /// Takes a heartbeat of the upstream.
+    /// Processes a heartbeat of the upstream.
     pub fn heartbeat(&mut self, beat: &Heartbeat, now_ms: u64, out: &mut Vec<Effect>) -> Heard {
         let before = self.upstream(now_ms);
         match self.presence.hear(beat, now_ms) {
@@ -191,8 +187,8 @@
             Sender::Newborn => self.learning = false,
             Sender::Successor { until_ms } => {
                 self.learning = false;
-                // Flows that were opened after the former upstream's last heartbeat may already be with the new one.
-                self.forget_life(until_ms, now_ms, out);
+                // Flows opened after the former upstream's last heartbeat may already be with the new one.
+                self.discard_upstream_state(until_ms, now_ms, out);
                 out.push(Effect::Report);
                 return Heard::Changed;
             }
@@ -204,32 +200,32 @@
         Heard::Changed
     }
 
-    /// The upstream says that it ends; whether it was the present one.
+    /// Processes the upstream's deregistration. Returns whether it came from the current upstream process.
     pub fn deregister(&mut self, life: &Life, out: &mut Vec<Effect>) -> bool {
-        let present = self.presence.deregister(life);
-        if present {
+        let current = self.presence.deregister(life);
+        if current {
             out.push(Effect::Report);
         }
-        present
+        current
     }
 
-    /// The upstream's process is proven to have ended: its flows are reset.
+    /// Resets the flows of an upstream whose process is known to have ended.
     pub fn upstream_ended(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
         self.presence.end();
         self.learning = false;
-        self.forget_life(now_ms, now_ms, out);
+        self.discard_upstream_state(now_ms, now_ms, out);
     }
 
-    /// Forgets what was learnt of an upstream's life that has ended: flows that began at `until_ms` or before, requests
-    /// on them, service times.
-    fn forget_life(&mut self, until_ms: u64, now_ms: u64, out: &mut Vec<Effect>) {
+    /// Discards the state of an upstream process that has ended: flows opened at `until_ms` or before, their requests,
+    /// service times and the breaker.
+    fn discard_upstream_state(&mut self, until_ms: u64, now_ms: u64, out: &mut Vec<Effect>) {
         self.reset_flows(until_ms, now_ms, out);
-        self.break_off_requests(until_ms, now_ms);
-        self.admission.forget_times();
+        self.cancel_requests(until_ms, now_ms);
+        self.admission.reset_service_times();
         self.breaker = Breaker::default();
     }
 
-    /// Takes a caller's packet that another process sent.
+    /// Processes a caller's packet forwarded by another process.
     pub fn relayed(
         &mut self,
         relay: &Relay,
@@ -238,17 +234,17 @@
         now_ms: u64,
         out: &mut Vec<Effect>,
     ) {
-        if relay.pool != self.own.pool {
-            return self.turn_away(relay, head, out);
+        if relay.pool != self.identity.pool {
+            return self.reject_wrong_pool(relay, head, out);
         }
         match relay.ask {
             Ask::Open(walk) => self.open(relay, head, walk, Last::No, now_ms, out),
             Ask::Settle(walk) => self.open(relay, head, walk, Last::Yes, now_ms, out),
-            Ask::Deliver | Ask::Locate => self.carry(relay, head, bytes, now_ms, out),
+            Ask::Deliver | Ask::Locate => self.process_packet(relay, head, bytes, now_ms, out),
         }
     }
 
-    /// Takes a packet that other agents are to get, too: the flow may be at any of them.
+    /// Forwards a packet to the listed agents, any of which may hold its flow, and processes it here if listed.
     pub fn spread(
         &mut self,
         relay: &Relay,
@@ -259,7 +255,7 @@
         out: &mut Vec<Effect>,
     ) {
         for &to in agents {
-            if to == self.own.address {
+            if to == self.identity.address {
                 self.relayed(relay, head, bytes, now_ms, out);
             } else {
                 out.push(Effect::Relay { to, relay: *relay, payload: Payload::Current });
@@ -267,7 +263,7 @@
         }
     }
 
-    /// Answers a balancer that asks for flows.
+    /// Answers a balancer's query for flows.
     pub fn query(&self, balancer: SocketAddrV4, keys: &[FlowKey], out: &mut Vec<Effect>) {
         let verdicts = keys.iter().map(|&it| (it, self.verdict(&it))).collect();
         out.push(Effect::Verdicts { to: balancer, verdicts });
@@ -283,37 +279,38 @@
         }
     }
 
-    /// Does what is due.
+    /// Runs periodic work: probe timeouts, admission, reports and expiry.
     pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
-        if self.probing > 0 {
+        if self.probing_flows > 0 {
             self.end_probes(now_ms, out);
         }
         self.admit(now_ms, out);
-        self.tell_full(now_ms, out);
-        if now_ms.saturating_sub(self.started_ms) > LEARN_MS {
+        self.report_full(now_ms, out);
+        if now_ms.saturating_sub(self.started_ms) > LEARNING_MS {
             self.learning = false;
         }
-        if now_ms.saturating_sub(self.pruned_ms) >= PRUNE_EVERY_MS {
-            self.pruned_ms = now_ms;
+        if now_ms.saturating_sub(self.last_prune_ms) >= PRUNE_INTERVAL_MS {
+            self.last_prune_ms = now_ms;
             self.prune(now_ms);
-            self.give_up_lost(now_ms);
+            self.expire_requests(now_ms);
         }
     }
 
-    /// Reports that the upstream is full, or no longer, if it has not done so just before.
-    fn tell_full(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
-        self.full_untold |= self.admission.look(self.presence.slots());
-        let pause_ms = u64::from(self.report_ms / FULL_REPORTS);
-        let just_told = self.full_told_ms.is_some_and(|it| now_ms.saturating_sub(it) < pause_ms);
-        if !self.full_untold || just_told {
+    /// Reports a change of the full state, at a limited rate.
+    fn report_full(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
+        self.full_report_pending |= self.admission.update_full(self.presence.slots());
+        let pause_ms = u64::from(self.report_interval_ms / MAX_FULL_REPORTS);
+        let recently_reported =
+            self.full_reported_ms.is_some_and(|it| now_ms.saturating_sub(it) < pause_ms);
+        if !self.full_report_pending || recently_reported {
             return;
         }
-        self.full_untold = false;
-        self.full_told_ms = Some(now_ms);
+        self.full_report_pending = false;
+        self.full_reported_ms = Some(now_ms);
         out.push(Effect::Report);
     }
 
-    fn carry(
+    fn process_packet(
         &mut self,
         relay: &Relay,
         head: &Head,
@@ -322,18 +319,18 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(flow) = self.flows.get_mut(&head.key) else {
-            return self.carry_unknown(relay, head, bytes, now_ms, out);
+            return self.process_unknown_flow(relay, head, bytes, now_ms, out);
         };
         flow.balancer = Some(relay.balancer);
         flow.seen_ms = now_ms;
-        if flow.phase == Phase::Absent || is_for_another(flow.phase, head) {
+        if flow.phase == Phase::Absent || acks_other_upstream(flow.phase, head) {
             return answer_absent(relay, head.key, out);
         }
-        if let Phase::Opening { first: Some(_), .. } = flow.phase
+        if let Phase::Opening { upstream_seq: Some(_), .. } = flow.phase
             && head.kind != Kind::Open
         {
             flow.phase = Phase::Open;
-            flow.proven = true;
+            flow.confirmed = true;
         }
         if relay.ask == Ask::Locate && !matches!(flow.phase, Phase::Probing { .. }) {
             answer(relay.balancer, head.key, Answer::Here, false, out);
@@ -341,7 +338,7 @@
         self.deliver(head, bytes, now_ms, out);
     }
 
-    fn carry_unknown(
+    fn process_unknown_flow(
         &mut self,
         relay: &Relay,
         head: &Head,
@@ -354,16 +351,16 @@
         }
         let phase = Phase::Probing { since_ms: now_ms, ask: relay.ask };
         self.insert(head.key, phase, Some(relay.balancer), now_ms);
-        self.probing += 1;
+        self.probing_flows += 1;
         self.deliver(head, bytes, now_ms, out);
     }
 }
 
-/// Whether the caller acknowledges another upstream's answer to its opening packet.
-fn is_for_another(phase: Phase, head: &Head) -> bool {
+/// Whether the caller acknowledges another upstream's reply to its opening packet.
+fn acks_other_upstream(phase: Phase, head: &Head) -> bool {
     match phase {
-        Phase::Opening { first: Some(first), .. } if head.kind != Kind::Open => {
-            head.ack.wrapping_sub(first) > ACK_WINDOW
+        Phase::Opening { upstream_seq: Some(upstream_seq), .. } if head.kind != Kind::Open => {
+            head.ack.wrapping_sub(upstream_seq) > ACK_WINDOW_BYTES
         }
         _ => false,
     }
--- a/crates/core/src/opaque/agent/flows.rs
+++ b/crates/core/src/opaque/agent/flows.rs
@@ -1,4 +1,4 @@
-//! The flows that an agent knows: how they begin, what tells that they ended, when they are forgotten.
+//! Flow table of an agent: creation, end detection and expiry of flows.
 
 use std::net::SocketAddrV4;
 
@@ -12,57 +12,56 @@
     requests::{End, Request},
 };
 
-/// Time after which a flow without packets is forgotten. A packet that comes later is treated as after a restart.
-const FLOW_IDLE_MS: u64 = 65_000;
-/// Time for which an ended or absent flow is remembered, for packets that are still on their way.
-const ENDED_MS: u64 = 3_000;
-/// Time after which an offer counts as not taken: callers end an attempt after 1.4 s and send a lost packet again within
-/// 1.6 s.
-const OPENING_MS: u64 = 10_000;
-/// Time after which an upstream that has not bounced a packet is taken to hold its flow: a local round trip, many times.
-const PROBE_MS: u64 = 12;
+const IDLE_TIMEOUT_MS: u64 = 65_000;
+/// Time for which an ended or absent flow is kept, for packets still in flight.
+const ENDED_TIMEOUT_MS: u64 = 3_000;
+/// Time after which an unfinished handshake expires; longer than a caller's connect timeout.
+const OPENING_TIMEOUT_MS: u64 = 10_000;
+/// Time in which the upstream bounces a packet of a flow that it does not hold: many local round trips.
+const PROBE_TIMEOUT_MS: u64 = 12;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// The opening packet was given to the upstream, whose first number is known once it has answered.
-    Opening { walk: Option<Walk>, first: Option<u32> },
-    /// Packets went to and fro.
+    /// The opening packet was delivered. `upstream_seq` is set once the upstream has answered it.
+    Opening { walk: Option<Walk>, upstream_seq: Option<u32> },
+    /// The handshake finished, or the flow was learned from a packet of the upstream.
     Open,
-    /// A packet of a flow that is not known was given to the upstream, which may bounce it.
+    /// A packet of an unknown flow was delivered to the upstream, which may bounce it.
     Probing { since_ms: u64, ask: Ask },
     /// The upstream does not hold the flow.
     Absent,
-    /// Both ends have finished, or one has reset the flow.
+    /// Both ends have closed the flow, or one has reset it.
     Ended,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Flow {
     pub(super) phase: Phase,
-    /// The balancer that sent its last packet; none of a flow that only its upstream has spoken of.
+    /// The balancer that forwarded the caller's last packet; none if only the upstream's packets were seen.
     pub(super) balancer: Option<SocketAddrV4>,
     pub(super) since_ms: u64,
     pub(super) seen_ms: u64,
-    /// Number in the opening packet; none if this agent has not seen it.
-    pub(super) opened_seq: Option<u32>,
-    /// Age of the caller's opening packet when the first copy of it came.
-    pub(super) age_ms: u64,
+    /// Sequence number of the opening packet; none if this agent has not seen it.
+    pub(super) opening_seq: Option<u32>,
+    /// Age of the caller's opening attempt when its first packet arrived here.
+    pub(super) opening_age_ms: u64,
     pub(super) request: Request,
     pub(super) requests: u32,
-    /// The upstream is known to hold the flow: its offer was taken, or it sent a packet of the open flow.
-    pub(super) proven: bool,
+    /// The upstream is known to hold the flow: the handshake finished, or it sent a packet of the open flow.
+    pub(super) confirmed: bool,
+    /// The flow is included in the load.
     pub(super) counted: bool,
-    pub(super) caller_end: Option<u32>,
-    pub(super) ack: u32,
-    pub(super) caller_done: bool,
-    pub(super) upstream_done: bool,
+    pub(super) caller_next_seq: Option<u32>,
+    pub(super) caller_ack: u32,
+    pub(super) caller_closed: bool,
+    pub(super) upstream_closed: bool,
 }
 
 impl Flow {
-    /// Whether the opening packet is a copy of the one that opened this flow. A caller that uses its port again draws
-    /// another number.
-    pub(super) fn is_opened_by(&self, head: &Head) -> bool {
-        self.opened_seq.is_none_or(|it| it == head.seq)
+    /// Whether the opening packet is a retransmission of the one that opened this flow. A caller that reuses its port
+    /// picks a new sequence number.
+    pub(super) fn is_retransmission(&self, head: &Head) -> bool {
+        self.opening_seq.is_none_or(|it| it == head.seq)
     }
 }
 
@@ -73,7 +72,7 @@
 }
 
 impl Agent {
-    pub(super) fn learn(&mut self, head: &Head, now_ms: u64) {
+    pub(super) fn insert_learned(&mut self, head: &Head, now_ms: u64) {
         self.insert(head.key, Phase::Open, None, now_ms);
     }
 
@@ -94,16 +93,16 @@
             balancer,
             since_ms: now_ms,
             seen_ms: now_ms,
-            opened_seq: None,
-            age_ms: 0,
+            opening_seq: None,
+            opening_age_ms: 0,
             request: Request::None,
             requests: 0,
-            proven: false,
+            confirmed: false,
             counted,
-            caller_end: None,
-            ack: 0,
-            caller_done: false,
-            upstream_done: false,
+            caller_next_seq: None,
+            caller_ack: 0,
+            caller_closed: false,
+            upstream_closed: false,
         };
         self.flows.insert(key, flow);
     }
@@ -113,19 +112,19 @@
         if let Some(flow) = self.flows.remove(&key)
             && matches!(flow.phase, Phase::Probing { .. })
         {
-            self.probing -= 1;
+            self.probing_flows -= 1;
         }
     }
 
-    /// Takes the flow out of the load and sets its last phase.
+    /// Cancels the flow's request, removes the flow from the load and sets its final phase.
     pub(super) fn end_flow(&mut self, key: FlowKey, phase: Phase, now_ms: u64) {
-        self.end_request(key, End::BrokenOff, now_ms);
+        self.end_request(key, End::Cancelled, now_ms);
         let Some(flow) = self.flows.get_mut(&key) else {
             return;
         };
         if flow.counted {
             self.load.remove_flow();
-            self.habits.record(key.service, flow.requests);
+            self.flow_usage.record(key.service, flow.requests);
         }
         flow.counted = false;
         if !matches!(flow.phase, Phase::Probing { .. }) || phase == Phase::Absent {
@@ -133,28 +132,28 @@
         }
     }
 
-    pub(super) fn settle_probe(&mut self, key: FlowKey) {
+    pub(super) fn confirm_probe(&mut self, key: FlowKey) {
         let Some(flow) = self.flows.get_mut(&key) else {
             return;
         };
         flow.phase = Phase::Open;
         flow.counted = true;
-        self.probing -= 1;
+        self.probing_flows -= 1;
         self.load.add_flow();
     }
 
-    /// Ends probes that the upstream has not bounced. It holds these flows, unless it was not heard of at all: then
-    /// nobody may be there to bounce anything, and no answer is better than a wrong one.
+    /// Ends probes that the upstream has not bounced in time. The upstream holds these flows, unless it has sent no
+    /// heartbeat yet: then there may be no upstream to bounce them, and the agent sends no answer.
     pub(super) fn end_probes(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
         let due = self.flows.iter().filter(|(_, it)| match it.phase {
-            Phase::Probing { since_ms, .. } => now_ms.saturating_sub(since_ms) >= PROBE_MS,
+            Phase::Probing { since_ms, .. } => now_ms.saturating_sub(since_ms) >= PROBE_TIMEOUT_MS,
             _ => false,
         });
         let due: Vec<_> = due.map(|(&key, it)| (key, it.balancer)).collect();
         let heard = self.presence.is_known();
         for (key, balancer) in due {
             if heard {
-                self.settle_probe(key);
+                self.confirm_probe(key);
                 answer(balancer, key, Answer::Here, false, out);
             } else {
                 self.remove(key, now_ms);
@@ -162,31 +161,31 @@
         }
     }
 
-    pub(super) fn follow_end(&mut self, head: &Head, side: Side, now_ms: u64) {
+    pub(super) fn track_close(&mut self, head: &Head, side: Side, now_ms: u64) {
         let Some(flow) = self.flows.get_mut(&head.key) else {
             return;
         };
         match (head.kind, side) {
-            (Kind::Finish, Side::Caller) => flow.caller_done = true,
-            (Kind::Finish, Side::Upstream) => flow.upstream_done = true,
+            (Kind::Finish, Side::Caller) => flow.caller_closed = true,
+            (Kind::Finish, Side::Upstream) => flow.upstream_closed = true,
             (Kind::Reset, _) => {
-                flow.caller_done = true;
-                flow.upstream_done = true;
+                flow.caller_closed = true;
+                flow.upstream_closed = true;
             }
             _ => {}
         }
         let probing = matches!(flow.phase, Phase::Probing { .. });
-        if flow.caller_done && flow.upstream_done && !probing {
+        if flow.caller_closed && flow.upstream_closed && !probing {
             self.end_flow(head.key, Phase::Ended, now_ms);
         }
     }
 
-    /// Resets the flows that began at `until_ms` or before. Those that the upstream is not known to have held may live at
-    /// another one.
+    /// Resets the flows opened at `until_ms` or before. Skips flows that the upstream is not known to have held, as
+    /// another upstream may hold them.
     pub(super) fn reset_flows(&mut self, until_ms: u64, now_ms: u64, out: &mut Vec<Effect>) {
-        let alive = |it: &Flow| it.phase == Phase::Open && it.proven;
+        let alive = |it: &Flow| it.phase == Phase::Open && it.confirmed;
         let due = self.flows.iter().filter(|(_, it)| alive(it) && it.since_ms <= until_ms);
-        let due: Vec<_> = due.map(|(&key, it)| (key, it.ack)).collect();
+        let due: Vec<_> = due.map(|(&key, it)| (key, it.caller_ack)).collect();
         for (key, seq) in due {
             self.end_flow(key, Phase::Ended, now_ms);
             reset(key, seq, Why::UpstreamEnded, out);
@@ -197,9 +196,9 @@
         let old = self.flows.iter().filter(|(_, it)| {
             let idle = now_ms.saturating_sub(it.seen_ms);
             match it.phase {
-                Phase::Ended | Phase::Absent => idle > ENDED_MS,
-                Phase::Opening { .. } => idle > OPENING_MS,
-                _ => idle > FLOW_IDLE_MS,
+                Phase::Ended | Phase::Absent => idle > ENDED_TIMEOUT_MS,
+                Phase::Opening { .. } => idle > OPENING_TIMEOUT_MS,
+                _ => idle > IDLE_TIMEOUT_MS,
             }
         });
         let old: Vec<_> = old.map(|(&key, _)| key).collect();
--- a/crates/core/src/opaque/effect.rs
+++ b/crates/core/src/opaque/effect.rs
@@ -1,4 +1,4 @@
-//! What the decisions on opaque flows ask their process to do.
+//! Effects: actions that the state machines of balancer and agent return to their process.
 
 use std::net::SocketAddrV4;
 
@@ -7,36 +7,36 @@
     walk::{Last, Walk},
 };
 
-/// Bytes of the packet that an effect is about.
+/// Bytes of the packet that an effect refers to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Payload {
-    /// Those of the packet that was just passed in.
+    /// The packet that is being processed.
     Current,
-    /// Those of a packet that was held back.
+    /// A packet that was buffered.
     Held(Vec<u8>),
 }
 
-/// What a balancer wants of the agent that it sends a caller's packet to.
+/// Action that a balancer requests of an agent with a caller's packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ask {
-    /// Accept the flow, or pass the packet on along the walk.
+    /// Accept the flow, or forward the packet to the next candidate of the walk.
     Open(Walk),
-    /// Accept the flow, chosen as the best of a walk.
+    /// Accept the flow as the least loaded candidate of the walk.
     Settle(Walk),
-    /// Deliver a packet of a flow that the agent should hold; send it back otherwise.
+    /// Deliver the packet to the upstream, or return it if the flow is not here.
     Deliver,
-    /// Say whether the flow is here; deliver the packet if it is or might be.
+    /// Report whether the flow is here, and deliver the packet if it is or may be.
     Locate,
 }
 
-/// A caller's packet between two processes.
+/// Header of a caller's packet that is forwarded between processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Relay {
-    /// What is asked.
+    /// Requested action.
     pub ask: Ask,
-    /// Pool that the packet is meant for; an agent of another pool never delivers it.
+    /// Pool of the flow; an agent of another pool never delivers the packet.
     pub pool: PoolId,
-    /// Balancer that took the packet from the caller.
+    /// Balancer that received the packet from the caller.
     pub balancer: SocketAddrV4,
 }
 
@@ -45,37 +45,37 @@
 pub enum Answer {
     /// The flow is here.
     Here,
-    /// The flow is not here. A packet that comes along should go to its holder.
+    /// The flow is not here. A returned packet must be sent to the agent that holds it.
     Absent,
-    /// The agent is of this other pool: what the balancer knows of the address is old.
+    /// The agent belongs to this other pool; the balancer's entry for the address is outdated.
     WrongPool(PoolId),
 }
 
-/// What an agent knows of a flow that a balancer asks for without a packet.
+/// An agent's result for a flow in a balancer's query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The flow is here.
     Here,
-    /// It is not.
+    /// The flow is not here.
     Absent,
-    /// Only the upstream knows: it has to be asked with a packet of the flow.
+    /// Not known; a packet of the flow is needed to probe the upstream.
     Unsure,
 }
 
 /// Why a flow was reset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Why {
-    /// No route has this address.
+    /// No route has the service address.
     NoRoute,
-    /// The configuration dropped the flow's route.
+    /// The flow's route was removed from the configuration.
     RouteDropped,
-    /// The pool has no upstream that may take new flows.
+    /// The pool has no upstream that accepts new flows.
     NoUpstream,
-    /// All upstreams that may take new flows are in zones out of service.
+    /// All upstreams that accept new flows are in zones out of service.
     ZonesOut,
-    /// No zone is in a region in which the route's requests may be served.
+    /// No zone is in a region that the route allows.
     NoRegion,
-    /// Every upstream that was asked refused the flow.
+    /// Every candidate refused the flow.
     AllRefused,
     /// The upstream that held the flow has ended.
     UpstreamEnded,
@@ -111,14 +111,14 @@
     }
 }
 
-/// Why a waiting request went to its upstream.
+/// Why a waiting request was released to its upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Cause {
     /// A slot was free.
     Slot,
-    /// It had waited for as long as it may.
+    /// The request reached its longest wait.
     Overdue,
-    /// More wait than the upstream can serve while their callers stay.
+    /// More requests wait than the upstream can serve within their timeouts.
     Backlog,
     /// The agent stops.
     Stop,
@@ -136,109 +136,109 @@
     }
 }
 
-/// A decision worth a log line or a count.
+/// A decision that is logged and counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// A balancer sent an opening packet to its first candidate.
     Placed {
-        /// The candidate.
+        /// The first candidate.
         first: SocketAddrV4,
-        /// Copies that the caller had sent before.
+        /// Retransmissions by the caller so far.
         copies: u32,
     },
-    /// An agent gave the flow to its upstream.
+    /// An agent accepted the flow for its upstream.
     Accepted {
         /// Load in thousandths of the slots.
         load: u16,
-        /// Whether that was the last resort.
+        /// Whether the agent accepted as the last resort.
         last: Last,
-        /// The candidates, with the loads of those that were asked before.
+        /// The candidates, with the loads of those visited before.
         walk: Walk,
     },
-    /// An agent passed an opening packet on, as it is too loaded or may take no flow.
+    /// An agent forwarded an opening packet, as its load is above the limit or it accepts no flows.
     PassedOn {
         /// The next candidate.
         to: SocketAddrV4,
         /// Load in thousandths of the slots.
         load: u16,
-        /// Load up to which it would have accepted a flow that is kept.
+        /// Load up to which it accepts persistent flows.
         limit: u16,
     },
-    /// No candidate may take the flow.
+    /// No candidate may accept the flow.
     NobodyAccepted {
         /// The candidates and their loads.
         walk: Walk,
     },
-    /// The upstream sent an opening packet back.
+    /// The upstream bounced an opening packet.
     Refused,
-    /// The holder of a flow is searched for.
+    /// A search for the agent that holds a flow was started or extended.
     Searched {
-        /// Agents asked so far.
+        /// Agents queried so far.
         asked: usize,
     },
-    /// The holder of a flow was found.
+    /// The agent that holds a flow was found.
     Found {
-        /// The holder.
+        /// The agent that holds the flow.
         agent: SocketAddrV4,
-        /// Time that the search took, in milliseconds.
+        /// Duration of the search, in milliseconds.
         after_ms: u64,
     },
-    /// A search ended without the flow's holder: held packets are dropped, the caller's next one starts a new search.
+    /// A search failed. Buffered packets are dropped; the caller's next packet starts a new search.
     NotFound {
-        /// Agents that said that they do not hold the flow.
+        /// Agents that reported the flow as absent.
         absent: usize,
-        /// Agents asked.
+        /// Agents queried.
         asked: usize,
         /// One of the agents that did not answer.
         silent: Option<SocketAddrV4>,
     },
-    /// A request that waited at the agent went to the upstream.
+    /// A waiting request was released to the upstream.
     Admitted {
-        /// For how long it waited, in milliseconds.
+        /// Time that it waited, in milliseconds.
         waited_ms: u64,
-        /// Why it went then.
+        /// Reason for the release.
         cause: Cause,
         /// Requests that still wait.
         waiting: usize,
     },
-    /// An agent does not hold the flow that it was sent a packet of.
+    /// An agent received a packet of a flow that it does not hold.
     Absent,
-    /// Packets are held while the flow's agent restarts.
+    /// Packets are buffered while the flow's agent restarts.
     Held {
         /// The agent.
         agent: SocketAddrV4,
     },
     /// The upstream reset the flow.
     UpstreamReset {
-        /// Whether that was passed on to the caller.
+        /// Whether the reset was forwarded to the caller.
         passed: bool,
     },
-    /// The upstream resets requests: it gets no new flows that another one takes.
+    /// The circuit breaker opened: the upstream gets new flows only as a trial or the last resort.
     SetAside,
-    /// The upstream answers requests again.
+    /// The circuit breaker closed.
     TakenBack,
     /// The flow was reset.
     Reset(Why),
-    /// A packet could not be used and was dropped.
+    /// A packet was dropped.
     Dropped(Drop),
 }
 
 /// Why a packet was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Drop {
-    /// The configuration is not known yet.
+    /// No configuration has been received yet.
     NoConfig,
-    /// A packet within a flow, for an address that no route has.
+    /// A packet of an existing flow has a service address without a route.
     NoRoute,
-    /// No live upstream can take the flow now, but one may soon.
+    /// No upstream can accept the flow now; the caller should retry.
     NoUpstream,
-    /// Too many packets are held.
+    /// The packet buffer is full.
     HoldFull,
-    /// The packet is meant for another pool.
+    /// The packet is for another pool.
     WrongPool,
-    /// The upstream bounced a packet of a flow that is not known.
+    /// The upstream bounced a packet of an unknown flow.
     StrayBounce,
-    /// A copy of an opening packet, whose flow is open already.
+    /// A retransmitted opening packet of a flow that is open already.
     LateCopy,
 }
 
@@ -268,19 +268,19 @@
     }
 }
 
-/// What the process is to do.
+/// An action for the process to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send a caller's packet to another process.
     Relay {
         /// The process.
         to: SocketAddrV4,
-        /// What is asked of it.
+        /// The header.
         relay: Relay,
         /// The packet.
         payload: Payload,
     },
-    /// Answer a balancer about a flow.
+    /// Send a balancer the answer for a flow.
     Answer {
         /// The balancer.
         to: SocketAddrV4,
@@ -288,84 +288,84 @@
         key: FlowKey,
         /// The answer.
         answer: Answer,
-        /// Whether the present packet goes back with it.
+        /// Whether the current packet is returned with it.
         returned: bool,
     },
-    /// Ask an agent which of these flows it holds.
+    /// Query an agent for flows.
     Query {
         /// The agent.
         to: SocketAddrV4,
         /// The flows.
         keys: Vec<FlowKey>,
     },
-    /// Have an agent pass a packet on to others, to locate its flow: one copy leaves the balancer instead of one each.
+    /// Have an agent forward a packet to several agents to locate its flow. The balancer sends a single copy.
     Spread {
-        /// The agent.
+        /// The agent that forwards the packet.
         to: SocketAddrV4,
-        /// What is asked of the others.
+        /// The header for the receivers.
         relay: Relay,
-        /// The others.
+        /// The receivers.
         agents: Vec<SocketAddrV4>,
         /// The packet.
         packet: Vec<u8>,
     },
-    /// Tell a balancer what is known of the flows that it asked for.
+    /// Answer a balancer's query.
     Verdicts {
         /// The balancer.
         to: SocketAddrV4,
-        /// What is known of each flow.
+        /// The result for each flow.
         verdicts: Vec<(FlowKey, Verdict)>,
     },
-    /// Give the present packet to the upstream beside this agent.
+    /// Deliver the current packet to the agent's upstream.
     Deliver,
-    /// Give it a packet that was held back.
+    /// Deliver a buffered packet to the agent's upstream.
     Release {
         /// The packet.
         packet: Vec<u8>,
     },
-    /// Send the upstream's packet on to the caller.
+    /// Forward the upstream's packet to the caller.
     Reply,
     /// Reset the flow towards the caller.
     Reset {
         /// The flow.
         key: FlowKey,
-        /// A number that the caller accepts.
+        /// A sequence number that the caller accepts.
         seq: u32,
     },
-    /// Say hello to a member, so that it reports its state.
+    /// Request a state report from a member.
     Greet {
         /// The member.
         to: SocketAddrV4,
     },
-    /// Read the store's list of members again.
+    /// Reload the list of members from the store.
     List,
-    /// Tell an agent that its object was taken off the store's list, so that it lists itself again.
+    /// Notify an agent that its object was removed from the store, so that it registers again.
     Unlisted {
         /// The agent.
         to: SocketAddrV4,
     },
-    /// Report the agent's state to all balancers that it knows.
+    /// Report the agent's state to all known balancers.
     Report,
     /// Log and count a decision.
     Note {
-        /// The flow that it is about, if there is one.
+        /// The flow concerned, if any.
         key: Option<FlowKey>,
         /// The decision.
         decision: Decision,
     },
 }
 
-/// Appends a decision on a flow.
+/// Appends a note of a decision on a flow.
 pub(super) fn note(key: FlowKey, decision: Decision, out: &mut Vec<Effect>) {
     out.push(Effect::Note { key: Some(key), decision });
 }
 
-/// Appends the decision to drop a packet.
+/// Appends a note of a dropped packet.
 pub(super) fn drop(key: FlowKey, why: Drop, out: &mut Vec<Effect>) {
     note(key, Decision::Dropped(why), out);
 }
 
-/// Appends a reset and the decision.
+/// Appends a reset of a flow and its note.
 pub(super) fn reset(key: FlowKey, seq: u32, why: Why, out: &mut Vec<Effect>) {
     out.push(Effect::Reset { key, seq });
     note(key, Decision::Reset(why), out);
--- a/crates/core/src/opaque/flow.rs
+++ b/crates/core/src/opaque/flow.rs
@@ -1,10 +1,10 @@
-//! What a flow is known by, and what can be read of its packets.
+//! Flow keys and packet headers.
 
 use std::{fmt, net::SocketAddrV4};
 
 use crate::split_mix::mix;
 
-/// The two ends of a flow.
+/// Key of a flow: the addresses of its two ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FlowKey {
     /// The caller's address and port.
@@ -14,7 +14,7 @@
 }
 
 impl FlowKey {
-    /// A hash that is the same in every process.
+    /// Hash of the key, stable across processes.
     pub fn hash(&self) -> u64 {
         mix(mix(number(self.caller)) ^ number(self.service))
     }
@@ -26,54 +26,54 @@
     }
 }
 
-/// Address and port as one number.
+/// Address and port as an integer.
 pub(crate) fn number(address: SocketAddrV4) -> u64 {
     u64::from(address.ip().to_bits()) << 16 | u64::from(address.port())
 }
 
-/// What a packet does to its flow.
+/// Kind of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Opens the flow; also the upstream's answer to that.
+    /// Opens the flow (SYN), or is the upstream's reply to that.
     Open,
     /// Carries data or an acknowledgement.
     Data,
-    /// Says that its sender has nothing more to send.
+    /// Closes the sender's direction (FIN).
     Finish,
-    /// Ends the flow at once.
+    /// Aborts the flow (RST).
     Reset,
 }
 
-/// What can be read of a packet without its data.
+/// Header fields of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
     /// The flow, the same in both directions.
     pub key: FlowKey,
-    /// What the packet does.
+    /// Kind of the packet.
     pub kind: Kind,
-    /// The upstream sent the packet back: it does not hold the flow or can't accept it.
+    /// Whether the upstream bounced the packet: it does not hold the flow or can't accept it.
     pub bounced: bool,
-    /// Number of the first byte. The first number of the sender's end, if the packet opens the flow.
+    /// Sequence number of the first byte; the initial sequence number in an opening packet.
     pub seq: u32,
-    /// Next byte that the sender expects; in a caller's opening packet the number of copies sent before.
+    /// Next byte that the sender expects; in a caller's opening packet the number of earlier copies.
     pub ack: u32,
-    /// Bytes of data.
+    /// Length of the data, in bytes.
     pub len: u16,
 }
 
 impl Head {
-    /// Number of the byte after the packet's data.
+    /// Sequence number after the packet's data.
     pub fn end(&self) -> u32 {
         self.seq.wrapping_add(u32::from(self.len))
     }
 }
 
-/// Whether number `a` comes after `b`, in numbers that wrap round.
-pub(crate) fn after(a: u32, b: u32) -> bool {
+/// Whether sequence number `a` comes after `b`, with wraparound.
+pub(crate) fn seq_after(a: u32, b: u32) -> bool {
     a != b && a.wrapping_sub(b) < 1 << 31
 }
 
-/// Rendezvous hashing: each hash, as that of a flow, has an order of its own over the processes.
+/// Rendezvous hashing: weight of a process for a hash, such as that of a flow.
 pub(super) fn rank(address: SocketAddrV4, hash: u64) -> u64 {
     mix(number(address) ^ hash)
 }
--- a/crates/core/tests/opaque/agent.rs
+++ b/crates/core/tests/opaque/agent.rs
@@ -4,7 +4,7 @@
     effect::{Answer, Ask, Decision, Drop, Effect, Relay, Verdict, Why},
     fleet::{Plan, Upstream},
     route::Objective,
-    walk::{CLOSED, UNSURE, Walk},
+    walk::{LOAD_CLOSED, LOAD_UNKNOWN, Walk},
 };
 
 use crate::support::{
@@ -67,7 +67,7 @@
     assert!(!out.contains(&Effect::Deliver));
     let Some((to, Ask::Open(walk))) = relays(&out).first().copied() else { panic!("{out:?}") };
     assert_eq!(to, address(2));
-    assert_eq!(walk.seats()[0].load, CLOSED);
+    assert_eq!(walk.seats()[0].load, LOAD_CLOSED);
     let out = run(|out| agent.relayed(&relay(Ask::Deliver), &data(1, 101, 1_001), &[], 40, out));
     assert!(out.contains(&Effect::Deliver));
 }
@@ -101,7 +101,7 @@
     let mut agent = Agent::new(identity(1, 1), BEAT_MS, true, 0);
     let out = run(|out| agent.relayed(&open_at(&[1, 2], 9_000), &head(1, Kind::Open), &[], 1, out));
     let Some((_, Ask::Open(walk))) = relays(&out).first().copied() else { panic!("{out:?}") };
-    assert_eq!(walk.seats()[0].load, UNSURE);
+    assert_eq!(walk.seats()[0].load, LOAD_UNKNOWN);
     let out = run(|out| agent.relayed(&open_at(&[1], 9_000), &head(2, Kind::Open), &[], 1, out));
     assert!(out.contains(&Effect::Deliver));
 }
@@ -222,7 +222,7 @@
     let out = run(|out| agent.relayed(&foreign, &head(1, Kind::Open), &[], 1, out));
     let Some(&(to, Ask::Open(walk))) = relays(&out).first() else { panic!("{out:?}") };
     assert_eq!(to, address(2));
-    assert_eq!(walk.seats()[0].load, CLOSED);
+    assert_eq!(walk.seats()[0].load, LOAD_CLOSED);
     assert_eq!(answers(&out), [(Answer::WrongPool(POOL), false)]);
     assert_eq!(agent.flows(), 0);
 }
@@ -414,7 +414,7 @@
     let open = head(50, Kind::Open);
     let out = run(|out| agent.relayed(&walk_of(true), &open, &[], 20, out));
     let Some((to, Ask::Open(walk))) = relays(&out).first().copied() else { panic!("{out:?}") };
-    assert_eq!((to, walk.seats()[0].load), (address(2), UNSURE));
+    assert_eq!((to, walk.seats()[0].load), (address(2), LOAD_UNKNOWN));
     // If nobody else takes it, it is not refused.
     let settle = relay(Ask::Settle(Walk::new([address(1)], 0)));
     let out = run(|out| agent.relayed(&settle, &head(51, Kind::Open), &[], 20, out));
--- a/crates/core/tests/opaque/load.rs
+++ b/crates/core/tests/opaque/load.rs
@@ -1,4 +1,4 @@
-use camphorwinch_core::opaque::load::{Habit, Habits, Load, usable};
+use camphorwinch_core::opaque::load::{FlowUsage, FlowUsageTracker, Load, effective_slots};
 
 use crate::support::service;
 
@@ -9,12 +9,12 @@
         load.add_flow();
     }
     assert!(load.has_room(2.0));
-    let idle = load.present(2.0, 10);
-    load.begin(10);
-    load.begin(10);
+    let idle = load.current_load(2.0, 10);
+    load.begin_request(10);
+    load.begin_request(10);
     assert!(!load.has_room(2.0));
-    assert!(load.present(2.0, 10) > idle + 900);
-    load.end(20);
+    assert!(load.current_load(2.0, 10) > idle + 900);
+    load.end_request(20);
     assert!(load.has_room(2.0));
 }
 
@@ -25,28 +25,29 @@
     for _ in 0..40 {
         many.add_flow();
     }
-    assert!(many.lasting(4.0, 0) > few.lasting(4.0, 0) + 400);
+    assert!(many.average_load(4.0, 0) > few.average_load(4.0, 0) + 400);
 }
 
 #[test]
 fn a_pause_between_requests_does_not_look_like_room() {
     let mut load = Load::default();
     for at in 0..100 {
-        load.begin(at * 100);
-        load.end(at * 100 + 90);
+        load.begin_request(at * 100);
+        load.end_request(at * 100 + 90);
     }
-    let busy = load.lasting(1.0, 9_995);
+    let busy = load.average_load(1.0, 9_995);
     assert!((800..=1_000).contains(&busy), "{busy}");
-    assert!(load.lasting(1.0, 20_000) < 10);
+    assert!(load.average_load(1.0, 20_000) < 10);
 }
 
 #[test]
 fn a_cold_upstream_has_fewer_slots() {
-    let (cold, warm) = (usable(4, true, None, None), usable(4, false, None, None));
+    let (cold, warm) =
+        (effective_slots(4, true, None, None), effective_slots(4, false, None, None));
     let mut load = Load::default();
-    load.begin(0);
-    assert!(load.present(cold, 0) > load.present(warm, 0));
-    load.begin(0);
+    load.begin_request(0);
+    assert!(load.current_load(cold, 0) > load.current_load(warm, 0));
+    load.begin_request(0);
     assert!(load.has_room(warm));
     assert!(!load.has_room(cold));
 }
@@ -55,24 +56,24 @@
 // has takes five times as long.
 #[test]
 fn a_slow_upstream_counts_for_fewer_slots() {
-    assert!((usable(4, false, Some(150.0), Some(30)) - 0.8).abs() < 1e-9);
-    assert!((usable(4, false, Some(9_000.0), Some(30)) - 0.5).abs() < 1e-9);
+    assert!((effective_slots(4, false, Some(150.0), Some(30)) - 0.8).abs() < 1e-9);
+    assert!((effective_slots(4, false, Some(9_000.0), Some(30)) - 0.5).abs() < 1e-9);
     // Chance, and what cold means where nobody has measured it, tell no upstream apart.
-    assert!((usable(4, true, Some(44.0), Some(30)) - 4.0).abs() < 1e-9);
-    assert!((usable(4, false, Some(3.0), Some(30)) - 4.0).abs() < 1e-9);
-    assert!((usable(4, false, None, Some(30)) - 4.0).abs() < 1e-9);
+    assert!((effective_slots(4, true, Some(44.0), Some(30)) - 4.0).abs() < 1e-9);
+    assert!((effective_slots(4, false, Some(3.0), Some(30)) - 4.0).abs() < 1e-9);
+    assert!((effective_slots(4, false, None, Some(30)) - 4.0).abs() < 1e-9);
 }
 
 #[test]
 fn habits_follow_the_flows_that_end() {
-    let mut habits = Habits::default();
-    assert_eq!(habits.of(service()), Habit::Kept);
+    let mut flow_usage = FlowUsageTracker::default();
+    assert_eq!(flow_usage.of(service()), FlowUsage::Persistent);
     for _ in 0..30 {
-        habits.record(service(), 1);
+        flow_usage.record(service(), 1);
     }
-    assert_eq!(habits.of(service()), Habit::Single);
+    assert_eq!(flow_usage.of(service()), FlowUsage::SingleRequest);
     for _ in 0..30 {
-        habits.record(service(), 9);
+        flow_usage.record(service(), 9);
     }
-    assert_eq!(habits.of(service()), Habit::Kept);
+    assert_eq!(flow_usage.of(service()), FlowUsage::Persistent);
 }
--- a/crates/core/tests/opaque/walk.rs
+++ b/crates/core/tests/opaque/walk.rs
@@ -1,4 +1,4 @@
-use camphorwinch_core::opaque::walk::{CLOSED, MAX_SEATS, UNSURE, Walk};
+use camphorwinch_core::opaque::walk::{LOAD_CLOSED, LOAD_UNKNOWN, MAX_SEATS, Walk};
 use quickcheck::quickcheck;
 
 use crate::support::address;
@@ -9,17 +9,17 @@
     assert_eq!(walk.pass(700), Some(address(2)));
     assert_eq!(walk.pass(300), Some(address(3)));
     assert_eq!(walk.pass(500), None);
-    assert_eq!(walk.settle(), Some(address(2)));
+    assert_eq!(walk.select_least_loaded(), Some(address(2)));
 }
 
 #[test]
 fn an_unsure_candidate_comes_last_and_a_closed_one_never() {
     let mut walk = Walk::new([1, 2].map(address), 100);
-    walk.pass(CLOSED);
-    walk.pass(UNSURE);
-    assert_eq!(walk.settle(), Some(address(2)));
-    walk.record(CLOSED);
-    assert_eq!(walk.settle(), None);
+    walk.pass(LOAD_CLOSED);
+    walk.pass(LOAD_UNKNOWN);
+    assert_eq!(walk.select_least_loaded(), Some(address(2)));
+    walk.record_load(LOAD_CLOSED);
+    assert_eq!(walk.select_least_loaded(), None);
 }
 
 #[test]
@@ -39,9 +39,9 @@
         for &load in loads {
             walk.pass(load);
         }
-        let open = loads.iter().enumerate().filter(|it| *it.1 != CLOSED);
+        let open = loads.iter().enumerate().filter(|it| *it.1 != LOAD_CLOSED);
         let best = open.min_by_key(|it| *it.1).map(|it| address(it.0 as u8));
-        walk.settle() == best
+        walk.select_least_loaded() == best
     }
 }
 
@@ -49,6 +49,6 @@
 fn a_walk_tells_what_was_judged() {
     let mut walk = Walk::new([address(1), address(2), address(3)], 500);
     walk.pass(620);
-    walk.record(UNSURE);
+    walk.record_load(LOAD_UNKNOWN);
     assert_eq!(walk.to_string(), "10.0.0.1:7720=620 10.0.0.2:7720=unsure 10.0.0.3:7720=-");
 }
--- a/crates/core/tests/opaque/warmup.rs
+++ b/crates/core/tests/opaque/warmup.rs
@@ -4,7 +4,7 @@
     Kind,
     agent::{Agent, Heartbeat},
     effect::{Ask, Decision, Effect, Relay, Why},
-    walk::{CLOSED, Walk},
+    walk::{LOAD_CLOSED, Walk},
 };
 use quickcheck::quickcheck;
 
@@ -64,7 +64,7 @@
     let Some((to, Ask::Open(walk))) = relays(&effects).first().copied() else {
         panic!("{effects:?}")
     };
-    assert_eq!((to, walk.seats()[0].load), (address(2), CLOSED));
+    assert_eq!((to, walk.seats()[0].load), (address(2), LOAD_CLOSED));
 }
 
 #[test]
