--- a/crates/core/benches/opaque.rs
+++ b/crates/core/benches/opaque.rs
@@ -1,6 +1,6 @@
-//! Speed of a balancer's decisions on opaque flows, at fleets of several sizes.
+//! Benchmarks of a balancer's packet handling for opaque flows, at several fleet sizes.
 //!
-//! Pools have nine upstreams each, as in the size designed for; one more case has all upstreams in one pool.
+//! Pools have nine upstreams each; one more case has all upstreams in one pool.
 
 use std::{
     hint::black_box,
@@ -17,7 +17,7 @@
 };
 use criterion::{BenchmarkId, Criterion};
 
-/// Upstreams of a pool: 5,900 behind 680 addresses.
+/// Upstreams per pool: about 5,900 upstreams for 680 service addresses.
 const POOL_SIZE: u32 = 9;
 const ZONES: u32 = 6;
 
--- a/crates/core/src/opaque/admission.rs
+++ b/crates/core/src/opaque/admission.rs
@@ -1,9 +1,9 @@
-//! Deadline-aware admission of requests to an upstream.
+//! Deadline-aware admission of requests to an upstream (compare Breakwater, OSDI 2020).
 //!
 //! Upstreams serve first come, first served, which makes every request late during overload. So while the pool is full
-//! the agent holds requests that its upstream can't start, and releases them earliest deadline first (as Breakwater,
-//! OSDI 2020). Requests that have missed their latency objective come last. No request waits longer than a share of its
-//! remaining timeout: then the upstream answers or refuses it.
+//! the agent holds requests that its upstream can't start, and releases them earliest deadline first. Requests that
+//! will miss their latency objective come last. No request waits longer than a share of its remaining timeout: then the
+//! upstream answers or refuses it.
 
 use std::{cmp::Reverse, net::SocketAddrV4};
 
--- a/crates/core/src/opaque/agent.rs
+++ b/crates/core/src/opaque/agent.rs
@@ -24,7 +24,7 @@
     warmup::WarmupLimiter,
 };
 
-/// Time after a restart for which the agent may not know all flows of its upstream; longer than the idle timeout.
+/// Time after a restart for which the agent may not know all flows of its upstream: the idle timeout of flows.
 const LEARNING_MS: u64 = 65_000;
 /// Most extra reports per report interval on a change of the full state; each goes to all balancers.
 const MAX_FULL_REPORTS: u32 = 4;
--- a/crates/core/src/opaque/agent/flows.rs
+++ b/crates/core/src/opaque/agent/flows.rs
@@ -24,7 +24,7 @@
 pub(super) enum Phase {
     /// The opening packet was delivered. `upstream_seq` is set once the upstream has answered it.
     Opening { walk: Option<Walk>, upstream_seq: Option<u32> },
-    /// The handshake finished, or the flow was learned from a packet of the upstream.
+    /// The flow is established.
     Open,
     /// A packet of an unknown flow was delivered to the upstream, which may bounce it.
     Probing { since_ms: u64, ask: Ask },
--- a/crates/core/src/opaque/agent/requests.rs
+++ b/crates/core/src/opaque/agent/requests.rs
@@ -25,7 +25,7 @@
     None,
     /// The request waits at the agent.
     Waiting { since_ms: u64 },
-    /// The request was delivered to the upstream; `had_free_slot` if a slot was free for it.
+    /// The request was delivered to the upstream.
     Running { since_ms: u64, had_free_slot: bool },
     /// The request is in progress but not counted against the slots: it is incomplete, timed out, or from before the
     /// agent's start.
--- a/crates/core/src/opaque/effect.rs
+++ b/crates/core/src/opaque/effect.rs
@@ -171,7 +171,7 @@
     },
     /// The upstream bounced an opening packet.
     Refused,
-    /// A search for the agent that holds a flow was started or extended.
+    /// A search for the agent that holds a flow is in progress.
     Searched {
         /// Agents queried so far.
         asked: usize,
@@ -230,7 +230,7 @@
     NoConfig,
     /// A packet of an existing flow has a service address without a route.
     NoRoute,
-    /// No upstream can accept the flow now; the caller should retry.
+    /// No upstream can accept the flow now, but one may soon.
     NoUpstream,
     /// The packet buffer is full.
     HoldFull,
@@ -332,7 +332,7 @@
         /// A sequence number that the caller accepts.
         seq: u32,
     },
-    /// Request a state report from a member.
+    /// Subscribe to the state reports of a member.
     Greet {
         /// The member.
         to: SocketAddrV4,
--- a/crates/core/src/opaque/flow.rs
+++ b/crates/core/src/opaque/flow.rs
@@ -34,13 +34,13 @@
 /// Kind of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Opens the flow (SYN), or is the upstream's reply to that.
+    /// Opens the flow, like a TCP SYN; also the upstream's reply to that.
     Open,
     /// Carries data or an acknowledgement.
     Data,
-    /// Closes the sender's direction (FIN).
+    /// Closes the sender's direction, like a TCP FIN.
     Finish,
-    /// Aborts the flow (RST).
+    /// Aborts the flow, like a TCP RST.
     Reset,
 }
 
--- a/crates/core/tests/mutants/main.rs
+++ b/crates/core/tests/mutants/main.rs
@@ -1,5 +1,5 @@
-//! The checks of the randomised runs can fail: each mechanism is left out in the fakes, and the check that stands for it
-//! turns red. These tests provoke violations, so they have a process of their own.
+//! Mutation tests of the randomised simulation: each disables one mechanism in the fakes and expects the matching check
+//! to fail. They run in a separate process, as they provoke invariant violations.
 
 #[path = "../system/flows.rs"]
 mod flows;
@@ -22,80 +22,80 @@
     World::new(Plan { seed, span_ms: SPAN_MS, mutant: Some(mutant) }).run()
 }
 
-/// Asserts that some run with the mutant breaks the promise.
-fn breaks(mutant: Mutant, promise: &str) {
+/// Asserts that the check fails in some run with the mutant.
+fn assert_detected(mutant: Mutant, check: &str) {
     for seed in 0..SEEDS {
         let seen = run(seed, mutant);
-        if let Some(count) = seen.broken.get(promise) {
-            println!("{mutant:?}, seed {seed}: {promise} {count}, of {seen:?}");
+        if let Some(count) = seen.broken.get(check) {
+            println!("{mutant:?}, seed {seed}: {check} {count}, of {seen:?}");
             return;
         }
     }
-    panic!("{mutant:?} is not noticed in {SEEDS} seeds: {promise} stays 0");
+    panic!("{mutant:?} was not detected in {SEEDS} seeds: {check} stays 0");
 }
 
 #[test]
-fn sending_again_what_was_lost_runs_twice() {
-    breaks(Mutant::SendsAgain, "ran-twice");
+fn resending_lost_requests_runs_them_twice() {
+    assert_detected(Mutant::SendsAgain, "ran-twice");
 }
 
 #[test]
 fn requests_without_claims_run_twice() {
-    breaks(Mutant::SkipsClaims, "ran-twice");
+    assert_detected(Mutant::SkipsClaims, "ran-twice");
 }
 
 #[test]
-fn claims_that_nobody_else_records_run_twice() {
-    breaks(Mutant::AsksNobody, "ran-twice");
+fn requests_claimed_at_one_member_only_run_twice() {
+    assert_detected(Mutant::AsksNobody, "ran-twice");
 }
 
 #[test]
-fn a_member_that_forgot_lets_a_request_run_twice() {
-    breaks(Mutant::TrustsForgetters, "ran-twice");
+fn trusting_a_member_that_lost_its_claims_runs_a_request_twice() {
+    assert_detected(Mutant::TrustsForgetters, "ran-twice");
 }
 
 #[test]
-fn a_restart_that_nobody_notices_lets_a_request_run_twice() {
-    breaks(Mutant::IgnoresRestarts, "ran-twice");
+fn an_unnoticed_restart_runs_a_request_twice() {
+    assert_detected(Mutant::IgnoresRestarts, "ran-twice");
 }
 
 #[test]
-fn not_run_said_of_the_unknown_is_false() {
-    breaks(Mutant::DeniesRuns, "false-not-run");
+fn answering_not_run_for_unknown_requests_is_detected() {
+    assert_detected(Mutant::DeniesRuns, "false-not-run");
 }
 
 #[test]
-fn an_agent_deaf_to_its_drain_gets_work() {
-    breaks(Mutant::IgnoresDrain, "late-work");
+fn an_agent_that_ignores_its_drain_gets_work() {
+    assert_detected(Mutant::IgnoresDrain, "late-work");
 }
 
 #[test]
-fn a_view_that_takes_lower_versions_reverts() {
-    breaks(Mutant::TakesLower, "reverted");
+fn a_view_that_accepts_lower_versions_reverts() {
+    assert_detected(Mutant::TakesLower, "reverted");
     assert!(violations(Invariant::VersionGrows) > 0);
 }
 
 #[test]
-fn a_fleet_that_compares_nothing_stays_behind() {
-    breaks(Mutant::SkipsComparing, "not-in-force");
+fn a_fleet_without_comparison_stays_outdated() {
+    assert_detected(Mutant::SkipsComparing, "not-in-force");
 }
 
 #[test]
-fn a_balancer_that_ignores_the_service_reaches_another() {
-    breaks(Mutant::IgnoresService, "wrong-service");
+fn a_balancer_that_ignores_the_service_reaches_another_service() {
+    assert_detected(Mutant::IgnoresService, "wrong-service");
 }
 
 #[test]
 fn a_balancer_that_forgets_owners_moves_flows() {
-    breaks(Mutant::ForgetsOwners, "wrong-agent");
+    assert_detected(Mutant::ForgetsOwners, "wrong-agent");
 }
 
 #[test]
 fn a_platform_without_versions_lets_a_former_holder_write() {
-    breaks(Mutant::SkipsVersions, "former-holder-wrote");
+    assert_detected(Mutant::SkipsVersions, "former-holder-wrote");
 }
 
-/// The program notices it by itself, too.
+/// The invariant check in the code detects it as well.
 #[test]
 fn a_former_holders_write_is_counted_as_a_violation() {
     for seed in 0..SEEDS {
@@ -104,5 +104,5 @@
             return;
         }
     }
-    panic!("no keeper noticed a write of a former holder");
+    panic!("no write by a former lease holder was detected in {SEEDS} seeds");
 }
--- a/crates/core/tests/opaque/admission.rs
+++ b/crates/core/tests/opaque/admission.rs
@@ -1,4 +1,4 @@
-//! Who waits at the agent, and who goes to the upstream when.
+//! Admission of requests: which wait at the agent, and when they are released to the upstream.
 
 use camphorwinch_core::opaque::{
     FlowKey, Head, Kind,
@@ -13,26 +13,26 @@
 
 const BEAT_MS: u64 = 1_000;
 const SLOTS: u32 = 2;
-/// Requests that go to the upstream before one waits: one more than it has slots.
-const AT_ONCE: u16 = 3;
-const USUAL: Objective =
+/// Requests admitted before one waits: one more than the upstream has slots.
+const MAX_AT_UPSTREAM: u16 = 3;
+const DEFAULT_OBJECTIVE: Objective =
     Objective { priority: 1, latency_ms: 100, timeout_ms: 1_000, idempotent: false };
 
-fn ready() -> Agent {
+fn ready_agent() -> Agent {
     let mut agent = Agent::new(identity(1, 1), BEAT_MS, false, 0);
     let beat = Heartbeat { life: life("a"), seq: 1, draining: false, slots: SLOTS, cold_ms: 0 };
     agent.heartbeat(&beat, 0, &mut Vec::new());
     agent
 }
 
-/// Flows to two services: port 443 for even numbers, 444 for odd ones.
+/// A flow to port 443 for even numbers, to port 444 for odd ones.
 fn flow(number: u16) -> FlowKey {
     let mut key = key(number);
     key.service.set_port(443 + number % 2);
     key
 }
 
-/// All upstreams of the pool are full.
+/// A pool whose upstreams are all full.
 const FULL: PoolLoad = PoolLoad { service_ms: None, full_percent: 100 };
 
 fn opening(objective: Objective) -> Relay {
@@ -57,8 +57,8 @@
     out
 }
 
-fn ask(agent: &mut Agent, number: u16, now_ms: u64) -> Vec<Effect> {
-    open(agent, number, 0, USUAL, now_ms);
+fn open_and_request(agent: &mut Agent, number: u16, now_ms: u64) -> Vec<Effect> {
+    open(agent, number, 0, DEFAULT_OBJECTIVE, now_ms);
     request(agent, number, 1, now_ms)
 }
 
@@ -68,7 +68,7 @@
     out
 }
 
-/// Numbers of the flows whose waiting packets went to the upstream.
+/// Numbers of the flows whose waiting packets were released to the upstream.
 fn released(effects: &[Effect]) -> Vec<u16> {
     let number = |it: &Effect| match it {
         Effect::Release { packet } => packet.as_slice().try_into().ok().map(u16::from_be_bytes),
@@ -77,23 +77,23 @@
     effects.iter().filter_map(number).collect()
 }
 
-/// An agent whose upstream has all that it gets at once, from flows 0 to 2.
-fn full() -> Agent {
-    full_at(0)
+/// An agent whose upstream is full with requests of flows 0 to 2.
+fn full_agent() -> Agent {
+    full_agent_at(0)
 }
 
-fn full_at(now_ms: u64) -> Agent {
-    let mut agent = ready();
-    for number in 0..AT_ONCE {
-        assert!(ask(&mut agent, number, now_ms).contains(&Effect::Deliver));
+fn full_agent_at(now_ms: u64) -> Agent {
+    let mut agent = ready_agent();
+    for number in 0..MAX_AT_UPSTREAM {
+        assert!(open_and_request(&mut agent, number, now_ms).contains(&Effect::Deliver));
     }
     agent
 }
 
 #[test]
-fn a_request_waits_while_all_slots_are_in_use_and_goes_when_one_is_free() {
-    let mut agent = full();
-    assert!(!ask(&mut agent, 10, 5).contains(&Effect::Deliver));
+fn a_request_waits_for_a_free_slot() {
+    let mut agent = full_agent();
+    assert!(!open_and_request(&mut agent, 10, 5).contains(&Effect::Deliver));
     assert_eq!((agent.waiting(), agent.busy()), (1, 4));
     let out = answer(&mut agent, 0, 30);
     assert_eq!(released(&out), [10]);
@@ -102,44 +102,45 @@
     assert_eq!((agent.waiting(), agent.busy()), (0, 3));
 }
 
-// The pattern of an upstream that has too many kept flows or is slow, while others of its pool have room: a refusal at
-// once sends its callers there. Waiting instead cost 0.013 of all requests their time on days with slow upstreams.
+// Guards against requests that wait at a slow upstream, while a refusal would send their callers to one with room.
 #[test]
-fn nothing_waits_while_the_pool_has_room() {
-    let mut agent = full();
+fn no_request_waits_while_the_pool_has_room() {
+    let mut agent = full_agent();
     let some = PoolLoad { full_percent: 50, ..FULL };
-    let walk = Walk::new([address(1)], 60_000).with_objective(Some(USUAL)).with_pool(some);
+    let walk =
+        Walk::new([address(1)], 60_000).with_objective(Some(DEFAULT_OBJECTIVE)).with_pool(some);
     let out = &mut Vec::new();
     agent.relayed(&relay(Ask::Open(walk)), &head(10, Kind::Open, 0), &[], 5, out);
     agent.sent(&Head { seq: 1_000, ..head(10, Kind::Open, 0) }, 5, out);
     assert!(request(&mut agent, 10, 1, 5).contains(&Effect::Deliver));
-    // Nor if nothing was heard of the pool for a second.
-    let mut agent = full();
-    open(&mut agent, 10, 0, USUAL, 5);
+    // The same if the pool load is more than a second old.
+    let mut agent = full_agent();
+    open(&mut agent, 10, 0, DEFAULT_OBJECTIVE, 5);
     assert!(request(&mut agent, 10, 1, 1_006).contains(&Effect::Deliver));
 }
 
-// What waited when the pool got room again waited on behind all that came later and went to the upstream at once.
+// Guards against requests that keep waiting after the pool has room again, while newer ones are admitted.
 #[test]
-fn what_waits_goes_once_the_pool_has_room() {
-    let mut agent = full();
-    ask(&mut agent, 10, 5);
+fn waiting_requests_are_released_once_the_pool_has_room() {
+    let mut agent = full_agent();
+    open_and_request(&mut agent, 10, 5);
     let mut out = Vec::new();
     agent.tick(20, &mut out);
     assert!(released(&out).is_empty());
     let some = PoolLoad { full_percent: 50, ..FULL };
-    let walk = Walk::new([address(1)], 60_000).with_objective(Some(USUAL)).with_pool(some);
+    let walk =
+        Walk::new([address(1)], 60_000).with_objective(Some(DEFAULT_OBJECTIVE)).with_pool(some);
     agent.relayed(&relay(Ask::Open(walk)), &head(12, Kind::Open, 0), &[], 30, &mut out);
     agent.tick(40, &mut out);
     assert_eq!(released(&out), [10]);
 }
 
 #[test]
-fn an_upstream_counts_as_full_after_a_quarter_of_a_second_of_too_many_requests() {
-    let mut agent = full();
+fn an_upstream_is_reported_full_within_a_quarter_of_a_second() {
+    let mut agent = full_agent();
     assert!(!agent.next_report(0).full);
     for number in 10..16 {
-        ask(&mut agent, number, 1);
+        open_and_request(&mut agent, number, 1);
     }
     let mut reported = false;
     for at in 1..=12 {
@@ -151,16 +152,16 @@
 }
 
 #[test]
-fn an_upstream_that_is_full_by_turns_is_reported_each_time_but_more_rarely_in_a_large_fleet() {
-    let mut agent = ready();
+fn changes_of_the_full_state_are_reported_at_a_limited_rate() {
+    let mut agent = ready_agent();
     let mut reports = 0;
-    // Full for half a second, then empty for as long, ten times.
+    // Full for half a second, then empty for half a second, ten times.
     for at in 0..500u64 {
         let (turn, step, now) = (at / 50, at % 50, at * 20);
         let flows = (turn as u16 * 8)..(turn as u16 * 8 + 8);
         for number in flows {
             match step {
-                0 => drop(ask(&mut agent, number, now)),
+                0 => drop(open_and_request(&mut agent, number, now)),
                 25 => drop(answer(&mut agent, number, now)),
                 _ => {}
             }
@@ -170,11 +171,11 @@
         reports += usize::from(out.contains(&Effect::Report));
     }
     assert_eq!(reports, 20);
-    // In a large fleet reports are rarer, and these are, too.
+    // A longer report interval, as in a large fleet, limits these reports too.
     agent.set_report_pause(13_000);
     let mut out = Vec::new();
     for number in 9_000..9_008 {
-        ask(&mut agent, number, 10_000);
+        open_and_request(&mut agent, number, 10_000);
     }
     for at in 0..20 {
         agent.tick(10_000 + at * 20, &mut out);
@@ -183,31 +184,31 @@
 }
 
 #[test]
-fn who_can_be_in_time_goes_before_who_cannot() {
-    let mut agent = full_at(900);
-    // Its caller sent the first copy 600 ms ago.
-    open(&mut agent, 10, 2, USUAL, 905);
+fn requests_that_can_meet_their_deadline_go_first() {
+    let mut agent = full_agent_at(900);
+    // The caller sent its first opening packet 600 ms ago.
+    open(&mut agent, 10, 2, DEFAULT_OBJECTIVE, 905);
     request(&mut agent, 10, 1, 905);
-    ask(&mut agent, 12, 906);
-    ask(&mut agent, 14, 907);
+    open_and_request(&mut agent, 12, 906);
+    open_and_request(&mut agent, 14, 907);
     assert_eq!(released(&answer(&mut agent, 0, 920)), [12]);
     assert_eq!(released(&answer(&mut agent, 1, 920)), [14]);
     assert_eq!(released(&answer(&mut agent, 2, 920)), [10]);
 }
 
 #[test]
-fn the_operators_priority_goes_before_the_deadline() {
-    let mut agent = full();
-    ask(&mut agent, 10, 5);
-    open(&mut agent, 11, 0, Objective { priority: 0, ..USUAL }, 9);
+fn priority_takes_precedence_over_the_deadline() {
+    let mut agent = full_agent();
+    open_and_request(&mut agent, 10, 5);
+    open(&mut agent, 11, 0, Objective { priority: 0, ..DEFAULT_OBJECTIVE }, 9);
     request(&mut agent, 11, 1, 9);
     assert_eq!(released(&answer(&mut agent, 0, 20)), [11]);
 }
 
 #[test]
-fn nobody_waits_for_longer_than_four_fifths_of_its_time() {
-    let mut agent = full();
-    ask(&mut agent, 10, 100);
+fn no_request_waits_longer_than_four_fifths_of_its_timeout() {
+    let mut agent = full_agent();
+    open_and_request(&mut agent, 10, 100);
     let mut out = Vec::new();
     agent.tick(890, &mut out);
     assert!(released(&out).is_empty());
@@ -218,23 +219,23 @@
 }
 
 #[test]
-fn what_cant_be_served_while_its_caller_stays_does_not_wait() {
-    let mut agent = full();
-    // Service times of 100 ms: two slots serve 16 requests in four fifths of a second.
-    for number in 0..AT_ONCE {
+fn a_request_is_released_if_the_backlog_exceeds_the_timeout() {
+    let mut agent = full_agent();
+    // With service times of 100 ms, two slots serve 16 requests in four fifths of the timeout.
+    for number in 0..MAX_AT_UPSTREAM {
         answer(&mut agent, number, 100);
     }
-    for number in 0..AT_ONCE {
+    for number in 0..MAX_AT_UPSTREAM {
         request(&mut agent, number, 101, 100);
     }
     for number in 10..26 {
-        assert!(released(&ask(&mut agent, number, 101)).is_empty());
+        assert!(released(&open_and_request(&mut agent, number, 101)).is_empty());
     }
     assert_eq!(agent.waiting(), 16);
     let mut out = Vec::new();
-    open(&mut agent, 30, 2, USUAL, 650);
+    open(&mut agent, 30, 2, DEFAULT_OBJECTIVE, 650);
     out.extend(request(&mut agent, 30, 1, 650));
-    // All are late by now; the oldest one goes, and the upstream serves or refuses it.
+    // All requests are late by now; the oldest one is released, and the upstream serves or refuses it.
     assert_eq!(released(&out).len(), 1);
     let backlog = |it: &Decision| matches!(it, Decision::Admitted { cause: Cause::Backlog, .. });
     assert!(decisions(&out).iter().any(backlog), "{out:?}");
@@ -242,29 +243,29 @@
 }
 
 #[test]
-fn a_copy_of_a_waiting_request_is_no_second_request() {
-    let mut agent = full();
-    ask(&mut agent, 10, 5);
+fn a_retransmission_of_a_waiting_request_is_not_counted() {
+    let mut agent = full_agent();
+    open_and_request(&mut agent, 10, 5);
     assert!(request(&mut agent, 10, 1, 205).is_empty());
     assert_eq!(released(&answer(&mut agent, 0, 210)), [10]);
-    // Once it is at the upstream a copy goes there, too: the first one may have been lost.
+    // After its release a retransmission is delivered too: the first packet may have been lost.
     assert!(request(&mut agent, 10, 1, 220).contains(&Effect::Deliver));
     assert_eq!(agent.busy(), 3);
 }
 
 #[test]
-fn a_request_of_several_packets_waits_as_a_whole_and_takes_no_slot() {
-    let mut agent = full();
-    ask(&mut agent, 10, 5);
+fn a_request_of_several_packets_is_released_whole_and_occupies_no_slot() {
+    let mut agent = full_agent();
+    open_and_request(&mut agent, 10, 5);
     request(&mut agent, 10, 101, 6);
-    ask(&mut agent, 12, 7);
+    open_and_request(&mut agent, 12, 7);
     assert_eq!(released(&answer(&mut agent, 0, 20)), [10, 10, 12]);
 }
 
 #[test]
-fn a_caller_that_gives_up_no_longer_waits() {
-    let mut agent = full();
-    ask(&mut agent, 10, 5);
+fn a_reset_by_the_caller_removes_its_waiting_request() {
+    let mut agent = full_agent();
+    open_and_request(&mut agent, 10, 5);
     let mut out = Vec::new();
     agent.relayed(&relay(Ask::Deliver), &head(10, Kind::Reset, 1_001), &[], 6, &mut out);
     assert!(out.contains(&Effect::Deliver));
@@ -273,10 +274,10 @@
 }
 
 #[test]
-fn an_agent_that_stops_gives_the_upstream_all_that_waits() {
-    let mut agent = full();
-    ask(&mut agent, 10, 5);
-    ask(&mut agent, 12, 6);
+fn an_agent_that_stops_releases_all_waiting_requests() {
+    let mut agent = full_agent();
+    open_and_request(&mut agent, 10, 5);
+    open_and_request(&mut agent, 12, 6);
     let mut out = Vec::new();
     agent.set_plan(Plan::Restart, 7, &mut out);
     let mut all = released(&out);
@@ -285,37 +286,36 @@
 }
 
 #[test]
-fn nothing_waits_at_an_upstream_that_was_not_heard_of() {
+fn no_request_waits_before_the_first_heartbeat() {
     let mut agent = Agent::new(identity(1, 1), BEAT_MS, true, 0);
     for number in 0..40 {
-        assert!(ask(&mut agent, number, 0).contains(&Effect::Deliver));
+        assert!(open_and_request(&mut agent, number, 0).contains(&Effect::Deliver));
     }
 }
 
-// After all processes were killed callers send their requests again, on flows that the new agents learn of from just that
-// packet. Upstreams have answered some of them and send no answer a second time: counted as running, they kept
-// others waiting for 0.7 s.
+// After a restart of all agents callers retransmit requests that upstreams may have answered already. Guards against
+// counting these as running, which keeps other requests waiting.
 #[test]
-fn a_request_from_before_the_agents_start_takes_no_slot() {
+fn a_request_from_before_the_agents_start_occupies_no_slot() {
     let mut agent = Agent::new(identity(1, 2), BEAT_MS, true, 0);
     let beat = Heartbeat { life: life("a"), seq: 9, draining: false, slots: SLOTS, cold_ms: 0 };
     agent.heartbeat(&beat, 0, &mut Vec::new());
     for number in 0..10 {
         request(&mut agent, number, 500, 1);
     }
-    // They are held by the upstream, which bounced none of them.
+    // The upstream holds these flows: it bounced none of them.
     agent.tick(20, &mut Vec::new());
     for number in 0..10 {
         request(&mut agent, number, 600, 21);
     }
-    assert!(ask(&mut agent, 20, 30).contains(&Effect::Deliver));
+    assert!(open_and_request(&mut agent, 20, 30).contains(&Effect::Deliver));
     assert_eq!(agent.waiting(), 0);
 }
 
 #[test]
-fn a_request_that_is_never_answered_takes_a_slot_no_longer_than_its_timeout() {
-    let mut agent = full();
-    ask(&mut agent, 10, 2_000);
+fn an_unanswered_request_frees_its_slot_after_its_timeout() {
+    let mut agent = full_agent();
+    open_and_request(&mut agent, 10, 2_000);
     assert_eq!(agent.waiting(), 1);
     let mut out = Vec::new();
     agent.tick(2_010, &mut out);
--- a/crates/core/tests/opaque/agent.rs
+++ b/crates/core/tests/opaque/agent.rs
@@ -1,3 +1,5 @@
+//! The agent's handling of opening packets, flows, heartbeats, probes and resets.
+
 use camphorwinch_core::opaque::{
     Head, Kind, PoolId,
     agent::{Agent, Heard, Heartbeat},
@@ -17,21 +19,21 @@
     Heartbeat { life: life(id), seq, draining: false, slots: 2, cold_ms: 0 }
 }
 
-/// An agent at host 1 with an upstream whose whole life it has seen.
-fn ready() -> Agent {
+/// An agent at host 1 that has seen its upstream start.
+fn ready_agent() -> Agent {
     let mut agent = Agent::new(identity(1, 1), BEAT_MS, false, 0);
     agent.heartbeat(&beat("a", 1), 0, &mut Vec::new());
     agent
 }
 
-/// An agent that has restarted beside an upstream that it has just heard of.
-fn restarted() -> Agent {
+/// A restarted agent that has received a heartbeat from its running upstream.
+fn restarted_agent() -> Agent {
     let mut agent = Agent::new(identity(1, 2), BEAT_MS, true, 0);
     agent.heartbeat(&beat("a", 40), 0, &mut Vec::new());
     agent
 }
 
-fn run<F>(f: F) -> Vec<Effect>
+fn collect<F>(f: F) -> Vec<Effect>
 where
     F: FnOnce(&mut Vec<Effect>),
 {
@@ -40,7 +42,7 @@
     out
 }
 
-fn opened(agent: &mut Agent, port: u16, now_ms: u64) {
+fn open_flow(agent: &mut Agent, port: u16, now_ms: u64) {
     agent.relayed(&open_at(&[1], 5_000), &head(port, Kind::Open), &[], now_ms, &mut Vec::new());
     let answer = Head { seq: 1_000, ..head(port, Kind::Open) };
     agent.sent(&answer, now_ms, &mut Vec::new());
@@ -56,40 +58,40 @@
 }
 
 #[test]
-fn a_draining_upstream_gets_no_new_flow_and_keeps_its_own() {
-    let mut agent = ready();
-    opened(&mut agent, 1, 10);
+fn a_draining_upstream_gets_no_new_flows_and_keeps_its_open_ones() {
+    let mut agent = ready_agent();
+    open_flow(&mut agent, 1, 10);
     let draining = Heartbeat { draining: true, ..beat("a", 2) };
-    let out = run(|out| assert_eq!(agent.heartbeat(&draining, 20, out), Heard::Changed));
+    let out = collect(|out| assert_eq!(agent.heartbeat(&draining, 20, out), Heard::Changed));
     assert!(out.contains(&Effect::Report));
     let out =
-        run(|out| agent.relayed(&open_at(&[1, 2], 5_000), &head(2, Kind::Open), &[], 30, out));
+        collect(|out| agent.relayed(&open_at(&[1, 2], 5_000), &head(2, Kind::Open), &[], 30, out));
     assert!(!out.contains(&Effect::Deliver));
     let Some((to, Ask::Open(walk))) = relays(&out).first().copied() else { panic!("{out:?}") };
     assert_eq!(to, address(2));
     assert_eq!(walk.seats()[0].load, LOAD_CLOSED);
-    let out = run(|out| agent.relayed(&relay(Ask::Deliver), &data(1, 101, 1_001), &[], 40, out));
+    let out =
+        collect(|out| agent.relayed(&relay(Ask::Deliver), &data(1, 101, 1_001), &[], 40, out));
     assert!(out.contains(&Effect::Deliver));
 }
 
-// Spb-edge-grown trouble-1: 36 agents had left while the store was away, so their objects stayed on its list. Their VMs were
-// powered on once more and gone again, and searches waited for each of them: 1,786 of 92,200 requests failed.
+// Guards against searches that wait for an agent that is still listed but has no upstream.
 #[test]
-fn an_agent_that_never_had_an_upstream_is_not_waited_for() {
+fn an_agent_that_never_had_an_upstream_reports_that_it_leaves() {
     let mut agent = Agent::new(identity(1, 1), BEAT_MS, false, 0);
     assert_eq!(agent.next_report(10).plan, Plan::Leave);
     agent.heartbeat(&beat("a", 1), 20, &mut Vec::new());
     assert_eq!(agent.next_report(30).plan, Plan::Stay);
-    // One whose upstream has ended says so, and may be asked for its flows.
+    // After its upstream has ended, the agent can still be queried for flows.
     agent.upstream_ended(40, &mut Vec::new());
     assert_eq!(agent.next_report(50).plan, Plan::Stay);
 }
 
 #[test]
-fn a_draining_upstream_refuses_at_once_if_there_is_no_other() {
-    let mut agent = ready();
+fn a_flow_is_refused_if_its_only_candidate_is_draining() {
+    let mut agent = ready_agent();
     agent.heartbeat(&Heartbeat { draining: true, ..beat("a", 2) }, 1, &mut Vec::new());
-    let out = run(|out| agent.relayed(&open_at(&[1], 0), &head(1, Kind::Open), &[], 2, out));
+    let out = collect(|out| agent.relayed(&open_at(&[1], 0), &head(1, Kind::Open), &[], 2, out));
     let walk = Walk::new([address(1)], 0);
     let expected = [Decision::NobodyAccepted { walk }, Decision::Reset(Why::AllRefused)];
     assert_eq!(decisions(&out), expected);
@@ -99,23 +101,25 @@
 #[test]
 fn an_upstream_of_unknown_state_is_the_last_resort() {
     let mut agent = Agent::new(identity(1, 1), BEAT_MS, true, 0);
-    let out = run(|out| agent.relayed(&open_at(&[1, 2], 9_000), &head(1, Kind::Open), &[], 1, out));
+    let out =
+        collect(|out| agent.relayed(&open_at(&[1, 2], 9_000), &head(1, Kind::Open), &[], 1, out));
     let Some((_, Ask::Open(walk))) = relays(&out).first().copied() else { panic!("{out:?}") };
     assert_eq!(walk.seats()[0].load, LOAD_UNKNOWN);
-    let out = run(|out| agent.relayed(&open_at(&[1], 9_000), &head(2, Kind::Open), &[], 1, out));
+    let out =
+        collect(|out| agent.relayed(&open_at(&[1], 9_000), &head(2, Kind::Open), &[], 1, out));
     assert!(out.contains(&Effect::Deliver));
 }
 
 #[test]
 fn missing_heartbeats_make_the_state_unknown() {
-    let agent = ready();
+    let agent = ready_agent();
     assert_eq!(agent.upstream(3 * BEAT_MS), Upstream::Ready);
     assert_eq!(agent.upstream(3 * BEAT_MS + 1), Upstream::Unknown);
 }
 
 #[test]
-fn late_heartbeats_of_the_same_or_a_former_upstream_are_ignored() {
-    let mut agent = ready();
+fn late_heartbeats_of_the_current_or_a_former_upstream_are_ignored() {
+    let mut agent = ready_agent();
     let out = &mut Vec::new();
     assert_eq!(
         agent.heartbeat(&Heartbeat { draining: true, ..beat("a", 9) }, 1, out),
@@ -134,13 +138,13 @@
 }
 
 #[test]
-fn a_new_upstream_ends_the_flows_of_the_former_and_no_others() {
-    let mut agent = ready();
-    opened(&mut agent, 1, 10);
+fn a_new_upstream_resets_only_the_flows_of_the_former_one() {
+    let mut agent = ready_agent();
+    open_flow(&mut agent, 1, 10);
     agent.heartbeat(&beat("a", 2), 1_000, &mut Vec::new());
-    // The new one may have taken this flow before its first heartbeat.
-    opened(&mut agent, 2, 1_500);
-    let out = run(|out| {
+    // The new upstream may have accepted this flow before its first heartbeat.
+    open_flow(&mut agent, 2, 1_500);
+    let out = collect(|out| {
         agent.heartbeat(&beat("b", 1), 2_000, out);
     });
     let reset: Vec<_> = out.iter().filter(|it| matches!(it, Effect::Reset { .. })).collect();
@@ -148,41 +152,41 @@
 }
 
 #[test]
-fn a_proven_end_resets_all_flows_at_once() {
-    let mut agent = ready();
-    opened(&mut agent, 1, 10);
-    opened(&mut agent, 2, 10);
-    let out = run(|out| agent.upstream_ended(20, out));
+fn the_end_of_the_upstream_process_resets_all_flows() {
+    let mut agent = ready_agent();
+    open_flow(&mut agent, 1, 10);
+    open_flow(&mut agent, 2, 10);
+    let out = collect(|out| agent.upstream_ended(20, out));
     assert_eq!(resets(&out), 2);
     assert_eq!(agent.flows(), 0);
     assert_eq!(agent.upstream(20), Upstream::Ended);
 }
 
-// Soak, seed 6: two upstreams had offered to take a flow; when the one that was not chosen ended, the flow was reset.
+// Two upstreams may answer an opening packet. Guards against a reset of the flow when the one not chosen ends.
 #[test]
-fn an_offer_that_the_caller_did_not_take_is_never_reset() {
-    let mut agent = ready();
+fn an_unfinished_handshake_is_never_reset() {
+    let mut agent = ready_agent();
     agent.relayed(&open_at(&[1], 5_000), &head(1, Kind::Open), &[], 1, &mut Vec::new());
     agent.sent(&Head { seq: 500, ..head(1, Kind::Open) }, 2, &mut Vec::new());
-    assert_eq!(resets(&run(|out| agent.upstream_ended(20, out))), 0);
+    assert_eq!(resets(&collect(|out| agent.upstream_ended(20, out))), 0);
 }
 
 #[test]
-fn a_flow_that_is_held_only_by_guess_is_never_reset() {
-    let mut agent = restarted();
+fn an_unconfirmed_flow_is_never_reset() {
+    let mut agent = restarted_agent();
     agent.relayed(&relay(Ask::Locate), &data(5, 1, 1), &[], 1, &mut Vec::new());
     agent.tick(30, &mut Vec::new());
     assert_eq!(agent.flows(), 1);
-    assert_eq!(resets(&run(|out| agent.upstream_ended(40, out))), 0);
-    let mut agent = restarted();
+    assert_eq!(resets(&collect(|out| agent.upstream_ended(40, out))), 0);
+    let mut agent = restarted_agent();
     agent.relayed(&relay(Ask::Locate), &data(5, 1, 1), &[], 1, &mut Vec::new());
     agent.sent(&data(5, 1, 101), 2, &mut Vec::new());
-    assert_eq!(resets(&run(|out| agent.upstream_ended(40, out))), 1);
+    assert_eq!(resets(&collect(|out| agent.upstream_ended(40, out))), 1);
 }
 
 #[test]
-fn an_offer_that_was_not_taken_stops_counting() {
-    let mut agent = ready();
+fn an_unfinished_handshake_expires() {
+    let mut agent = ready_agent();
     agent.relayed(&open_at(&[1], 5_000), &head(1, Kind::Open), &[], 1, &mut Vec::new());
     assert_eq!(agent.flows(), 1);
     agent.tick(12_000, &mut Vec::new());
@@ -190,25 +194,25 @@
 }
 
 #[test]
-fn a_bounced_opening_packet_goes_on_to_the_next_candidate() {
-    let mut agent = ready();
+fn a_bounced_opening_packet_is_forwarded_to_the_next_candidate() {
+    let mut agent = ready_agent();
     let open = head(1, Kind::Open);
     agent.relayed(&open_at(&[1, 2], 5_000), &open, &[], 1, &mut Vec::new());
-    let out = run(|out| agent.sent(&Head { bounced: true, ..open }, 2, out));
+    let out = collect(|out| agent.sent(&Head { bounced: true, ..open }, 2, out));
     assert_eq!(relays(&out).first().map(|it| it.0), Some(address(2)));
     assert_eq!(agent.flows(), 0);
     agent.relayed(&open_at(&[1], 5_000), &open, &[], 3, &mut Vec::new());
-    let out = run(|out| agent.sent(&Head { bounced: true, ..open }, 4, out));
+    let out = collect(|out| agent.sent(&Head { bounced: true, ..open }, 4, out));
     assert!(decisions(&out).contains(&Decision::Reset(Why::AllRefused)));
 }
 
 #[test]
 fn a_packet_for_another_pool_is_never_delivered() {
-    let mut agent = ready();
+    let mut agent = ready_agent();
     for ask in [Ask::Deliver, Ask::Locate, open_at(&[1], 9_000).ask] {
         let foreign = Relay { pool: PoolId(77), ..relay(ask) };
-        let out = run(|out| agent.relayed(&foreign, &data(1, 1, 1), &[], 1, out));
-        // A packet of an open flow goes back, so that its holder can be searched for at once.
+        let out = collect(|out| agent.relayed(&foreign, &data(1, 1, 1), &[], 1, out));
+        // A packet of an open flow is returned, so that the balancer can search for its agent.
         assert_eq!(answers(&out), [(Answer::WrongPool(POOL), ask == Ask::Deliver)]);
         assert_eq!(decisions(&out), [Decision::Dropped(Drop::WrongPool)]);
         assert!(!out.contains(&Effect::Deliver));
@@ -216,10 +220,10 @@
 }
 
 #[test]
-fn an_opening_packet_for_another_pool_goes_on_to_the_next_candidate() {
-    let mut agent = ready();
+fn an_opening_packet_for_another_pool_is_forwarded_to_the_next_candidate() {
+    let mut agent = ready_agent();
     let foreign = Relay { pool: PoolId(77), ..open_at(&[1, 2], 9_000) };
-    let out = run(|out| agent.relayed(&foreign, &head(1, Kind::Open), &[], 1, out));
+    let out = collect(|out| agent.relayed(&foreign, &head(1, Kind::Open), &[], 1, out));
     let Some(&(to, Ask::Open(walk))) = relays(&out).first() else { panic!("{out:?}") };
     assert_eq!(to, address(2));
     assert_eq!(walk.seats()[0].load, LOAD_CLOSED);
@@ -227,64 +231,64 @@
     assert_eq!(agent.flows(), 0);
 }
 
-// Own day freeze-long on 10 Mbit/s links, seed 7965, and soak, seed 1051: a process that woke up sent on a copy of an
-// opening packet that was seconds old. The agent took the open flow for one that opens, and forgot it 10 s later.
+// A stalled process may forward an opening packet seconds late. Guards against treating the open flow as opening and
+// expiring it.
 #[test]
-fn a_late_copy_of_the_opening_packet_leaves_an_open_flow_as_it_is() {
-    let mut agent = ready();
-    opened(&mut agent, 1, 10);
+fn a_late_retransmission_of_the_opening_packet_does_not_change_an_open_flow() {
+    let mut agent = ready_agent();
+    open_flow(&mut agent, 1, 10);
     let late = open_at(&[1, 2], 5_000);
-    let out = run(|out| agent.relayed(&late, &head(1, Kind::Open), &[], 6_000, out));
+    let out = collect(|out| agent.relayed(&late, &head(1, Kind::Open), &[], 6_000, out));
     assert_eq!(decisions(&out), [Decision::Dropped(Drop::LateCopy)]);
     assert!(!out.contains(&Effect::Deliver));
     assert_eq!(agent.flows(), 1);
     agent.tick(17_000, &mut Vec::new());
     let out =
-        run(|out| agent.relayed(&relay(Ask::Deliver), &data(1, 101, 1_001), &[], 17_010, out));
+        collect(|out| agent.relayed(&relay(Ask::Deliver), &data(1, 101, 1_001), &[], 17_010, out));
     assert!(out.contains(&Effect::Deliver), "{out:?}");
     assert!(answers(&out).is_empty());
 }
 
 #[test]
-fn a_caller_that_uses_its_port_again_opens_a_new_flow() {
-    let mut agent = ready();
-    opened(&mut agent, 1, 10);
+fn a_caller_that_reuses_its_port_opens_a_new_flow() {
+    let mut agent = ready_agent();
+    open_flow(&mut agent, 1, 10);
     let again = Head { seq: 77_000, ..head(1, Kind::Open) };
-    let out = run(|out| agent.relayed(&open_at(&[1], 5_000), &again, &[], 1_000, out));
+    let out = collect(|out| agent.relayed(&open_at(&[1], 5_000), &again, &[], 1_000, out));
     assert!(out.contains(&Effect::Deliver));
     assert_eq!(agent.flows(), 1);
 }
 
 #[test]
-fn a_packet_for_several_agents_is_passed_on_and_asked_about_here() {
-    let mut agent = restarted();
+fn a_packet_for_several_agents_is_forwarded_and_probed_here() {
+    let mut agent = restarted_agent();
     let head = data(1, 1, 1);
     let agents = [address(1), address(2), address(3)];
-    let out = run(|out| agent.spread(&relay(Ask::Locate), &agents, &head, &[], 1, out));
+    let out = collect(|out| agent.spread(&relay(Ask::Locate), &agents, &head, &[], 1, out));
     assert!(out.contains(&Effect::Deliver));
     let others = [(address(2), Ask::Locate), (address(3), Ask::Locate)];
     assert_eq!(relays(&out), others);
 }
 
 #[test]
-fn the_answer_to_another_upstreams_offer_is_not_for_this_one() {
-    let mut agent = ready();
+fn an_acknowledgement_of_another_upstreams_reply_is_answered_absent() {
+    let mut agent = ready_agent();
     agent.relayed(&open_at(&[1], 5_000), &head(1, Kind::Open), &[], 1, &mut Vec::new());
     agent.sent(&Head { seq: 500, ..head(1, Kind::Open) }, 2, &mut Vec::new());
     let other = data(1, 1, 900_000_000);
-    let out = run(|out| agent.relayed(&relay(Ask::Deliver), &other, &[], 3, out));
+    let out = collect(|out| agent.relayed(&relay(Ask::Deliver), &other, &[], 3, out));
     assert_eq!(answers(&out), [(Answer::Absent, true)]);
     let own = data(1, 1, 501);
-    let out = run(|out| agent.relayed(&relay(Ask::Deliver), &own, &[], 4, out));
+    let out = collect(|out| agent.relayed(&relay(Ask::Deliver), &own, &[], 4, out));
     assert!(out.contains(&Effect::Deliver));
 }
 
 #[test]
-fn an_agent_that_has_seen_its_upstream_start_knows_what_it_does_not_hold() {
-    let mut agent = ready();
-    let out = run(|out| agent.relayed(&relay(Ask::Deliver), &data(5, 1, 1), &[], 1, out));
+fn an_agent_that_has_seen_its_upstream_start_answers_absent_for_unknown_flows() {
+    let mut agent = ready_agent();
+    let out = collect(|out| agent.relayed(&relay(Ask::Deliver), &data(5, 1, 1), &[], 1, out));
     assert_eq!(answers(&out), [(Answer::Absent, true)]);
-    let out = run(|out| agent.query(address(200), &[key(5)], out));
+    let out = collect(|out| agent.query(address(200), &[key(5)], out));
     assert_eq!(
         out,
         [Effect::Verdicts { to: address(200), verdicts: vec![(key(5), Verdict::Absent)] }]
@@ -292,71 +296,71 @@
 }
 
 #[test]
-fn a_restarted_agent_asks_its_upstream_and_finds_its_flows_again() {
-    let mut agent = restarted();
-    let out = run(|out| agent.query(address(200), &[key(5)], out));
+fn a_restarted_agent_probes_its_upstream_for_unknown_flows() {
+    let mut agent = restarted_agent();
+    let out = collect(|out| agent.query(address(200), &[key(5)], out));
     assert_eq!(
         out,
         [Effect::Verdicts { to: address(200), verdicts: vec![(key(5), Verdict::Unsure)] }]
     );
-    let out = run(|out| agent.relayed(&relay(Ask::Locate), &data(5, 1, 1), &[], 1, out));
+    let out = collect(|out| agent.relayed(&relay(Ask::Locate), &data(5, 1, 1), &[], 1, out));
     assert!(out.contains(&Effect::Deliver));
     assert!(answers(&out).is_empty());
-    let out = run(|out| agent.tick(30, out));
+    let out = collect(|out| agent.tick(30, out));
     assert_eq!(answers(&out), [(Answer::Here, false)]);
     assert_eq!(agent.flows(), 1);
 }
 
 #[test]
-fn a_bounced_probe_says_absent_and_returns_what_was_to_be_delivered() {
+fn a_bounced_probe_is_answered_absent_and_returns_a_packet_to_deliver() {
     for (ask, returned) in [(Ask::Locate, false), (Ask::Deliver, true)] {
-        let mut agent = restarted();
+        let mut agent = restarted_agent();
         agent.relayed(&relay(ask), &data(5, 1, 1), &[], 1, &mut Vec::new());
         let bounced = Head { bounced: true, ..data(5, 1, 1) };
-        let out = run(|out| agent.sent(&bounced, 2, out));
+        let out = collect(|out| agent.sent(&bounced, 2, out));
         assert_eq!(answers(&out), [(Answer::Absent, returned)]);
         assert!(!out.contains(&Effect::Reply));
-        assert!(answers(&run(|out| agent.tick(100, out))).is_empty());
+        assert!(answers(&collect(|out| agent.tick(100, out))).is_empty());
     }
 }
 
-// Bexley scale-2, seed 397694924382: an upstream answered a flow that it never held with a reset.
+// An upstream may answer a packet of a flow that it never held with a reset. Guards against forwarding it.
 #[test]
-fn a_reset_in_answer_to_a_probe_stays_here() {
-    let mut agent = restarted();
+fn a_reset_in_reply_to_a_probe_is_not_forwarded() {
+    let mut agent = restarted_agent();
     agent.relayed(&relay(Ask::Locate), &data(5, 1, 1), &[], 1, &mut Vec::new());
-    let out = run(|out| agent.sent(&head(5, Kind::Reset), 2, out));
+    let out = collect(|out| agent.sent(&head(5, Kind::Reset), 2, out));
     assert!(!out.contains(&Effect::Reply));
     assert_eq!(answers(&out), [(Answer::Absent, false)]);
-    let mut agent = ready();
-    opened(&mut agent, 6, 1);
-    let out = run(|out| agent.sent(&head(6, Kind::Reset), 2, out));
+    let mut agent = ready_agent();
+    open_flow(&mut agent, 6, 1);
+    let out = collect(|out| agent.sent(&head(6, Kind::Reset), 2, out));
     assert!(out.contains(&Effect::Reply));
 }
 
-// Spb-grown trouble-1: agents whose upstreams had ended claimed every flow, as nobody bounced anything.
+// Without an upstream no probe is bounced. Guards against an agent that then reports every flow as its own.
 #[test]
-fn an_agent_that_never_heard_its_upstream_claims_nothing() {
+fn an_agent_without_a_heartbeat_confirms_no_probed_flow() {
     let mut agent = Agent::new(identity(1, 1), BEAT_MS, true, 0);
     agent.relayed(&relay(Ask::Locate), &data(5, 1, 1), &[], 1, &mut Vec::new());
-    assert!(answers(&run(|out| agent.tick(30, out))).is_empty());
+    assert!(answers(&collect(|out| agent.tick(30, out))).is_empty());
     assert_eq!(agent.flows(), 0);
 }
 
 #[test]
-fn an_agent_that_found_no_listener_holds_nothing() {
+fn an_agent_that_found_no_upstream_answers_absent() {
     let mut agent = Agent::new(identity(1, 1), BEAT_MS, false, 0);
     assert_eq!(agent.upstream(1), Upstream::Ended);
-    let out = run(|out| agent.relayed(&relay(Ask::Locate), &data(5, 1, 1), &[], 1, out));
+    let out = collect(|out| agent.relayed(&relay(Ask::Locate), &data(5, 1, 1), &[], 1, out));
     assert_eq!(answers(&out), [(Answer::Absent, false)]);
 }
 
 #[test]
 fn requests_in_progress_are_counted_once() {
-    let mut agent = ready();
-    opened(&mut agent, 1, 1);
+    let mut agent = ready_agent();
+    open_flow(&mut agent, 1, 1);
     assert_eq!(agent.busy(), 1);
-    // A retransmission is no new request.
+    // A retransmission is not a new request.
     agent.relayed(&relay(Ask::Deliver), &data(1, 1, 1_001), &[], 5, &mut Vec::new());
     assert_eq!(agent.busy(), 1);
     agent.sent(&data(1, 1_001, 101), 10, &mut Vec::new());
@@ -372,35 +376,36 @@
 }
 
 #[test]
-fn a_pausing_agent_passes_new_flows_on() {
-    let mut agent = ready();
-    let out = run(|out| agent.set_plan(Plan::Pause, 0, out));
+fn a_pausing_agent_forwards_opening_packets() {
+    let mut agent = ready_agent();
+    let out = collect(|out| agent.set_plan(Plan::Pause, 0, out));
     assert_eq!(out, [Effect::Report]);
-    let out = run(|out| agent.relayed(&open_at(&[1, 2], 5_000), &head(1, Kind::Open), &[], 1, out));
+    let out =
+        collect(|out| agent.relayed(&open_at(&[1, 2], 5_000), &head(1, Kind::Open), &[], 1, out));
     assert_eq!(relays(&out).first().map(|it| it.0), Some(address(2)));
     assert_eq!(agent.next_report(1).plan, Plan::Pause);
 }
 
-const REPEATABLE: Objective =
+const IDEMPOTENT: Objective =
     Objective { priority: 1, latency_ms: 250, timeout_ms: 2_500, idempotent: true };
 
-/// An opening packet for agent 1, and 2 after it, whose requests may be sent again or not.
-fn walk_of(idempotent: bool) -> Relay {
+/// An opening packet with agents 1 and 2 as candidates.
+fn open_with(idempotent: bool) -> Relay {
     let walk = Walk::new([address(1), address(2)], 5_000);
-    relay(Ask::Open(walk.with_objective(Some(Objective { idempotent, ..REPEATABLE }))))
+    relay(Ask::Open(walk.with_objective(Some(Objective { idempotent, ..IDEMPOTENT }))))
 }
 
-fn is_taken(agent: &mut Agent, port: u16, idempotent: bool, now_ms: u64) -> bool {
+fn is_accepted(agent: &mut Agent, port: u16, idempotent: bool, now_ms: u64) -> bool {
     let open = head(port, Kind::Open);
-    run(|out| agent.relayed(&walk_of(idempotent), &open, &[], now_ms, out))
+    collect(|out| agent.relayed(&open_with(idempotent), &open, &[], now_ms, out))
         .contains(&Effect::Deliver)
 }
 
-/// An agent whose upstream has just reset these many requests, on ports from 1 on.
-fn resetting(requests: u16) -> Agent {
-    let mut agent = ready();
+/// An agent whose upstream has reset this many requests, on ports from 1 on.
+fn agent_after_resets(requests: u16) -> Agent {
+    let mut agent = ready_agent();
     for port in 1..=requests {
-        opened(&mut agent, port, 10);
+        open_flow(&mut agent, port, 10);
         let reset = Head { seq: 1_001, ..head(port, Kind::Reset) };
         agent.sent(&reset, 10, &mut Vec::new());
     }
@@ -408,66 +413,68 @@
 }
 
 #[test]
-fn an_upstream_that_resets_requests_gets_no_flow_that_another_one_takes() {
-    assert!(is_taken(&mut resetting(2), 50, true, 20));
-    let mut agent = resetting(3);
+fn an_upstream_that_resets_requests_gets_flows_only_as_the_last_resort() {
+    assert!(is_accepted(&mut agent_after_resets(2), 50, true, 20));
+    let mut agent = agent_after_resets(3);
     let open = head(50, Kind::Open);
-    let out = run(|out| agent.relayed(&walk_of(true), &open, &[], 20, out));
+    let out = collect(|out| agent.relayed(&open_with(true), &open, &[], 20, out));
     let Some((to, Ask::Open(walk))) = relays(&out).first().copied() else { panic!("{out:?}") };
     assert_eq!((to, walk.seats()[0].load), (address(2), LOAD_UNKNOWN));
-    // If nobody else takes it, it is not refused.
+    // As the last resort the upstream still gets the flow.
     let settle = relay(Ask::Settle(Walk::new([address(1)], 0)));
-    let out = run(|out| agent.relayed(&settle, &head(51, Kind::Open), &[], 20, out));
+    let out = collect(|out| agent.relayed(&settle, &head(51, Kind::Open), &[], 20, out));
     assert!(out.contains(&Effect::Deliver));
 }
 
 #[test]
-fn one_flow_whose_requests_may_be_sent_again_tries_whether_requests_are_answered() {
-    let mut agent = resetting(4);
-    assert!(!is_taken(&mut agent, 50, true, 500));
-    assert!(!is_taken(&mut agent, 51, false, 520));
-    assert!(is_taken(&mut agent, 52, true, 520));
-    assert!(!is_taken(&mut agent, 53, true, 530));
-    // Where there are no such flows others try, after the longest pause.
+fn trials_of_an_open_breaker_prefer_idempotent_requests() {
+    let mut agent = agent_after_resets(4);
+    assert!(!is_accepted(&mut agent, 50, true, 500));
+    assert!(!is_accepted(&mut agent, 51, false, 520));
+    assert!(is_accepted(&mut agent, 52, true, 520));
+    assert!(!is_accepted(&mut agent, 53, true, 530));
+    // A flow with non-idempotent requests is a trial only after the longest delay.
     agent.heartbeat(&beat("a", 2), 20_000, &mut Vec::new());
-    assert!(is_taken(&mut agent, 54, false, 20_000));
+    assert!(is_accepted(&mut agent, 54, false, 20_000));
 }
 
 #[test]
-fn an_upstream_that_answers_again_gets_flows_again() {
-    let mut agent = resetting(4);
+fn successful_trials_close_the_breaker() {
+    let mut agent = agent_after_resets(4);
     let mut now_ms = 520;
     for port in 50..53 {
-        assert!(is_taken(&mut agent, port, true, now_ms), "{port}");
+        assert!(is_accepted(&mut agent, port, true, now_ms), "{port}");
         let answer = Head { seq: 1_000, ..head(port, Kind::Open) };
         agent.sent(&answer, now_ms, &mut Vec::new());
         agent.relayed(&relay(Ask::Deliver), &data(port, 1, 1_001), &[], now_ms, &mut Vec::new());
         agent.sent(&data(port, 1_001, 101), now_ms, &mut Vec::new());
         now_ms += 10;
     }
-    assert!(is_taken(&mut agent, 60, false, now_ms) && is_taken(&mut agent, 61, false, now_ms));
+    assert!(
+        is_accepted(&mut agent, 60, false, now_ms) && is_accepted(&mut agent, 61, false, now_ms)
+    );
 }
 
-// An answer of many packets is one request that was answered.
+// Guards against counting each packet of an answer as an answered request.
 #[test]
 fn further_packets_of_an_answer_do_not_close_the_breaker() {
-    let mut agent = resetting(3);
-    assert!(is_taken(&mut agent, 50, true, 520));
+    let mut agent = agent_after_resets(3);
+    assert!(is_accepted(&mut agent, 50, true, 520));
     let answer = Head { seq: 1_000, ..head(50, Kind::Open) };
     agent.sent(&answer, 520, &mut Vec::new());
     agent.relayed(&relay(Ask::Deliver), &data(50, 1, 1_001), &[], 521, &mut Vec::new());
     for at in 0..9 {
         agent.sent(&data(50, 1_001 + at * 100, 101), 530, &mut Vec::new());
     }
-    assert!(is_taken(&mut agent, 51, true, 531), "the next trial");
-    assert!(!is_taken(&mut agent, 52, true, 532), "and no more than that");
+    assert!(is_accepted(&mut agent, 51, true, 531), "the next trial");
+    assert!(!is_accepted(&mut agent, 52, true, 532), "and no more than that");
 }
 
 #[test]
-fn a_reset_without_a_request_or_after_the_upstreams_end_says_nothing() {
-    let mut agent = ready();
+fn a_reset_without_a_request_or_after_the_upstreams_close_is_not_counted() {
+    let mut agent = ready_agent();
     for port in 1..20 {
-        opened(&mut agent, port, 10);
+        open_flow(&mut agent, port, 10);
         agent.sent(&data(port, 1_001, 101), 10, &mut Vec::new());
         if port % 2 == 0 {
             agent.sent(&head(port, Kind::Finish), 11, &mut Vec::new());
@@ -476,8 +483,8 @@
         agent.sent(&head(port, Kind::Reset), 12, &mut Vec::new());
     }
     for port in 30..50 {
-        // Answered ones don't make up for resets that were not counted.
-        opened(&mut agent, port, 10);
+        // These requests stay unanswered, so that no answer offsets a reset that was counted by mistake.
+        open_flow(&mut agent, port, 10);
     }
-    assert!(is_taken(&mut agent, 50, true, 20));
+    assert!(is_accepted(&mut agent, 50, true, 20));
 }
--- a/crates/core/tests/opaque/load.rs
+++ b/crates/core/tests/opaque/load.rs
@@ -1,9 +1,11 @@
+//! Load measures and flow usage.
+
 use camphorwinch_core::opaque::load::{FlowUsage, FlowUsageTracker, Load, effective_slots};
 
 use crate::support::service;
 
 #[test]
-fn a_single_request_is_judged_by_the_queue_that_it_meets() {
+fn the_current_load_counts_requests_in_progress() {
     let mut load = Load::default();
     for _ in 0..40 {
         load.add_flow();
@@ -19,7 +21,7 @@
 }
 
 #[test]
-fn a_kept_flow_is_judged_by_what_open_flows_will_bring() {
+fn the_average_load_counts_open_flows() {
     let (mut few, mut many) = (Load::default(), Load::default());
     few.add_flow();
     for _ in 0..40 {
@@ -29,7 +31,7 @@
 }
 
 #[test]
-fn a_pause_between_requests_does_not_look_like_room() {
+fn short_pauses_between_requests_do_not_lower_the_average_load() {
     let mut load = Load::default();
     for at in 0..100 {
         load.begin_request(at * 100);
@@ -41,7 +43,7 @@
 }
 
 #[test]
-fn a_cold_upstream_has_fewer_slots() {
+fn a_cold_upstream_has_fewer_effective_slots() {
     let (cold, warm) =
         (effective_slots(4, true, None, None), effective_slots(4, false, None, None));
     let mut load = Load::default();
@@ -52,20 +54,19 @@
     assert!(!load.has_room(cold));
 }
 
-// The pattern of an upstream that turns slow: by the number of requests it looks as loaded as the others, though what it
-// has takes five times as long.
+// Guards against judging a slow upstream only by its number of requests, which may be as low as that of others.
 #[test]
-fn a_slow_upstream_counts_for_fewer_slots() {
+fn a_slow_upstream_has_fewer_effective_slots() {
     assert!((effective_slots(4, false, Some(150.0), Some(30)) - 0.8).abs() < 1e-9);
     assert!((effective_slots(4, false, Some(9_000.0), Some(30)) - 0.5).abs() < 1e-9);
-    // Chance, and what cold means where nobody has measured it, tell no upstream apart.
+    // No scaling for random variation, for a cold upstream of normal speed, or without own service times.
     assert!((effective_slots(4, true, Some(44.0), Some(30)) - 4.0).abs() < 1e-9);
     assert!((effective_slots(4, false, Some(3.0), Some(30)) - 4.0).abs() < 1e-9);
     assert!((effective_slots(4, false, None, Some(30)) - 4.0).abs() < 1e-9);
 }
 
 #[test]
-fn habits_follow_the_flows_that_end() {
+fn flow_usage_follows_the_flows_that_end() {
     let mut flow_usage = FlowUsageTracker::default();
     assert_eq!(flow_usage.of(service()), FlowUsage::Persistent);
     for _ in 0..30 {
--- a/crates/core/tests/opaque/support.rs
+++ b/crates/core/tests/opaque/support.rs
@@ -1,4 +1,4 @@
-//! Short ways to write addresses, packets and reports.
+//! Helpers that build addresses, packets and reports.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -13,7 +13,7 @@
 };
 
 pub(crate) const POOL: PoolId = PoolId(1);
-/// A pool that the service's route does not name.
+/// A pool that is not in the service's route.
 pub(crate) const OTHER_POOL: PoolId = PoolId(2);
 pub(crate) const ZONE: ZoneId = ZoneId(1);
 
@@ -25,7 +25,7 @@
     Identity { address: address(host), pool: POOL, zone: ZONE, incarnation }
 }
 
-/// A life of an upstream that does not say when it started.
+/// An upstream process that does not send its start time.
 pub(crate) fn life(id: &str) -> Life {
     Life { id: id.to_owned(), born_ms: None }
 }
@@ -34,7 +34,7 @@
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443)
 }
 
-/// Where callers send flows of a single request.
+/// Service address for flows with a single request.
 pub(crate) fn single_service() -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 444)
 }
@@ -80,7 +80,7 @@
     routes_to(revision, POOL)
 }
 
-/// The same addresses with flows that go to `pool`.
+/// Routes from both service addresses to `pool`.
 pub(crate) fn routes_to(revision: u64, pool: PoolId) -> Routes {
     let mut routes =
         Routes { revision: Revision::new(0, revision), version: revision, ..Routes::default() };
@@ -104,7 +104,7 @@
     effects.iter().filter(|it| matches!(it, Effect::Reset { .. })).count()
 }
 
-/// Processes that packets are relayed to, with what is asked of them.
+/// Destinations of relayed packets, with the requested actions.
 pub(crate) fn relays(effects: &[Effect]) -> Vec<(SocketAddrV4, Ask)> {
     let relay = |it: &Effect| match it {
         Effect::Relay { to, relay, .. } => Some((*to, relay.ask)),
--- a/crates/core/tests/opaque/survival.rs
+++ b/crates/core/tests/opaque/survival.rs
@@ -1,5 +1,5 @@
-//! Flows under restarts, moves and losses: whatever comes, the system resets no flow that an upstream holds, and flows
-//! that live are served again.
+//! Flows under restarts, moves and packet loss: the system never resets a flow that an upstream holds, and open flows
+//! are served again.
 
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::IndexedRandom};
 
@@ -8,7 +8,7 @@
 const SHAPE: Shape =
     Shape { zones: 2, balancers: 4, agents: 6, slots: 4, queue: 16, work_ms: 20, loss: 0.0 };
 
-/// A fleet with `flows` kept flows, all of them open.
+/// A fleet with `flows` open persistent flows.
 fn fleet(shape: Shape, seed: u64, flows: u64) -> World {
     let mut world = World::new(shape, seed);
     for at in 0..flows {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn flows_survive_the_death_of_all_processes_at_once() {
+fn flows_survive_a_simultaneous_crash_of_all_processes() {
     let mut world = fleet(SHAPE, 3, 60);
     for host in world.hosts() {
         world.stop_agent(host, false);
@@ -65,9 +65,9 @@
     assert!(world.tally.answered > before + 300);
 }
 
-// Power off of everything: callers must learn at once that their flows are gone.
+// Guards against callers that wait for a timeout after all upstreams have restarted: their flows must be reset.
 #[test]
-fn callers_learn_at_once_that_all_upstreams_have_ended() {
+fn flows_are_reset_after_all_upstreams_have_restarted() {
     let mut world = fleet(SHAPE, 4, 60);
     for host in world.hosts() {
         world.stop_agent(host, false);
@@ -93,7 +93,7 @@
         world.open_flow(at % 2, 1, 10);
         world.run(10);
         if at % 50 == 0 {
-            // Not even from one that has forgotten everything, or through an agent that has.
+            // Also not from a restarted balancer, or through a restarted agent.
             world.start_balancer(200 + (at / 50) as u8 % 4);
             world.stop_agent(2, true);
             world.start_agent(2);
@@ -103,8 +103,8 @@
     assert!(world.tally.answered > 300);
 }
 
-/// Restarts, replaced upstreams, drains, moves of flows and losses, at random.
-fn storm(seed: u64) -> World {
+/// A run with random restarts, upstream replacements, drains, new flows and packet loss.
+fn run_with_random_faults(seed: u64) -> World {
     let loss = [0.0, 0.002, 0.02][seed as usize % 3];
     let mut world = fleet(Shape { loss, ..SHAPE }, seed, 40);
     let mut rng = SmallRng::seed_from_u64(seed);
@@ -133,10 +133,10 @@
 }
 
 #[test]
-fn no_flow_that_lives_is_ever_reset() {
+fn open_flows_are_never_reset() {
     let seeds = std::env::var("CAMPHORWINCH_SEEDS").ok().and_then(|it| it.parse().ok());
     for seed in 0..seeds.unwrap_or(60) {
-        let world = storm(seed);
+        let world = run_with_random_faults(seed);
         let tally = &world.tally;
         assert_eq!((tally.broken, tally.late_work), (0, 0), "seed {seed}");
     }
--- a/crates/core/tests/opaque/walk.rs
+++ b/crates/core/tests/opaque/walk.rs
@@ -1,10 +1,12 @@
+//! Walks of opening packets over their candidates.
+
 use camphorwinch_core::opaque::walk::{LOAD_CLOSED, LOAD_UNKNOWN, MAX_SEATS, Walk};
 use quickcheck::quickcheck;
 
 use crate::support::address;
 
 #[test]
-fn the_least_loaded_candidate_is_settled_on() {
+fn the_least_loaded_candidate_is_selected() {
     let mut walk = Walk::new([1, 2, 3].map(address), 100);
     assert_eq!(walk.pass(700), Some(address(2)));
     assert_eq!(walk.pass(300), Some(address(3)));
@@ -13,7 +15,7 @@
 }
 
 #[test]
-fn an_unsure_candidate_comes_last_and_a_closed_one_never() {
+fn a_candidate_of_unknown_load_is_selected_last_and_a_closed_one_never() {
     let mut walk = Walk::new([1, 2].map(address), 100);
     walk.pass(LOAD_CLOSED);
     walk.pass(LOAD_UNKNOWN);
@@ -23,7 +25,7 @@
 }
 
 #[test]
-fn parts_that_do_not_fit_make_no_walk() {
+fn invalid_parts_are_rejected() {
     let walk = Walk::new([1, 2].map(address), 5);
     assert_eq!(Walk::from_parts(walk.seats(), 0, 5), Some(walk));
     assert_eq!(Walk::from_parts(walk.seats(), 2, 5), None);
@@ -33,7 +35,7 @@
 }
 
 quickcheck! {
-    fn settling_finds_the_minimum(loads: Vec<u16>) -> bool {
+    fn selection_finds_the_minimum(loads: Vec<u16>) -> bool {
         let loads = &loads[..loads.len().min(MAX_SEATS)];
         let mut walk = Walk::new((0..loads.len() as u8).map(address), 0);
         for &load in loads {
@@ -46,7 +48,7 @@
 }
 
 #[test]
-fn a_walk_tells_what_was_judged() {
+fn the_display_form_lists_the_recorded_loads() {
     let mut walk = Walk::new([address(1), address(2), address(3)], 500);
     walk.pass(620);
     walk.record_load(LOAD_UNKNOWN);
--- a/crates/core/tests/opaque/warmup.rs
+++ b/crates/core/tests/opaque/warmup.rs
@@ -1,4 +1,4 @@
-//! Cold upstreams: a zone comes back with cold upstreams, whose agents keep what comes within what these bear.
+//! Rate limit of cold upstreams.
 
 use camphorwinch_core::opaque::{
     Kind,
@@ -10,14 +10,14 @@
 
 use crate::support::{address, decisions, head, identity, life, relay, relays};
 
-/// What the upstreams here bear while they are cold, a second.
+/// Rate limit of a cold upstream, in new flows per second.
 const RATE: u32 = 3;
 
 fn beat(seq: u64, cold_ms: u64) -> Heartbeat {
     Heartbeat { life: life("a"), seq, draining: false, slots: 100, cold_ms }
 }
 
-/// An agent whose upstream stays cold for so long.
+/// An agent whose upstream is cold for this long.
 fn agent(cold_ms: u64) -> Agent {
     let mut it = Agent::new(identity(1, 1), 1_000, false, 0);
     it.heartbeat(&beat(1, cold_ms), 0, &mut Vec::new());
@@ -34,32 +34,32 @@
     out
 }
 
-fn is_taken(effects: &[Effect]) -> bool {
+fn is_accepted(effects: &[Effect]) -> bool {
     effects.contains(&Effect::Deliver)
 }
 
-/// How many flows of a burst the upstream gets.
-fn taken(agent: &mut Agent, ports: std::ops::Range<u16>, now_ms: u64) -> usize {
+/// Number of flows of a burst that the upstream gets.
+fn count_accepted(agent: &mut Agent, ports: std::ops::Range<u16>, now_ms: u64) -> usize {
     let ask = relay(Ask::Open(walk(&[1, 2])));
-    ports.filter(|&it| is_taken(&open(agent, ask, it, now_ms))).count()
+    ports.filter(|&it| is_accepted(&open(agent, ask, it, now_ms))).count()
 }
 
 #[test]
-fn a_cold_upstream_gets_no_more_than_it_bears_in_any_second() {
+fn a_cold_upstream_gets_no_more_than_its_limit_in_any_second() {
     let mut it = agent(10_000);
-    assert_eq!(taken(&mut it, 0..2, 100), 2);
-    assert_eq!(taken(&mut it, 10..20, 900), 1);
-    // The second slides: the first two of them are out of it, the third is not.
-    assert_eq!(taken(&mut it, 20..30, 1_100), 0);
-    assert_eq!(taken(&mut it, 30..40, 1_101), 2);
-    assert_eq!(taken(&mut it, 40..50, 1_900), 0);
-    assert_eq!(taken(&mut it, 50..60, 1_901), 1);
+    assert_eq!(count_accepted(&mut it, 0..2, 100), 2);
+    assert_eq!(count_accepted(&mut it, 10..20, 900), 1);
+    // The window slides: the first two flows have left it, the third has not.
+    assert_eq!(count_accepted(&mut it, 20..30, 1_100), 0);
+    assert_eq!(count_accepted(&mut it, 30..40, 1_101), 2);
+    assert_eq!(count_accepted(&mut it, 40..50, 1_900), 0);
+    assert_eq!(count_accepted(&mut it, 50..60, 1_901), 1);
 }
 
 #[test]
-fn what_is_over_goes_on_at_once_to_another_upstream() {
+fn flows_above_the_limit_are_forwarded_to_another_upstream() {
     let mut it = agent(10_000);
-    taken(&mut it, 0..10, 100);
+    count_accepted(&mut it, 0..10, 100);
     let effects = open(&mut it, relay(Ask::Open(walk(&[1, 2]))), 20, 110);
     let Some((to, Ask::Open(walk))) = relays(&effects).first().copied() else {
         panic!("{effects:?}")
@@ -68,9 +68,9 @@
 }
 
 #[test]
-fn what_no_upstream_bears_is_refused_at_once() {
+fn flows_above_the_limit_of_all_upstreams_are_refused() {
     let mut it = agent(10_000);
-    taken(&mut it, 0..10, 100);
+    count_accepted(&mut it, 0..10, 100);
     for ask in [Ask::Open(walk(&[1])), Ask::Settle(walk(&[1]))] {
         let effects = open(&mut it, relay(ask), 20, 110);
         assert!(decisions(&effects).contains(&Decision::Reset(Why::AllRefused)), "{effects:?}");
@@ -78,44 +78,44 @@
 }
 
 #[test]
-fn a_warm_upstream_has_no_bound() {
+fn a_warm_upstream_has_no_limit() {
     let mut it = agent(0);
-    assert_eq!(taken(&mut it, 0..50, 100), 50);
-    // It says that it is cold now: what it got in the last second counts.
+    assert_eq!(count_accepted(&mut it, 0..50, 100), 50);
+    // The upstream becomes cold: flows of the last second count.
     it.heartbeat(&beat(2, 5_000), 500, &mut Vec::new());
-    assert_eq!(taken(&mut it, 50..60, 600), 0);
-    assert_eq!(taken(&mut it, 60..70, 1_101), 3);
-    // Its cold time is over, and it goes on saying so.
+    assert_eq!(count_accepted(&mut it, 50..60, 600), 0);
+    assert_eq!(count_accepted(&mut it, 60..70, 1_101), 3);
+    // The upstream is warm again.
     it.heartbeat(&beat(3, 0), 5_400, &mut Vec::new());
-    assert_eq!(taken(&mut it, 70..90, 5_500), 20);
+    assert_eq!(count_accepted(&mut it, 70..90, 5_500), 20);
 }
 
 #[test]
-fn an_upstream_without_a_bound_gets_all_that_it_has_slots_for() {
+fn a_cold_upstream_without_a_limit_gets_all_flows() {
     let mut it = agent(10_000);
     let ask = relay(Ask::Open(Walk::new([address(1)], 50_000)));
-    let flows = (0..50).filter(|&port| is_taken(&open(&mut it, ask, port, 100)));
+    let flows = (0..50).filter(|&port| is_accepted(&open(&mut it, ask, port, 100)));
     assert_eq!(flows.count(), 50);
 }
 
-/// The agent has restarted and nothing was heard of its upstream, which may be cold.
+/// The agent has restarted and received no heartbeat yet, so the upstream may be cold.
 #[test]
-fn an_upstream_that_was_not_heard_of_counts_as_cold() {
+fn an_upstream_without_a_heartbeat_counts_as_cold() {
     let mut it = Agent::new(identity(1, 2), 1_000, true, 0);
     let ask = relay(Ask::Settle(walk(&[1])));
-    let flows = (0..50).filter(|&port| is_taken(&open(&mut it, ask, port, 100)));
+    let flows = (0..50).filter(|&port| is_accepted(&open(&mut it, ask, port, 100)));
     assert_eq!(flows.count(), RATE as usize);
 }
 
 quickcheck! {
-    /// Whatever the times at which flows come, no span of a second has more than the upstream bears.
-    fn no_second_has_more_than_the_rate(gaps: Vec<u8>) -> bool {
+    /// For any arrival times, no window of a second has more flows than the limit.
+    fn no_window_has_more_flows_than_the_limit(gaps: Vec<u8>) -> bool {
         let mut it = agent(3_600_000);
         let mut now_ms = 0;
         let mut times = Vec::new();
         for (port, gap) in gaps.iter().enumerate() {
             now_ms += u64::from(*gap) * 2;
-            if taken(&mut it, port as u16..port as u16 + 1, now_ms) == 1 {
+            if count_accepted(&mut it, port as u16..port as u16 + 1, now_ms) == 1 {
                 times.push(now_ms);
             }
         }
--- a/crates/core/tests/opaque/world.rs
+++ b/crates/core/tests/opaque/world.rs
@@ -1,6 +1,6 @@
-//! A small fleet in simulated time: callers, a router, balancers, agents and upstreams, without sockets.
+//! Simulation of a small fleet, without sockets: callers, a router, balancers, agents and upstreams.
 //!
-//! Whenever a caller is reset by the system it is checked that no upstream holds its flow.
+//! On each reset by the system the simulation checks that no upstream holds the flow.
 
 use std::{
     cmp::Reverse,
@@ -23,18 +23,18 @@
 const BEAT_MS: u64 = 1_000;
 const TICK_MS: u64 = 20;
 const REPORT_MS: u64 = 1_000;
-/// Time after which a draining upstream must get no new flow: the heartbeat that says so, and some.
+/// Time after the start of a drain from which an upstream must get no new flow: a heartbeat interval and a margin.
 const DRAIN_MS: u64 = BEAT_MS + 50;
 const HOP_MS: u64 = 1;
 const FIRST_BALANCER: u8 = 200;
-/// Waits before a caller sends a packet again.
-const COPIES_MS: [u64; 4] = [200, 400, 800, 1_600];
+/// Delays before a caller retransmits a packet.
+const RETRANSMIT_DELAYS_MS: [u64; 4] = [200, 400, 800, 1_600];
 
-/// What callers of all routes expect.
+/// Objective of all routes.
 pub(crate) const OBJECTIVE: Objective =
     Objective { priority: 1, latency_ms: 250, timeout_ms: 2_500, idempotent: true };
 
-/// What varies between worlds.
+/// Parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Shape {
     pub(crate) zones: u64,
@@ -43,18 +43,18 @@
     pub(crate) slots: u32,
     pub(crate) queue: usize,
     pub(crate) work_ms: u64,
-    /// Share of datagrams between processes that are lost.
+    /// Loss rate of datagrams between processes.
     pub(crate) loss: f64,
 }
 
 #[derive(Debug)]
 enum Event {
     Tick,
-    Beat(u8),
+    Heartbeat(u8),
     Report(u8),
     ToBalancer(u8, SocketAddrV4, Message),
     ToAgent(u8, SocketAddrV4, Message),
-    FromCaller(u64, u32),
+    Retransmit(u64, u32),
     ToCaller(u64, Head),
     Reset(u64),
     Work(u8, u64, u64),
@@ -69,7 +69,7 @@
     Spread(Relay, Vec<SocketAddrV4>, u64),
     Verdicts(Vec<(FlowKey, Verdict)>),
     Report(Report),
-    Greeting,
+    Subscribe,
 }
 
 struct Item(u64, u64, Event);
@@ -94,13 +94,13 @@
     }
 }
 
-/// An upstream: it accepts flows, runs requests in its slots and bounces what it does not hold.
+/// An upstream: it accepts flows, runs requests in its slots and bounces packets of flows that it does not hold.
 struct Upstream {
     id: u64,
-    born_ms: u64,
-    /// It resets each flow at its request, and says that it is well.
+    start_ms: u64,
+    /// Resets each flow at its first request, but sends normal heartbeats.
     resets: bool,
-    /// Requests that it began to work on.
+    /// Requests that it began to run.
     started: u64,
     beats: u64,
     draining_since: Option<u64>,
@@ -111,10 +111,10 @@
 }
 
 impl Upstream {
-    /// Upstreams of odd hosts start again under the id that they had and say when; others take a new id.
+    /// Upstreams of odd hosts keep their id over restarts and send their start time; others take a new id.
     fn life(&self, host: u8) -> Life {
         if host % 2 == 1 {
-            Life { id: host.to_string(), born_ms: Some(self.born_ms) }
+            Life { id: host.to_string(), born_ms: Some(self.start_ms) }
         } else {
             Life { id: self.id.to_string(), born_ms: None }
         }
@@ -131,18 +131,18 @@
 struct Flow {
     key: FlowKey,
     zone: u64,
-    /// First number of the upstream whose offer was taken, plus one.
-    taken: Option<u32>,
+    /// Next byte expected from the upstream, once one has accepted the flow.
+    next_ack: Option<u32>,
     seq: u32,
     copy: u32,
     sent_ms: u64,
     waiting: bool,
     left: u32,
     pause_ms: u64,
-    over: bool,
+    closing: bool,
 }
 
-/// What callers saw.
+/// Counters of outcomes at the callers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Tally {
     pub(crate) answered: u64,
@@ -153,7 +153,7 @@
     pub(crate) given_up: u64,
     /// Resets of flows that an upstream held.
     pub(crate) broken: u64,
-    /// Flows given to upstreams that had said that they leave.
+    /// Flows sent to upstreams that were draining.
     pub(crate) late_work: u64,
     pub(crate) waits: Vec<u64>,
 }
@@ -231,7 +231,7 @@
         listed.collect()
     }
 
-    /// Starts a balancer, or starts it again without its memory.
+    /// Starts a balancer, or restarts it without its state.
     pub(crate) fn start_balancer(&mut self, number: u8) {
         let mut balancer = Balancer::new(address(number), ZoneId(self.zone_of(number)));
         balancer.put_routes(with_objectives(routes(1)));
@@ -239,7 +239,7 @@
         self.balancers.insert(number, balancer);
     }
 
-    /// Starts an agent, or starts it again without its memory.
+    /// Starts an agent, or restarts it without its state.
     pub(crate) fn start_agent(&mut self, host: u8) {
         let zone = ZoneId(self.zone_of(host));
         let incarnation = self.rng.random();
@@ -255,7 +255,7 @@
         self.report(host);
     }
 
-    /// Ends an agent; `announced` if by a planned stop.
+    /// Stops an agent; `announced` for a planned stop, else it is killed.
     pub(crate) fn stop_agent(&mut self, host: u8, announced: bool) {
         if announced {
             let now = self.now;
@@ -266,13 +266,13 @@
         }
     }
 
-    /// Starts a new upstream in place of the one that is there, which ends without a word.
+    /// Starts a new upstream in place of the current one, which ends without a deregistration.
     pub(crate) fn start_upstream(&mut self, host: u8) {
         let id = self.rng.random();
         if let Some(it) = self.hosts.get_mut(&host) {
             it.upstream = Some(Upstream {
                 id,
-                born_ms: self.now,
+                start_ms: self.now,
                 resets: false,
                 started: 0,
                 beats: 0,
@@ -283,24 +283,24 @@
                 waiting: VecDeque::new(),
             });
         }
-        self.push(5, Event::Beat(host));
+        self.push(5, Event::Heartbeat(host));
     }
 
-    /// Has an upstream say that it leaves.
+    /// Starts the drain of an upstream.
     pub(crate) fn drain(&mut self, host: u8) {
         if let Some(it) = self.hosts.get_mut(&host).and_then(|it| it.upstream.as_mut()) {
             it.draining_since = Some(self.now);
         }
     }
 
-    /// Has an upstream reset each flow at its request, or serve again.
+    /// Sets whether an upstream resets each flow at its first request.
     pub(crate) fn set_resets(&mut self, host: u8, resets: bool) {
         if let Some(it) = self.hosts.get_mut(&host).and_then(|it| it.upstream.as_mut()) {
             it.resets = resets;
         }
     }
 
-    /// Requests that each upstream began to work on.
+    /// Requests that each upstream began to run, by host.
     pub(crate) fn started(&self) -> BTreeMap<u8, u64> {
         let started = |(&host, it): (&u8, &Host)| Some((host, it.upstream.as_ref()?.started));
         self.hosts.iter().filter_map(started).collect()
@@ -311,7 +311,7 @@
         self.hosts.values().filter_map(|it| it.upstream.as_ref()).map(|it| it.open.len()).sum()
     }
 
-    /// Opens a flow in a zone for so many requests, with pauses between them.
+    /// Opens a flow in a zone for this many requests, with a mean pause of `pause_ms` between them.
     pub(crate) fn open_flow(&mut self, zone: u64, requests: u32, pause_ms: u64) {
         let id = self.next_id;
         self.next_id += 1;
@@ -322,26 +322,26 @@
         let flow = Flow {
             key,
             zone,
-            taken: None,
+            next_ack: None,
             seq: 0,
             copy: 0,
             sent_ms: self.now,
             waiting: true,
             left: requests,
             pause_ms,
-            over: false,
+            closing: false,
         };
         self.flows.insert(id, flow);
         self.by_key.insert(key, id);
         self.send(id, 0);
     }
 
-    /// Has all upstreams take this time for a request from now on.
+    /// Sets the mean service time of all upstreams.
     pub(crate) fn set_work_ms(&mut self, work_ms: u64) {
         self.shape.work_ms = work_ms;
     }
 
-    /// Share of the slots that are in use now.
+    /// Share of the slots that are in use.
     pub(crate) fn utilization(&self) -> f64 {
         let running: usize = self
             .hosts
@@ -352,14 +352,14 @@
         running as f64 / (f64::from(self.shape.slots) * self.hosts.len() as f64)
     }
 
-    /// Fewest and most flows that an upstream holds.
+    /// Minimum and maximum number of flows per upstream.
     pub(crate) fn flow_spread(&self) -> (usize, usize) {
         let counts =
             || self.hosts.values().filter_map(|it| it.upstream.as_ref()).map(|it| it.open.len());
         (counts().min().unwrap_or(0), counts().max().unwrap_or(0))
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for `ms` milliseconds.
     pub(crate) fn run(&mut self, ms: u64) {
         let until = self.now + ms;
         while self.heap.peek().is_some_and(|it| it.0.0 <= until) {
@@ -367,7 +367,7 @@
                 break;
             };
             self.now = self.now.max(at);
-            self.take(event);
+            self.handle(event);
         }
         self.now = until;
     }
@@ -377,19 +377,21 @@
         self.heap.push(Reverse(Item(self.now + in_ms, self.next, event)));
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Tick => self.tick(),
-            Event::Beat(host) => self.beat(host),
+            Event::Heartbeat(host) => self.beat(host),
             Event::Report(host) => {
                 self.report(host);
                 self.push(REPORT_MS, Event::Report(host));
             }
-            Event::ToBalancer(number, from, message) => self.hear_balancer(number, from, message),
-            Event::ToAgent(host, from, message) => self.hear_agent(host, from, message),
-            Event::FromCaller(id, copy) => self.send_again(id, copy),
-            Event::ToCaller(id, head) => self.hear_caller(id, &head),
-            Event::Reset(id) => self.reset_by_us(id),
+            Event::ToBalancer(number, from, message) => {
+                self.balancer_receives(number, from, message)
+            }
+            Event::ToAgent(host, from, message) => self.agent_receives(host, from, message),
+            Event::Retransmit(id, copy) => self.retransmit(id, copy),
+            Event::ToCaller(id, head) => self.caller_receives(id, &head),
+            Event::Reset(id) => self.handle_reset(id),
             Event::Work(host, upstream, id) => self.work_done(host, upstream, id),
             Event::NextRequest(id) => self.next_request(id),
         }
@@ -423,7 +425,7 @@
         self.with_agent(host, |it, out| {
             it.heartbeat(&beat, now, out);
         });
-        self.push(BEAT_MS, Event::Beat(host));
+        self.push(BEAT_MS, Event::Heartbeat(host));
     }
 
     fn report(&mut self, host: u8) {
@@ -455,7 +457,7 @@
         self.push(HOP_MS, event);
     }
 
-    fn hear_balancer(&mut self, number: u8, from: SocketAddrV4, message: Message) {
+    fn balancer_receives(&mut self, number: u8, from: SocketAddrV4, message: Message) {
         match message {
             Message::Report(report) => self.with_balancer(number, |it, now, out| {
                 let _: Change = it.report(from, report, now, out);
@@ -473,11 +475,11 @@
                     it.answer(from, key, answer, returned, now, out);
                 });
             }
-            Message::Packet(..) | Message::Spread(..) | Message::Query(_) | Message::Greeting => {}
+            Message::Packet(..) | Message::Spread(..) | Message::Query(_) | Message::Subscribe => {}
         }
     }
 
-    fn hear_agent(&mut self, host: u8, from: SocketAddrV4, message: Message) {
+    fn agent_receives(&mut self, host: u8, from: SocketAddrV4, message: Message) {
         let now = self.now;
         match message {
             Message::Packet(relay, packet) => {
@@ -495,7 +497,7 @@
                 });
             }
             Message::Query(keys) => self.with_agent(host, |it, out| it.query(from, &keys, out)),
-            Message::Greeting => {
+            Message::Subscribe => {
                 if let Some(it) = self.hosts.get_mut(&host) {
                     it.balancers.insert(from);
                 }
@@ -530,7 +532,7 @@
                     let packet = packet_of(&Payload::Held(packet), current);
                     self.send_message(from, to, Message::Spread(relay, agents, packet));
                 }
-                Effect::Greet { to } => self.send_message(from, to, Message::Greeting),
+                Effect::Greet { to } => self.send_message(from, to, Message::Subscribe),
                 Effect::List => {
                     let members = self.listed();
                     if let Some(it) = self.balancers.get_mut(&number) {
@@ -627,7 +629,7 @@
             return;
         };
         if it.running.contains(&id) || it.waiting.contains(&id) {
-            // A copy of a packet that has arrived.
+            // A retransmission of a request that has arrived.
             return;
         }
         if it.running.len() < slots as usize {
@@ -671,7 +673,7 @@
             return;
         };
         let (key, ack) = (flow.key, flow.seq.wrapping_add(100));
-        let seq = flow.taken.unwrap_or(0);
+        let seq = flow.next_ack.unwrap_or(0);
         let head = Head { key, kind: Kind::Data, bounced: false, seq, ack, len: 100 };
         self.emit(host, head);
     }
@@ -704,7 +706,7 @@
         }
     }
 
-    fn reset_by_us(&mut self, id: u64) {
+    fn handle_reset(&mut self, id: u64) {
         self.tally.reset += 1;
         self.end_flow(id);
     }
@@ -715,31 +717,31 @@
         }
     }
 
-    /// Sends the flow's present packet through the balancer that the router picks.
+    /// Sends the flow's current packet to the balancer that the router selects.
     fn send(&mut self, id: u64, copy: u32) {
         let Some(flow) = self.flows.get_mut(&id) else {
             return;
         };
         flow.copy = copy;
-        let head = match flow.taken {
+        let head = match flow.next_ack {
             None => {
                 Head { key: flow.key, kind: Kind::Open, bounced: false, seq: 1, ack: copy, len: 0 }
             }
             Some(ack) => Head {
                 key: flow.key,
-                kind: if flow.over { Kind::Finish } else { Kind::Data },
+                kind: if flow.closing { Kind::Finish } else { Kind::Data },
                 bounced: false,
                 seq: flow.seq,
                 ack,
-                len: if flow.over { 0 } else { 100 },
+                len: if flow.closing { 0 } else { 100 },
             },
         };
         let (key, zone) = (flow.key, flow.zone);
         let packet = self.new_packet(head);
-        if let Some(&wait) = COPIES_MS.get(copy as usize) {
-            self.push(wait, Event::FromCaller(id, copy + 1));
+        if let Some(&wait) = RETRANSMIT_DELAYS_MS.get(copy as usize) {
+            self.push(wait, Event::Retransmit(id, copy + 1));
         } else {
-            self.push(COPIES_MS[3], Event::FromCaller(id, copy + 1));
+            self.push(RETRANSMIT_DELAYS_MS[3], Event::Retransmit(id, copy + 1));
         }
         let Some(number) = self.router(zone, key.hash()) else {
             return;
@@ -760,32 +762,34 @@
         some.get(at).copied()
     }
 
-    fn send_again(&mut self, id: u64, copy: u32) {
+    fn retransmit(&mut self, id: u64, copy: u32) {
         let Some(flow) = self.flows.get(&id) else {
             return;
         };
         if !flow.waiting || flow.copy + 1 != copy {
             return;
         }
-        if copy as usize > COPIES_MS.len() {
+        if copy as usize > RETRANSMIT_DELAYS_MS.len() {
             self.tally.given_up += 1;
             return self.end_flow(id);
         }
         self.send(id, copy);
     }
 
-    fn hear_caller(&mut self, id: u64, head: &Head) {
+    fn caller_receives(&mut self, id: u64, head: &Head) {
         let now = self.now;
         let Some(flow) = self.flows.get_mut(&id) else {
             return;
         };
         match head.kind {
-            Kind::Open if flow.taken.is_none() => {
-                flow.taken = Some(head.seq.wrapping_add(1));
+            Kind::Open if flow.next_ack.is_none() => {
+                flow.next_ack = Some(head.seq.wrapping_add(1));
                 flow.copy = 100;
                 self.send(id, 0);
             }
-            Kind::Data if flow.waiting && !flow.over && head.ack == flow.seq.wrapping_add(100) => {
+            Kind::Data
+                if flow.waiting && !flow.closing && head.ack == flow.seq.wrapping_add(100) =>
+            {
                 flow.waiting = false;
                 flow.left -= 1;
                 flow.seq = head.ack;
@@ -795,7 +799,7 @@
                 let pause = self.rng.random_range(0..=2 * pause);
                 self.push(pause, Event::NextRequest(id));
             }
-            Kind::Finish if flow.over => self.end_flow(id),
+            Kind::Finish if flow.closing => self.end_flow(id),
             Kind::Reset => {
                 self.tally.failed += 1;
                 self.end_flow(id);
@@ -811,12 +815,12 @@
         };
         flow.waiting = true;
         flow.sent_ms = now;
-        flow.over = flow.left == 0;
+        flow.closing = flow.left == 0;
         self.send(id, 0);
     }
 }
 
-/// The routes with an objective for all of them.
+/// Sets the objective on all routes.
 fn with_objectives(mut routes: Routes) -> Routes {
     for route in routes.by_address.values_mut() {
         *route = route.clone().with_objective(OBJECTIVE);
