--- a/crates/core/tests/opaque/walk.rs
+++ b/crates/core/tests/opaque/walk.rs
@@ -1,29 +1,31 @@
-use camphorwinch_core::opaque::walk::{CLOSED, MAX_SEATS, UNSURE, Walk};
+//! Walks of opening packets over their candidates.
+
+use camphorwinch_core::opaque::walk::{LOAD_CLOSED, LOAD_UNKNOWN, MAX_SEATS, Walk};
 use quickcheck::quickcheck;
 
 use crate::support::address;
 
 #[test]
-fn the_least_loaded_candidate_is_settled_on() {
+fn the_least_loaded_candidate_is_selected() {
     let mut walk = Walk::new([1, 2, 3].map(address), 100);
     assert_eq!(walk.pass(700), Some(address(2)));
     assert_eq!(walk.pass(300), Some(address(3)));
     assert_eq!(walk.pass(500), None);
-    assert_eq!(walk.settle(), Some(address(2)));
+    assert_eq!(walk.select_least_loaded(), Some(address(2)));
 }
 
 #[test]
-fn an_unsure_candidate_comes_last_and_a_closed_one_never() {
+fn a_candidate_of_unknown_load_is_selected_last_and_a_closed_one_never() {
     let mut walk = Walk::new([1, 2].map(address), 100);
-    walk.pass(CLOSED);
-    walk.pass(UNSURE);
-    assert_eq!(walk.settle(), Some(address(2)));
-    walk.record(CLOSED);
-    assert_eq!(walk.settle(), None);
+    walk.pass(LOAD_CLOSED);
+    walk.pass(LOAD_UNKNOWN);
+    assert_eq!(walk.select_least_loaded(), Some(address(2)));
+    walk.record_load(LOAD_CLOSED);
+    assert_eq!(walk.select_least_loaded(), None);
 }
 
 #[test]
-fn parts_that_do_not_fit_make_no_walk() {
+fn invalid_parts_are_rejected() {
     let walk = Walk::new([1, 2].map(address), 5);
     assert_eq!(Walk::from_parts(walk.seats(), 0, 5), Some(walk));
     assert_eq!(Walk::from_parts(walk.seats(), 2, 5), None);
@@ -33,22 +35,22 @@
 }
 
 quickcheck! {
-    fn settling_finds_the_minimum(loads: Vec<u16>) -> bool {
+    fn selection_finds_the_minimum(loads: Vec<u16>) -> bool {
         let loads = &loads[..loads.len().min(MAX_SEATS)];
         let mut walk = Walk::new((0..loads.len() as u8).map(address), 0);
         for &load in loads {
             walk.pass(load);
         }
-        let open = loads.iter().enumerate().filter(|it| *it.1 != CLOSED);
+        let open = loads.iter().enumerate().filter(|it| *it.1 != LOAD_CLOSED);
         let best = open.min_by_key(|it| *it.1).map(|it| address(it.0 as u8));
-        walk.settle() == best
+        walk.select_least_loaded() == best
     }
 }
 
 #[test]
-fn a_walk_tells_what_was_judged() {
+fn the_display_form_lists_the_recorded_loads() {
     let mut walk = Walk::new([address(1), address(2), address(3)], 500);
     walk.pass(620);
-    walk.record(UNSURE);
+    walk.record_load(LOAD_UNKNOWN);
     assert_eq!(walk.to_string(), "10.0.0.1:7720=620 10.0.0.2:7720=unsure 10.0.0.3:7720=-");
 }
