--- a/crates/opaque/src/agent.rs
+++ b/crates/opaque/src/agent.rs
@@ -1,4 +1,4 @@
-//! The process beside an upstream: gives it callers' packets and sends its answers to the callers.
+//! The agent process beside an upstream: delivers callers' packets to it and returns its packets to the callers.
 
 mod copy;
 mod input;
@@ -20,88 +20,86 @@
 };
 use tokio_util::sync::CancellationToken;
 
-use self::copy::Copy;
+use self::copy::SnapshotCopy;
 use crate::{
     clock::now_ms,
     codec::Codec,
-    discovery::{self, Found, Join, Start},
+    decision_log::DecisionLog,
+    discovery::{self, Join, Start, Update},
     event::Id,
-    member::Peers,
     metrics,
-    note::Notes,
+    peers::Peers,
     socket,
     store::{Member, Store},
 };
 
-/// Pause between two looks at what is due.
+/// Interval between timer ticks.
 const TICK: Duration = Duration::from_millis(20);
-/// Packets taken from one socket before the others get their turn.
-const TURN: usize = 64;
-/// Reports that an agent sends in a second at the most, to all balancers together: with many balancers the pause
-/// between two reports to one of them grows.
+/// Packets read from one socket before the others are served.
+const MAX_PACKETS_PER_TURN: usize = 64;
+/// Maximum rate of reports to all balancers together. With many balancers the interval per balancer grows.
 const REPORTS_PER_S: u32 = 40;
-/// Shortest time of a stop, in which balancers hear of it and send new flows elsewhere.
-const PAUSE_MS: u64 = 120;
-/// Longest time that a stop waits for a moment without a request in progress. Longer does not help a busy upstream:
-/// new requests come on its open flows all the time.
-const STOP_MS: u64 = 1_500;
-/// Time for asking whether the upstream's process is there: a local round trip, many times.
-const ALIVE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Time for taking this process off the store's list.
+/// Minimum duration of a stop, in which balancers learn of it and send new flows elsewhere.
+const MIN_STOP_MS: u64 = 120;
+/// Maximum time that a stop waits for requests in progress to finish.
+const MAX_STOP_MS: u64 = 1_500;
+/// Timeout for the check whether the upstream listens.
+const LISTEN_CHECK_TIMEOUT: Duration = Duration::from_millis(200);
+/// Timeout for removing this process from the member list.
 const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(800);
-/// What may wait between other tasks and the loop.
-const WAITING: usize = 64;
+/// Capacity of the internal channels.
+const CHANNEL_CAPACITY: usize = 64;
 
 /// Settings of an agent.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This process in the store's list.
+    /// This process as a member.
     pub member: Member,
     /// Name of the upstream's pool.
     pub pool: String,
-    /// Address at which the upstream takes packets and connections.
+    /// Address on which the upstream receives packets and connections.
     pub upstream: SocketAddrV4,
     /// Address to which the upstream sends its packets.
     pub outbound: SocketAddrV4,
-    /// Port at which callers take packets.
+    /// Port on which callers receive packets.
     pub caller_port: u16,
-    /// Pause between two heartbeats of the upstream.
+    /// Interval between heartbeats of the upstream.
     pub heartbeat: Duration,
-    /// Whether the whole system starts for the first time.
+    /// Whether the system starts for the first time.
     pub first_start: bool,
-    /// Balancers to ask while the store is of no use; they may change.
+    /// Balancers to query while the store is unavailable.
     pub seeds: watch::Receiver<Vec<SocketAddrV4>>,
 }
 
-/// What the upstream says of itself. The reply is sent once that is decided on.
+/// A message of the upstream, with a channel for its result.
 #[derive(Debug)]
-pub enum Said {
-    /// A heartbeat.
-    Heartbeat(Heartbeat, oneshot::Sender<Taken>),
-    /// An upstream ends.
-    Deregister(Life, oneshot::Sender<Taken>),
+pub enum UpstreamMessage {
+    /// A periodic heartbeat.
+    Heartbeat(Heartbeat, oneshot::Sender<MessageResult>),
+    /// The upstream is ending.
+    Deregister(Life, oneshot::Sender<MessageResult>),
 }
 
-/// What became of the upstream's word.
+/// Result of an upstream's message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// It is in force, or older than what is.
+pub enum MessageResult {
+    /// Applied, or older than the known state.
     Acknowledged,
-    /// Nothing was concluded from it yet: it is to be said again.
+    /// Ambiguous: the upstream has to send it again.
     Unclear,
-    /// It is not from an upstream here.
+    /// Not from this agent's upstream.
     Foreign,
 }
 
-/// Where what the upstream says goes.
-pub type Ear = mpsc::Sender<Said>;
+/// Channel for the upstream's messages.
+pub type MessageSender = mpsc::Sender<UpstreamMessage>;
 
-/// Runs an agent until `stop`.
+/// Runs an agent until `stop` is cancelled.
 pub async fn run<C, S>(
     settings: Settings,
     codec: C,
     store: S,
-    said: mpsc::Receiver<Said>,
+    messages: mpsc::Receiver<UpstreamMessage>,
     stop: CancellationToken,
 ) -> anyhow::Result<()>
 where
@@ -112,12 +110,12 @@
     let outbound = socket::udp(settings.outbound, "the upstream's packets")?;
     let upstream = connect(&settings).await?;
     let peers = Peers::new(socket::udp(own.address, "other processes")?);
-    let copy = Copy::serve(own.address)?;
-    let (found, input) = mpsc::channel(WAITING);
+    let copy = SnapshotCopy::serve(own.address)?;
+    let (updates, input) = mpsc::channel(CHANNEL_CAPACITY);
     let seeds = settings.seeds.clone();
-    let list_again = Arc::new(Notify::new());
-    let again = list_again.clone();
-    // Without a listener there is no upstream that could hold flows from before this process.
+    let relist = Arc::new(Notify::new());
+    let join_relist = relist.clone();
+    // If nothing listens, no upstream can hold flows from before this process started.
     let learning = is_listening(settings.upstream).await;
     let (serves, serving) = watch::channel(learning);
     tokio::spawn(discovery::observe_resets(store.era()));
@@ -129,11 +127,11 @@
         first_start: settings.first_start,
         seeds,
         greeted: greeted.subscribe(),
-        again,
+        relist: join_relist,
         lists: Arc::default(),
-        // It follows nothing in the store.
-        start: watch::Sender::new(Start::Alone),
-        out: found,
+        // Agents follow no topic in the store.
+        start: watch::Sender::new(Start::FromStore),
+        out: updates,
     };
     tokio::spawn(join.run());
     let id = Id::UpstreamLookedFor;
@@ -155,19 +153,19 @@
         copy,
         balancers: BTreeSet::new(),
         greeted,
-        list_again,
+        relist,
         serves,
         effects: Vec::new(),
         scratch: Vec::new(),
-        notes: Notes::new(now),
+        decision_log: DecisionLog::new(now),
         reported_ms: 0,
         caller_port: settings.caller_port,
         address: settings.upstream,
     };
-    let leaves = process.serve(input, said, stop).await?;
+    let leaves = process.serve(input, messages, stop).await?;
     if leaves {
         withdraw(&store, &own.name).await;
-        // Who read the list just before that knows this process from it only.
+        // Balancers that read the list just before the removal learn it from this report.
         process.set_plan(Plan::Leave);
     }
     let id = Id::Stopped;
@@ -179,7 +177,8 @@
     let own = SocketAddrV4::new(*settings.upstream.ip(), 0);
     let socket = socket::udp(own, "the upstream")?;
     let connected = socket.connect(settings.upstream).await;
-    connected.with_context(|| format!("connect to the upstream at {}", settings.upstream))?;
+    connected
+        .with_context(|| format!("failed to connect to the upstream at {}", settings.upstream))?;
     Ok(socket)
 }
 
@@ -188,7 +187,7 @@
     S: Store,
 {
     if let Err(e) = store.withdraw(name, None, WITHDRAW_TIMEOUT).await {
-        tracing::warn!("take this process off the list: {e}");
+        tracing::warn!("failed to remove this process from the member list: {e}");
     }
 }
 
@@ -198,18 +197,17 @@
     outbound: UdpSocket,
     upstream: UdpSocket,
     peers: Peers,
-    copy: Copy,
+    copy: SnapshotCopy,
     balancers: BTreeSet<SocketAddrV4>,
-    /// Some of those that have greeted this process, which can tell it the others.
+    /// Some of the balancers that have greeted this process, which can serve it the list.
     greeted: watch::Sender<BTreeSet<SocketAddrV4>>,
-    list_again: Arc<Notify>,
-    /// Whether the process belongs on the list of members. An agent that never had an upstream does not: it holds nothing,
-    /// and if it is lost (a VM on its way out that was powered on once more), a fleet that starts anew would wait for it
-    /// for 4.5 s before it could tell any caller that a flow is dead.
+    relist: Arc<Notify>,
+    /// Whether the process should be listed. An agent that never had an upstream is not, so that a starting fleet does
+    /// not wait for it.
     serves: watch::Sender<bool>,
     effects: Vec<Effect>,
     scratch: Vec<u8>,
-    notes: Notes,
+    decision_log: DecisionLog,
     reported_ms: u64,
     caller_port: u16,
     address: SocketAddrV4,
@@ -219,11 +217,11 @@
 where
     C: Codec,
 {
-    /// Serves until the stop is done; whether the upstream has ended, so that the agent leaves for good.
+    /// Serves until the stop completes; returns whether the upstream has ended, so that the agent leaves for good.
     async fn serve(
         &mut self,
-        mut input: mpsc::Receiver<Found>,
-        mut said: mpsc::Receiver<Said>,
+        mut input: mpsc::Receiver<Update>,
+        mut messages: mpsc::Receiver<UpstreamMessage>,
         stop: CancellationToken,
     ) -> anyhow::Result<bool> {
         let mut ticks = interval(TICK);
@@ -233,14 +231,14 @@
             tokio::select! {
                 it = self.outbound.readable() => {
                     it?;
-                    self.take_upstream();
+                    self.receive_upstream();
                 }
                 it = self.peers.socket().readable() => {
                     it?;
-                    self.take_peers();
+                    self.receive_peers();
                 }
-                Some(found) = input.recv() => self.take_found(found),
-                Some(said) = said.recv() => self.take_said(said),
+                Some(update) = input.recv() => self.handle_update(update),
+                Some(message) = messages.recv() => self.handle_upstream_message(message),
                 _ = ticks.tick() => self.tick(),
                 () = stop.cancelled(), if stopping_ms.is_none() => {
                     if self.stop().await {
@@ -256,7 +254,7 @@
         }
     }
 
-    /// Begins a stop; whether it is done at once, as the upstream has ended.
+    /// Begins a stop; returns whether it completes at once because the upstream has ended.
     async fn stop(&mut self) -> bool {
         let now = now_ms();
         let known = self.state.upstream(now);
@@ -285,7 +283,7 @@
 
     fn is_quiet(&self, stopping_ms: u64) -> bool {
         let since = now_ms().saturating_sub(stopping_ms);
-        since > STOP_MS || (since > PAUSE_MS && self.state.busy() == 0)
+        since > MAX_STOP_MS || (since > MIN_STOP_MS && self.state.busy() == 0)
     }
 
     fn set_plan(&mut self, plan: Plan) {
@@ -294,7 +292,7 @@
         self.apply(&[], now);
     }
 
-    fn pace(&mut self) {
+    fn update_report_interval(&mut self) {
         self.state.set_report_pause(report_pause_ms(self.balancers.len()));
     }
 
@@ -302,7 +300,7 @@
         let now = now_ms();
         self.state.tick(now, &mut self.effects);
         self.apply(&[], now);
-        self.notes.tick(now);
+        self.decision_log.tick(now);
         let pause = report_pause_ms(self.balancers.len());
         if now.saturating_sub(self.reported_ms) >= u64::from(pause) && self.state.has_served() {
             self.report(now);
@@ -358,7 +356,7 @@
                     self.peers.plain(to, &self.scratch);
                 }
                 Effect::Report => self.report(now),
-                Effect::Note { key, decision } => self.notes.write(key, &decision, now),
+                Effect::Note { key, decision } => self.decision_log.write(key, &decision, now),
                 Effect::Verdicts { to, verdicts } => self.peers.verdicts(to, &verdicts),
                 Effect::Greet { .. }
                 | Effect::Query { .. }
@@ -376,18 +374,18 @@
         match self.upstream.try_send(packet) {
             Ok(_) => metrics::PACKETS.with_label_values(&["delivered"]).inc(),
             Err(e) if e.kind() == ErrorKind::ConnectionRefused => {
-                // Nobody has the port at this moment. The count shows it; a line for each packet would be a flood.
+                // The upstream is not listening. Counted only, as a line per packet would flood the log.
                 metrics::PACKETS.with_label_values(&["upstream-refused"]).inc();
             }
             Err(e) => {
                 metrics::PACKETS.with_label_values(&["send-failed"]).inc();
-                tracing::debug!("deliver to {}: {e}", self.address);
+                tracing::debug!("failed to deliver a packet to {}: {e}", self.address);
             }
         }
     }
 }
 
-/// Pause between two reports to one of so many balancers.
+/// Interval between reports to one of `balancers`, in milliseconds.
 fn report_pause_ms(balancers: usize) -> u32 {
     REPORT_MS.max(balancers as u32 * 1_000 / REPORTS_PER_S)
 }
@@ -398,7 +396,7 @@
 
 /// Whether a process listens at the upstream's address. Only a refused connection proves that none does.
 async fn is_listening(address: SocketAddrV4) -> bool {
-    match timeout(ALIVE_TIMEOUT, TcpStream::connect(address)).await {
+    match timeout(LISTEN_CHECK_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Err(e)) => e.kind() != ErrorKind::ConnectionRefused,
         Ok(Ok(_)) | Err(_) => true,
     }
--- a/crates/opaque/src/agent/copy.rs
+++ b/crates/opaque/src/agent/copy.rs
@@ -1,8 +1,8 @@
-//! A copy of what balancers know, kept by a few agents.
+//! A copy of the balancers' state, kept by a few agents.
 //!
-//! Balancers keep nothing. If all of them end while the store is away, those that start would place nothing until it is back.
-//! The agents live on and report to each balancer that they knew, so a balancer that starts hears of a copy with their first
-//! reports and fetches it: it serves a second after its start, store or no store. A copy never replaces what is newer.
+//!
+//! Balancers hold no persistent state. If all of them restart while the store is unavailable, they learn of a copy
+//! from the agents' first reports and fetch it. A copy never replaces newer state.
 
 #[cfg(test)]
 mod tests;
@@ -15,41 +15,41 @@
 
 use crate::{
     event::Id,
-    snapshot::{self, ASK_TIMEOUT},
+    snapshot::{self, QUERY_TIMEOUT},
 };
 
-/// Age from which a copy of the newest revision is fetched again, as members come and go: with 160 kB and 8 copies at the size
-/// designed for 43 kB a second in all, 5 from each of the eight balancers that watch the store.
-const RENEW: Duration = Duration::from_secs(30);
-/// Pause between two attempts, above the time that one may take.
-const ATTEMPT: Duration = Duration::from_millis(700);
+/// Age at which a copy is fetched again, as members change without a new revision.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(30);
+/// Minimum interval between fetches, above the duration of one.
+const RETRY_INTERVAL: Duration = Duration::from_millis(700);
 
-/// The copy, as it is served to balancers.
-pub(super) struct Copy {
+/// A copy of a balancer's snapshot, served to balancers.
+pub(super) struct SnapshotCopy {
     newest: watch::Sender<Arc<Snapshot>>,
     fetched: Option<Instant>,
 }
 
-impl Copy {
-    /// Serves the copy at the agent's address from now on.
-    pub(super) fn serve(address: SocketAddrV4) -> anyhow::Result<Copy> {
+impl SnapshotCopy {
+    /// Starts serving the copy at `address`.
+    pub(super) fn serve(address: SocketAddrV4) -> anyhow::Result<SnapshotCopy> {
         let (newest, snapshots) = watch::channel(Arc::default());
         snapshot::serve(address, snapshots, None)?;
-        Ok(Copy { newest, fetched: None })
+        Ok(SnapshotCopy { newest, fetched: None })
     }
 
-    /// The configuration in the copy, if there is one.
+    /// Stamp of the configuration in the copy, if there is one.
     pub(super) fn config(&self) -> Option<Stamp> {
         self.newest.borrow().config()
     }
 
-    /// A balancer tells what is in force there, and whether this agent is to keep a copy.
-    pub(super) fn take_greeting(&mut self, from: SocketAddrV4, greeting: &Greeting) {
-        self.take_zones(greeting);
+    /// Handles a balancer's greeting, which may request that this agent keep a copy.
+    pub(super) fn handle_greeting(&mut self, from: SocketAddrV4, greeting: &Greeting) {
+        self.handle_zones(greeting);
         if !greeting.keep || greeting.config() < self.config() {
             return;
         }
-        let pause = if greeting.config() == self.config() { RENEW } else { ATTEMPT };
+        let pause =
+            if greeting.config() == self.config() { REFRESH_INTERVAL } else { RETRY_INTERVAL };
         if self.fetched.is_some_and(|it| it.elapsed() < pause) {
             return;
         }
@@ -57,8 +57,8 @@
         tokio::spawn(fetch(from, self.newest.clone()));
     }
 
-    /// Zones go out of service and come back without a new configuration, so a greeting's word is taken over.
-    fn take_zones(&self, greeting: &Greeting) {
+    /// Updates the zones out of service in the copy, which change without a new configuration.
+    fn handle_zones(&self, greeting: &Greeting) {
         let Some(zones) = &greeting.zones else {
             return;
         };
@@ -75,7 +75,7 @@
 
 async fn fetch(from: SocketAddrV4, newest: watch::Sender<Arc<Snapshot>>) {
     let id = Id::CopyKept;
-    let snapshot = match snapshot::ask(from, &Question::all(), ASK_TIMEOUT).await {
+    let snapshot = match snapshot::query(from, &Question::all(), QUERY_TIMEOUT).await {
         Ok(it) => it,
         Err(e) => {
             let error = format!("{e:#}");
@@ -98,7 +98,7 @@
     );
 }
 
-/// Takes a fetched snapshot over unless it is older than the copy; whether it did. The newer set of zones stays.
+/// Replaces the copy unless the fetched snapshot is older; returns whether it did. The newer set of zones is kept.
 fn replace(copy: &mut Arc<Snapshot>, mut fetched: Snapshot) -> bool {
     if fetched.config().is_none() || fetched.config() < copy.config() {
         return false;
--- a/crates/opaque/src/agent/copy/tests.rs
+++ b/crates/opaque/src/agent/copy/tests.rs
@@ -6,8 +6,8 @@
 
 use super::*;
 
-/// An address that is free at this moment.
-async fn free() -> SocketAddrV4 {
+/// Returns an unused local address.
+async fn unused_address() -> SocketAddrV4 {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
     let SocketAddr::V4(at) = listener.local_addr().expect("an address") else { panic!("IPv6") };
     at
@@ -17,7 +17,7 @@
     ZonesEntry::from(&ZonesOut::new(Revision::new(0, revision), [name.to_owned()]))
 }
 
-/// A balancer that has this revision in force and serves what it knows.
+/// Starts a balancer's snapshot server with this revision; returns its address and greeting.
 async fn balancer(revision: u64, zones: ZonesEntry) -> (SocketAddrV4, Greeting) {
     let routes =
         Routes { revision: Revision::new(0, revision), version: revision, ..Routes::default() };
@@ -28,10 +28,10 @@
     }];
     let out = ZonesOut::from(zones.clone());
     let snapshot = Snapshot::new(Some(&routes), &members).with_zones(Some(&out));
-    let at = free().await;
+    let at = unused_address().await;
     let (keep, newest) = watch::channel(Arc::new(snapshot));
     snapshot::serve(at, newest, None).expect("serve");
-    // It serves for as long as the test runs.
+    // Keeps the channel open for the duration of the test.
     std::mem::forget(keep);
     (
         at,
@@ -45,74 +45,74 @@
     )
 }
 
-/// Time for a fetch over the loopback device, many times.
-async fn fetched() {
+/// Waits for a fetch over the loopback device.
+async fn wait_for_fetch() {
     sleep(Duration::from_millis(200)).await;
 }
 
 #[tokio::test]
-async fn an_agent_that_is_asked_to_keep_a_copy_serves_it() {
-    let own = free().await;
-    let mut copy = Copy::serve(own).expect("serve");
+async fn agent_serves_requested_copy() {
+    let own = unused_address().await;
+    let mut copy = SnapshotCopy::serve(own).expect("serve");
     assert_eq!(copy.config(), None);
     let (at, greeting) = balancer(5, zones(7, "a")).await;
-    copy.take_greeting(at, &greeting);
-    fetched().await;
+    copy.handle_greeting(at, &greeting);
+    wait_for_fetch().await;
     assert_eq!(copy.config().map(|it| it.version), Some(5));
-    let told = snapshot::ask(own, &Question::all(), ASK_TIMEOUT).await.expect("the copy");
-    assert_eq!((told.revision, told.members.len(), told.zones), (5, 1, Some(zones(7, "a"))));
+    let served = snapshot::query(own, &Question::all(), QUERY_TIMEOUT).await.expect("the copy");
+    assert_eq!((served.revision, served.members.len(), served.zones), (5, 1, Some(zones(7, "a"))));
 }
 
 #[tokio::test]
-async fn an_agent_that_is_not_asked_keeps_nothing() {
-    let mut copy = Copy::serve(free().await).expect("serve");
+async fn agent_keeps_no_copy_without_request() {
+    let mut copy = SnapshotCopy::serve(unused_address().await).expect("serve");
     let (at, greeting) = balancer(5, zones(7, "a")).await;
-    copy.take_greeting(at, &Greeting { keep: false, ..greeting });
-    fetched().await;
+    copy.handle_greeting(at, &Greeting { keep: false, ..greeting });
+    wait_for_fetch().await;
     assert_eq!(copy.config(), None);
 }
 
 #[tokio::test]
-async fn an_older_configuration_replaces_no_newer_copy() {
-    let mut copy = Copy::serve(free().await).expect("serve");
+async fn older_configuration_does_not_replace_newer_copy() {
+    let mut copy = SnapshotCopy::serve(unused_address().await).expect("serve");
     let (newer, greeting) = balancer(8, zones(9, "a")).await;
-    copy.take_greeting(newer, &greeting);
-    fetched().await;
-    // A balancer that says it has a newer one and serves an older one.
+    copy.handle_greeting(newer, &greeting);
+    wait_for_fetch().await;
+    // A balancer that announces a newer revision but serves an older one.
     let (older, greeting) = balancer(5, zones(6, "b")).await;
     copy.fetched = None;
-    copy.take_greeting(older, &Greeting { revision: 12, version: 12, ..greeting });
-    fetched().await;
+    copy.handle_greeting(older, &Greeting { revision: 12, version: 12, ..greeting });
+    wait_for_fetch().await;
     let kept = copy.newest.borrow().clone();
     assert_eq!((kept.revision, kept.zones.clone()), (8, Some(zones(9, "a"))));
 }
 
 #[tokio::test]
-async fn zones_of_a_copy_follow_the_newest_greeting() {
-    let mut copy = Copy::serve(free().await).expect("serve");
+async fn newest_greeting_updates_zones_of_copy() {
+    let mut copy = SnapshotCopy::serve(unused_address().await).expect("serve");
     let (at, greeting) = balancer(5, zones(7, "a")).await;
-    copy.take_greeting(at, &greeting);
-    fetched().await;
-    let told = |zones| Greeting { zones: Some(zones), keep: false, ..greeting.clone() };
-    for (told, expected) in [
-        (told(zones(9, "b")), zones(9, "b")),
-        (told(zones(8, "a")), zones(9, "b")),
+    copy.handle_greeting(at, &greeting);
+    wait_for_fetch().await;
+    let served = |zones| Greeting { zones: Some(zones), keep: false, ..greeting.clone() };
+    for (served, expected) in [
+        (served(zones(9, "b")), zones(9, "b")),
+        (served(zones(8, "a")), zones(9, "b")),
         (Greeting { zones: None, ..greeting.clone() }, zones(9, "b")),
     ] {
-        copy.take_greeting(at, &told);
+        copy.handle_greeting(at, &served);
         assert_eq!(copy.newest.borrow().zones, Some(expected));
     }
 }
 
 #[tokio::test]
-async fn a_balancer_that_does_not_answer_leaves_the_copy_and_another_is_asked() {
-    let mut copy = Copy::serve(free().await).expect("serve");
+async fn failed_fetch_is_retried_with_another_balancer() {
+    let mut copy = SnapshotCopy::serve(unused_address().await).expect("serve");
     let (at, greeting) = balancer(5, zones(7, "a")).await;
-    copy.take_greeting(free().await, &greeting);
-    fetched().await;
+    copy.handle_greeting(unused_address().await, &greeting);
+    wait_for_fetch().await;
     assert_eq!(copy.config(), None);
-    sleep(ATTEMPT).await;
-    copy.take_greeting(at, &greeting);
-    fetched().await;
+    sleep(RETRY_INTERVAL).await;
+    copy.handle_greeting(at, &greeting);
+    wait_for_fetch().await;
     assert_eq!(copy.config().map(|it| it.version), Some(5));
 }
--- a/crates/opaque/src/agent/input.rs
+++ b/crates/opaque/src/agent/input.rs
@@ -1,4 +1,4 @@
-//! What an agent's process takes in: packets, datagrams, members, and what the upstream says of itself.
+//! Input of an agent: packets, datagrams, members and the upstream's messages.
 
 use std::net::SocketAddrV4;
 
@@ -9,33 +9,33 @@
 };
 use camphorwinch_wire::opaque::{Body, Datagram, Greeting, decode};
 
-use super::{Process, Said, TURN, Taken, balancer_address};
+use super::{MAX_PACKETS_PER_TURN, MessageResult, Process, UpstreamMessage, balancer_address};
 use crate::{
     balancer::caller_address,
     clock::now_ms,
-    codec::{Codec, MAX_PACKET},
-    discovery::Found,
+    codec::{Codec, MAX_PACKET_BYTES},
+    discovery::Update,
     event::Id,
-    member::{count_faulty, count_misdirected},
+    peers::{count_malformed, count_misdirected},
     store::Members,
 };
 
-/// Balancers that are remembered as those who greeted this process.
-const GREETED_KEPT: usize = 16;
+/// Maximum number of balancers remembered as having greeted this process.
+const MAX_GREETED: usize = 16;
 
 impl<C> Process<C>
 where
     C: Codec,
 {
-    pub(super) fn take_upstream(&mut self) {
-        let mut buffer = [0; MAX_PACKET];
-        for _ in 0..TURN {
+    pub(super) fn receive_upstream(&mut self) {
+        let mut buffer = [0; MAX_PACKET_BYTES];
+        for _ in 0..MAX_PACKETS_PER_TURN {
             let Ok((len, _)) = self.outbound.try_recv_from(&mut buffer) else {
                 return;
             };
             let packet = &mut buffer[..len];
             let Some(head) = self.codec.upstream_head(packet) else {
-                count_faulty();
+                count_malformed();
                 continue;
             };
             if head.bounced {
@@ -48,25 +48,25 @@
         }
     }
 
-    pub(super) fn take_peers(&mut self) {
-        let mut buffer = [0; MAX_PACKET];
-        for _ in 0..TURN {
+    pub(super) fn receive_peers(&mut self) {
+        let mut buffer = [0; MAX_PACKET_BYTES];
+        for _ in 0..MAX_PACKETS_PER_TURN {
             let Some((from, bytes)) = self.peers.receive(&mut buffer) else {
                 return;
             };
-            self.take_datagram(from, bytes);
+            self.handle_datagram(from, bytes);
         }
     }
 
-    fn take_datagram(&mut self, from: SocketAddrV4, bytes: &[u8]) {
+    fn handle_datagram(&mut self, from: SocketAddrV4, bytes: &[u8]) {
         let now = now_ms();
         match decode(bytes) {
-            Ok(Datagram::Packet { relay, packet }) => self.take_packet(&relay, &[], packet, now),
+            Ok(Datagram::Packet { relay, packet }) => self.handle_packet(&relay, &[], packet, now),
             Ok(Datagram::Spread { relay, agents, packet }) => {
-                self.take_packet(&relay, &agents, packet, now);
+                self.handle_packet(&relay, &agents, packet, now);
             }
             Ok(Datagram::Control(message)) => match message.body {
-                Some(Body::Greeting(greeting)) => self.take_greeting(from, greeting, now),
+                Some(Body::Greeting(greeting)) => self.handle_greeting(from, greeting, now),
                 Some(Body::Report(_)) | None => {
                     count_misdirected();
                 }
@@ -79,16 +79,16 @@
                 count_misdirected();
             }
             Err(e) => {
-                count_faulty();
-                tracing::debug!("datagram from {from}: {e}");
+                count_malformed();
+                tracing::debug!("malformed datagram from {from}: {e}");
             }
         }
     }
 
-    /// Takes a caller's packet, for these agents if any are named.
-    fn take_packet(&mut self, relay: &Relay, agents: &[SocketAddrV4], packet: &[u8], now: u64) {
+    /// Handles a caller's packet, which is for `agents` if any are given.
+    fn handle_packet(&mut self, relay: &Relay, agents: &[SocketAddrV4], packet: &[u8], now: u64) {
         let Some(head) = self.codec.caller_head(packet) else {
-            count_faulty();
+            count_malformed();
             return;
         };
         if agents.is_empty() {
@@ -99,54 +99,54 @@
         self.apply(packet, now);
     }
 
-    fn take_greeting(&mut self, from: SocketAddrV4, greeting: Greeting, now: u64) {
+    fn handle_greeting(&mut self, from: SocketAddrV4, greeting: Greeting, now: u64) {
         if greeting.unlisted {
             let id = Id::Unlisted;
             tracing::info!(id = id as u16, name = id.name(), peer = %from);
-            self.list_again.notify_one();
+            self.relist.notify_one();
         }
-        self.copy.take_greeting(from, &greeting);
+        self.copy.handle_greeting(from, &greeting);
         if greeting.leaving {
             self.balancers.remove(&from);
             self.greeted.send_if_modified(|it| it.remove(&from));
         } else {
             self.balancers.insert(from);
-            self.greeted.send_if_modified(|it| it.len() < GREETED_KEPT && it.insert(from));
+            self.greeted.send_if_modified(|it| it.len() < MAX_GREETED && it.insert(from));
             self.report_to(from, now);
         }
-        self.pace();
+        self.update_report_interval();
     }
 
-    pub(super) fn take_found(&mut self, found: Found) {
-        let members = match found {
-            Found::Members(Members { records, .. }, _) => {
+    pub(super) fn handle_update(&mut self, update: Update) {
+        let members = match update {
+            Update::Members(Members { records, .. }, _) => {
                 self.balancers.clear();
                 records.iter().map(|it| it.listed).collect()
             }
-            Found::PeerMembers(members) => members,
-            Found::Routes(_)
-            | Found::News(_)
-            | Found::Zones(_)
-            | Found::LostZones(_)
-            | Found::ZoneNews(_) => return,
+            Update::PeerMembers(members) => members,
+            Update::PeerRoutes(_)
+            | Update::StoreRoutes(_)
+            | Update::PeerZones(_)
+            | Update::PeerLostZones(_)
+            | Update::StoreZones(_) => return,
         };
         let id = Id::MembersListed;
         tracing::info!(id = id as u16, name = id.name(), members = members.len());
         self.balancers.extend(members.iter().filter_map(balancer_address));
-        self.pace();
+        self.update_report_interval();
         self.report(now_ms());
     }
 
-    pub(super) fn take_said(&mut self, said: Said) {
+    pub(super) fn handle_upstream_message(&mut self, message: UpstreamMessage) {
         let now = now_ms();
         let before = self.state.upstream(now);
-        let (reply, taken) = match said {
-            Said::Heartbeat(beat, reply) => {
+        let (reply, result) = match message {
+            UpstreamMessage::Heartbeat(beat, reply) => {
                 let heard = self.state.heartbeat(&beat, now, &mut self.effects);
                 log_heartbeat(&beat, heard, before);
-                (reply, taken(heard))
+                (reply, message_result(heard))
             }
-            Said::Deregister(life, reply) => {
+            UpstreamMessage::Deregister(life, reply) => {
                 let present = self.state.deregister(&life, &mut self.effects);
                 let id = if present { Id::UpstreamChanged } else { Id::HeartbeatLate };
                 tracing::info!(
@@ -157,23 +157,23 @@
                     before = before.as_str(),
                     ended = true,
                 );
-                (reply, Taken::Acknowledged)
+                (reply, MessageResult::Acknowledged)
             }
         };
         self.apply(&[], now);
         if self.state.has_served() && !self.serves.send_replace(true) {
-            self.list_again.notify_one();
+            self.relist.notify_one();
         }
-        // Whoever asked may have gone.
-        let _ = reply.send(taken);
+        // The requester may have disconnected.
+        let _ = reply.send(result);
     }
 }
 
-fn taken(heard: Heard) -> Taken {
+fn message_result(heard: Heard) -> MessageResult {
     match heard {
-        Heard::Same | Heard::Changed | Heard::Late => Taken::Acknowledged,
-        Heard::Unclear => Taken::Unclear,
-        Heard::Foreign => Taken::Foreign,
+        Heard::Same | Heard::Changed | Heard::Late => MessageResult::Acknowledged,
+        Heard::Unclear => MessageResult::Unclear,
+        Heard::Foreign => MessageResult::Foreign,
     }
 }
 
--- a/crates/opaque/src/balancer.rs
+++ b/crates/opaque/src/balancer.rs
@@ -1,7 +1,7 @@
-//! The process on an entry VM: takes callers' packets and sends them to agents.
+//! The balancer process on an entry VM: receives callers' packets and forwards them to agents.
 
-mod duties;
 mod input;
+mod maintenance;
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -31,71 +31,71 @@
 use crate::{
     clock::now_ms,
     codec::Codec,
-    discovery::{self, Duty, Follow, Found, Join, Start, Topic},
+    decision_log::DecisionLog,
+    discovery::{self, Follow, Join, Start, Topic, Update, WatchRole},
     event::Id,
     lists::Lists,
-    member::{Peers, send},
     metrics,
-    note::Notes,
+    peers::{Peers, send},
     snapshot, socket,
     store::{Member, Record, Store},
 };
 
-/// Pause between two looks at what is due.
+/// Interval between timer ticks.
 const TICK: Duration = Duration::from_millis(20);
-/// Pause between two looks at all agents while the balancer is ready: routers ask twice a second.
-const LOOK_MS: u64 = 100;
-/// Packets taken from one socket before the others get their turn.
-const TURN: usize = 64;
-/// Time from the loss of readiness until a stop: two probes of the fabric and some.
-const LEAVE_MS: u64 = 1_600;
-/// Longest time of a stop, within the platform's patience of 6 s.
-const STOP_MS: u64 = 4_000;
-/// Time without a caller's packet after which a stop is done.
-const QUIET_MS: u64 = 300;
-/// Time after the start from which a balancer without any agent counts as ready, so that callers learn of it.
-const START_MS: u64 = 3_000;
-/// Share of the agents that must be heard of.
-const HEARD_SHARE: f64 = 0.34;
-/// What may wait between discovery and the loop.
-const WAITING: usize = 64;
+/// Interval between status updates while the balancer is ready; routers probe twice a second.
+const STATUS_INTERVAL_MS: u64 = 100;
+/// Packets read from one socket before the others are served.
+const MAX_PACKETS_PER_TURN: usize = 64;
+/// Minimum time from the loss of readiness until a stop, so that two readiness probes can fail.
+const MIN_STOP_MS: u64 = 1_600;
+/// Maximum duration of a stop, below the platform's limit of 6 s.
+const MAX_STOP_MS: u64 = 4_000;
+/// Time without a caller's packet after which a stop completes.
+const QUIET_PERIOD_MS: u64 = 300;
+/// Time after the start from which a balancer without any agent counts as ready, so that callers get resets.
+const STARTUP_GRACE_MS: u64 = 3_000;
+/// Minimum share of reachable agents.
+const MIN_REACHABLE_SHARE: f64 = 0.34;
+/// Capacity of the internal channels.
+const CHANNEL_CAPACITY: usize = 64;
 
 /// Settings of a balancer.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This process in the store's list.
+    /// This process as a member.
     pub member: Member,
-    /// Where callers' packets arrive.
+    /// Address on which callers' packets arrive.
     pub callers: SocketAddrV4,
-    /// Port at which callers take packets.
+    /// Port on which callers receive packets.
     pub caller_port: u16,
-    /// Whether the whole system starts for the first time.
+    /// Whether the system starts for the first time.
     pub first_start: bool,
-    /// Balancers to ask while the store is of no use; they may change.
+    /// Balancers to query while the store is unavailable.
     pub seeds: watch::Receiver<Vec<SocketAddrV4>>,
-    /// Whether zones may be taken out of service here. Then no flow is placed before it is known which ones are.
+    /// Whether zones may be taken out of service. If so, no flow is placed before the zones out of service are known.
     pub zones_change: bool,
     /// Region of each zone.
     pub regions: Regions,
 }
 
-/// Whether the process should get packets.
+/// Shared readiness flag of a balancer.
 #[derive(Clone, Debug, Default)]
 pub struct Ready(Arc<AtomicBool>);
 
 impl Ready {
-    /// Whether it should.
+    /// Whether the balancer is ready for packets.
     pub fn get(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 
-    /// Sets it; whether that is a change.
+    /// Sets the flag and returns whether it changed.
     pub(crate) fn set(&self, ready: bool) -> bool {
         self.0.swap(ready, Ordering::Relaxed) != ready
     }
 }
 
-/// Runs a balancer until `stop`.
+/// Runs a balancer until `stop` is cancelled.
 pub async fn run<C, S>(
     settings: Settings,
     codec: C,
@@ -113,35 +113,35 @@
     let (newest, snapshots) = watch::channel(Arc::new(Snapshot::default()));
     let lists = Arc::new(Lists::default());
     snapshot::serve(own.address, snapshots, Some(lists.clone()))?;
-    let (found, input) = mpsc::channel(WAITING);
+    let (updates, input) = mpsc::channel(CHANNEL_CAPACITY);
     tokio::spawn(discovery::observe_resets(store.era()));
-    let list_again = Arc::new(Notify::new());
+    let relist = Arc::new(Notify::new());
     let (_, serves) = watch::channel(true);
-    let (start, started) = watch::channel(Start::Asking);
+    let (start, started) = watch::channel(Start::Querying);
     let join = Join {
         store: store.clone(),
         own: own.clone(),
         serves,
         first_start: settings.first_start,
         seeds: settings.seeds.clone(),
-        // Only agents are greeted.
+        // Only agents track who greeted them.
         greeted: watch::Sender::default().subscribe(),
-        again: list_again.clone(),
+        relist: relist.clone(),
         lists: lists.clone(),
         start,
-        out: found.clone(),
+        out: updates.clone(),
     };
     tokio::spawn(join.run());
-    let (watches, watching) = watch::channel(Duty::Undecided);
-    let (zone_watches, zone_watching) = watch::channel(Duty::Undecided);
+    let (routes_role_sender, routes_role) = watch::channel(WatchRole::Undecided);
+    let (zones_role_sender, zones_role) = watch::channel(WatchRole::Undecided);
     let topic = Topic::Routes;
-    let served = Arc::new(Notify::new());
+    let config_read = Arc::new(Notify::new());
     let routes = Follow {
         store: store.clone(),
-        duty: watching,
+        role: routes_role,
         start: started.clone(),
-        served: served.clone(),
-        out: found.clone(),
+        config_read: config_read.clone(),
+        out: updates.clone(),
     };
     tokio::spawn(routes.run(topic));
     let mut state =
@@ -149,12 +149,12 @@
     if settings.zones_change {
         state = state.with_unknown_zones();
         let topic = Topic::zones();
-        let (store, out) = (store.clone(), found.clone());
-        let zones = Follow { store, duty: zone_watching, start: started, served, out };
+        let (store, out) = (store.clone(), updates.clone());
+        let zones = Follow { store, role: zones_role, start: started, config_read, out };
         tokio::spawn(zones.run(topic));
     }
-    let (gone, to_withdraw) = mpsc::channel(WAITING);
-    tokio::spawn(discovery::weed(store, to_withdraw));
+    let (gone, to_withdraw) = mpsc::channel(CHANNEL_CAPACITY);
+    tokio::spawn(discovery::remove_gone_members(store, to_withdraw));
     let now = now_ms();
     let process = Process {
         state,
@@ -167,26 +167,26 @@
         ready,
         newest,
         unpublished: false,
-        found,
-        list_again,
+        updates,
+        relist,
         balancers: BTreeSet::new(),
         lists,
         records: Vec::new(),
         removed: BTreeSet::new(),
         list_era: None,
-        retell_ms: None,
-        due: BTreeMap::new(),
+        regreet_ms: None,
+        removal_due: BTreeMap::new(),
         gone,
         effects: Vec::new(),
         scratch: Vec::new(),
-        notes: Notes::new(now),
+        decision_log: DecisionLog::new(now),
         started_ms: now,
         gossip_ms: now,
-        weed_ms: now,
+        removal_check_ms: now,
         packet_ms: now,
-        looked_ms: now,
-        watches,
-        zone_watches,
+        status_ms: now,
+        routes_role_sender,
+        zones_role_sender,
     };
     process.serve(input, stop).await
 }
@@ -201,37 +201,37 @@
     peers: Peers,
     ready: Ready,
     newest: watch::Sender<Arc<Snapshot>>,
-    /// Members changed since the snapshot. At a start all of them do, one after the other: a snapshot for each would take
-    /// time by the square of their number.
+    /// Members changed since the last snapshot. Changes are batched, as a snapshot per change is quadratic in their
+    /// number at a start.
     unpublished: bool,
-    found: mpsc::Sender<Found>,
-    list_again: Arc<Notify>,
-    /// The other balancers.
+    updates: mpsc::Sender<Update>,
+    relist: Arc<Notify>,
+    /// Addresses of the other balancers.
     balancers: BTreeSet<SocketAddrV4>,
-    /// The list as others may ask for it.
+    /// The member list as served to peers.
     lists: Arc<Lists>,
     records: Vec<Record>,
-    /// Agents whose objects this balancer has removed since the list.
+    /// Agents removed by this balancer since the last list.
     removed: BTreeSet<SocketAddrV4>,
-    /// Era of the store that listed the members last.
+    /// Store era of the last member list.
     list_era: Option<u64>,
-    /// When all other balancers are told of the newest configuration.
-    retell_ms: Option<u64>,
-    /// Agents whose objects are to be removed, and since when.
-    due: BTreeMap<SocketAddrV4, u64>,
+    /// Time of the repeated greeting of all balancers about the newest configuration.
+    regreet_ms: Option<u64>,
+    /// Agents removal_due for removal, and since when.
+    removal_due: BTreeMap<SocketAddrV4, u64>,
     gone: mpsc::Sender<Record>,
     effects: Vec<Effect>,
     scratch: Vec<u8>,
-    notes: Notes,
+    decision_log: DecisionLog,
     started_ms: u64,
     gossip_ms: u64,
-    weed_ms: u64,
+    removal_check_ms: u64,
     packet_ms: u64,
-    looked_ms: u64,
-    /// Whether this balancer waits at the store for changes of the configuration.
-    watches: watch::Sender<Duty>,
-    /// The same for the zones out of service.
-    zone_watches: watch::Sender<Duty>,
+    status_ms: u64,
+    /// How this balancer follows the configuration.
+    routes_role_sender: watch::Sender<WatchRole>,
+    /// How this balancer follows the zones out of service.
+    zones_role_sender: watch::Sender<WatchRole>,
 }
 
 impl<C> Process<C>
@@ -240,7 +240,7 @@
 {
     async fn serve(
         mut self,
-        mut input: mpsc::Receiver<Found>,
+        mut input: mpsc::Receiver<Update>,
         stop: CancellationToken,
     ) -> anyhow::Result<()> {
         let mut ticks = interval(TICK);
@@ -250,13 +250,13 @@
             tokio::select! {
                 it = self.callers.readable() => {
                     it?;
-                    self.take_callers();
+                    self.receive_callers();
                 }
                 it = self.peers.socket().readable() => {
                     it?;
-                    self.take_peers();
+                    self.receive_peers();
                 }
-                Some(found) = input.recv() => self.take_found(found),
+                Some(update) = input.recv() => self.handle_update(update),
                 _ = ticks.tick() => self.tick(stopping_ms.is_some()),
                 () = stop.cancelled(), if stopping_ms.is_none() => {
                     let id = Id::Stopping;
@@ -277,11 +277,11 @@
     fn is_quiet(&self, stopping_ms: u64) -> bool {
         let now = now_ms();
         let since = now.saturating_sub(stopping_ms);
-        let quiet = now.saturating_sub(self.packet_ms) > QUIET_MS;
-        since > STOP_MS || (since > LEAVE_MS && quiet)
+        let quiet = now.saturating_sub(self.packet_ms) > QUIET_PERIOD_MS;
+        since > MAX_STOP_MS || (since > MIN_STOP_MS && quiet)
     }
 
-    /// Makes what is known here available to peers that can't ask the store.
+    /// Publishes a snapshot of the current state for peers.
     fn publish(&mut self) {
         self.unpublished = false;
         let mut members = self.state.fleet().members();
@@ -299,16 +299,16 @@
         let now = now_ms();
         self.state.tick(now, &mut self.effects);
         self.apply(&[], now);
-        self.notes.tick(now);
+        self.decision_log.tick(now);
         self.gossip(now);
-        self.tell_again(now);
+        self.regreet(now);
         self.release_zones(now);
-        self.weed(now);
-        if self.ready.get() && now.saturating_sub(self.looked_ms) < LOOK_MS {
+        self.remove_gone_agents(now);
+        if self.ready.get() && now.saturating_sub(self.status_ms) < STATUS_INTERVAL_MS {
             return;
         }
-        self.looked_ms = now;
-        self.choose_watchers();
+        self.status_ms = now;
+        self.update_watch_roles();
         if self.unpublished {
             self.publish();
         }
@@ -318,7 +318,7 @@
         if stopping {
             return;
         }
-        let ready = self.is_connected(now);
+        let ready = self.is_serviceable(now);
         if self.ready.set(ready) {
             let id = if ready { Id::Connected } else { Id::Disconnected };
             let (heard, known) = (self.state.fleet().heard(now), self.state.fleet().len());
@@ -326,16 +326,16 @@
         }
     }
 
-    /// Whether packets that come here can be served: the configuration is known and agents are heard of.
-    fn is_connected(&self, now: u64) -> bool {
+    /// Whether packets can be served: the configuration is known and enough agents are reachable.
+    fn is_serviceable(&self, now: u64) -> bool {
         if self.state.routes().stamp().is_none() {
             return false;
         }
         let (heard, known) = (self.state.fleet().heard(now), self.state.fleet().len());
         if heard == 0 {
-            return known == 0 && now.saturating_sub(self.started_ms) > START_MS;
+            return known == 0 && now.saturating_sub(self.started_ms) > STARTUP_GRACE_MS;
         }
-        heard as f64 >= known as f64 * HEARD_SHARE
+        heard as f64 >= known as f64 * MIN_REACHABLE_SHARE
     }
 
     fn apply(&mut self, current: &[u8], now: u64) {
@@ -350,7 +350,7 @@
                 }
                 Effect::Reset { key, seq } => self.reset(&key, seq),
                 Effect::Greet { to } => self.greet(to, false),
-                Effect::List => self.list_again.notify_one(),
+                Effect::List => self.relist.notify_one(),
                 Effect::Unlisted { to } => {
                     let greeting = Greeting { unlisted: true, ..self.greeting() };
                     self.peers.control(to, Body::Greeting(greeting));
@@ -359,7 +359,7 @@
                 Effect::Spread { to, relay, agents, packet } => {
                     self.peers.spread(to, &relay, &agents, &packet);
                 }
-                Effect::Note { key, decision } => self.notes.write(key, &decision, now),
+                Effect::Note { key, decision } => self.decision_log.write(key, &decision, now),
                 Effect::Answer { .. }
                 | Effect::Verdicts { .. }
                 | Effect::Deliver
@@ -379,7 +379,7 @@
     }
 }
 
-/// Where a packet goes that is meant for a caller.
+/// Destination of a packet for a caller.
 pub(crate) fn caller_address(head: &Head, port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(*head.key.caller.ip(), port)
 }
--- a/crates/opaque/src/balancer/input.rs
+++ b/crates/opaque/src/balancer/input.rs
@@ -1,4 +1,4 @@
-//! What a balancer's process takes in: callers' packets, datagrams of agents and other balancers, members and routes.
+//! Input of a balancer: callers' packets, datagrams of agents and other balancers, members and routes.
 
 use std::net::SocketAddrV4;
 
@@ -9,14 +9,14 @@
 };
 use camphorwinch_wire::opaque::{Body, Datagram, Greeting, Question, Report, decode};
 
-use super::{Process, TURN, duties::RETELL_MS};
+use super::{MAX_PACKETS_PER_TURN, Process, maintenance::REGREET_DELAY_MS};
 use crate::{
     clock::now_ms,
-    codec::{Codec, MAX_PACKET},
-    discovery::{self, Found},
+    codec::{Codec, MAX_PACKET_BYTES},
+    discovery::{self, Update},
     event::Id,
-    member::{count_faulty, count_misdirected},
     metrics,
+    peers::{count_malformed, count_misdirected},
     store::Members,
 };
 
@@ -24,15 +24,15 @@
 where
     C: Codec,
 {
-    pub(super) fn take_callers(&mut self) {
-        let mut buffer = [0; MAX_PACKET];
-        for _ in 0..TURN {
+    pub(super) fn receive_callers(&mut self) {
+        let mut buffer = [0; MAX_PACKET_BYTES];
+        for _ in 0..MAX_PACKETS_PER_TURN {
             let Ok((len, _)) = self.callers.try_recv_from(&mut buffer) else {
                 return;
             };
             let packet = &buffer[..len];
             let Some(head) = self.codec.caller_head(packet) else {
-                count_faulty();
+                count_malformed();
                 continue;
             };
             let now = now_ms();
@@ -42,17 +42,17 @@
         }
     }
 
-    pub(super) fn take_peers(&mut self) {
-        let mut buffer = [0; MAX_PACKET];
-        for _ in 0..TURN {
+    pub(super) fn receive_peers(&mut self) {
+        let mut buffer = [0; MAX_PACKET_BYTES];
+        for _ in 0..MAX_PACKETS_PER_TURN {
             let Some((from, bytes)) = self.peers.receive(&mut buffer) else {
                 return;
             };
-            self.take_datagram(from, bytes);
+            self.handle_datagram(from, bytes);
         }
     }
 
-    fn take_datagram(&mut self, from: SocketAddrV4, bytes: &[u8]) {
+    fn handle_datagram(&mut self, from: SocketAddrV4, bytes: &[u8]) {
         let now = now_ms();
         match decode(bytes) {
             Ok(Datagram::Answer { key, answer, packet }) => {
@@ -64,9 +64,9 @@
                 self.apply(&packet, now);
             }
             Ok(Datagram::Control(message)) => match message.body {
-                Some(Body::Report(report)) => self.take_report(from, report, now),
-                Some(Body::Greeting(greeting)) => self.take_greeting(from, greeting),
-                None => count_faulty(),
+                Some(Body::Report(report)) => self.handle_report(from, report, now),
+                Some(Body::Greeting(greeting)) => self.handle_greeting(from, greeting),
+                None => count_malformed(),
             },
             Ok(Datagram::Verdicts(verdicts)) => {
                 for (key, verdict) in verdicts {
@@ -78,16 +78,16 @@
                 count_misdirected();
             }
             Err(e) => {
-                count_faulty();
-                tracing::debug!("datagram from {from}: {e}");
+                count_malformed();
+                tracing::debug!("malformed datagram from {from}: {e}");
             }
         }
     }
 
-    fn take_report(&mut self, from: SocketAddrV4, report: Report, now: u64) {
-        self.take_kept(from, report.kept_config(), now);
+    fn handle_report(&mut self, from: SocketAddrV4, report: Report, now: u64) {
+        self.handle_kept_copy(from, report.kept_config(), now);
         let Ok(report) = report.try_into() else {
-            count_faulty();
+            count_malformed();
             return;
         };
         let change = self.state.report(from, report, now, &mut self.effects);
@@ -108,27 +108,26 @@
         self.apply(&[], now);
     }
 
-    /// An agent keeps a copy of this configuration. It is of use to a balancer that has started and knows none yet; later only other
-    /// balancers and the store are asked.
-    fn take_kept(&mut self, from: SocketAddrV4, config: Option<Stamp>, now: u64) {
+    /// Fetches the copy of the configuration that an agent keeps, if this balancer has none yet.
+    fn handle_kept_copy(&mut self, from: SocketAddrV4, config: Option<Stamp>, now: u64) {
         let known = self.state.routes().stamp().is_some();
         if config.is_some_and(|it| !known && self.state.wants(it, now)) {
-            self.ask(from);
+            self.query_peer(from);
         }
     }
 
-    fn ask(&self, peer: SocketAddrV4) {
-        let (own, found) = (self.own, self.found.clone());
-        // Who knows the members needs the configuration only, which is half of it.
-        let ask = if self.state.knows_members() {
+    fn query_peer(&self, peer: SocketAddrV4) {
+        let (own, updates) = (self.own, self.updates.clone());
+        // The members are omitted if they are known already.
+        let query = if self.state.knows_members() {
             Question::default().with_config()
         } else {
             Question::all()
         };
-        tokio::spawn(async move { discovery::ask_any(&[peer], own, &ask, &found).await });
+        tokio::spawn(async move { discovery::query_any(&[peer], own, &query, &updates).await });
     }
 
-    fn take_greeting(&mut self, from: SocketAddrV4, greeting: Greeting) {
+    fn handle_greeting(&mut self, from: SocketAddrV4, greeting: Greeting) {
         if !greeting.leaving && self.balancers.insert(from) {
             self.unpublished = true;
         }
@@ -137,35 +136,35 @@
             self.put_zones(zones.into());
         }
         if config.is_some_and(|it| self.state.wants(it, now_ms())) {
-            self.ask(from);
+            self.query_peer(from);
         }
     }
 
-    pub(super) fn take_found(&mut self, found: Found) {
+    pub(super) fn handle_update(&mut self, update: Update) {
         let now = now_ms();
-        let newer = match found {
-            Found::Routes(routes) => self.put_routes(routes, "peer"),
-            Found::News(routes) => self.take_news(routes, now),
-            Found::Zones(zones) => {
+        let newer = match update {
+            Update::PeerRoutes(routes) => self.put_routes(routes, "peer"),
+            Update::StoreRoutes(routes) => self.handle_store_routes(routes, now),
+            Update::PeerZones(zones) => {
                 self.put_zones(zones);
                 false
             }
-            Found::LostZones(names) => {
+            Update::PeerLostZones(names) => {
                 if self.state.learn_lost_zones(names, now) {
-                    self.show_zones_out();
+                    self.report_zones_out();
                 }
                 false
             }
-            Found::ZoneNews(zones) => {
-                self.take_zone_news(zones, now);
+            Update::StoreZones(zones) => {
+                self.handle_store_zones(zones, now);
                 false
             }
-            Found::Members(members, attempt) => {
-                self.take_members(members, attempt, now);
+            Update::Members(members, attempt) => {
+                self.handle_members(members, attempt, now);
                 false
             }
-            Found::PeerMembers(members) => {
-                self.take_peer_members(&members, now);
+            Update::PeerMembers(members) => {
+                self.handle_peer_members(&members, now);
                 false
             }
         };
@@ -178,26 +177,27 @@
         }
     }
 
-    /// Takes a configuration from the store; whether it is newer than the one in force.
-    fn take_news(&mut self, routes: Routes, now: u64) -> bool {
+    /// Applies a configuration from the store; returns whether it is newer than the one in force.
+    fn handle_store_routes(&mut self, routes: Routes, now: u64) -> bool {
         let newer = self.put_routes(routes, "store");
         if newer {
-            // Changes in quick succession must not put it off for ever.
-            self.retell_ms.get_or_insert(now + RETELL_MS);
-            self.greet_keepers(now);
+            // Keeps an earlier deadline, so that frequent changes can't postpone it.
+            self.regreet_ms.get_or_insert(now + REGREET_DELAY_MS);
+            self.greet_all_keepers(now);
         }
         newer
     }
 
-    /// Takes the zones out of service from the store. All others hear of a change at once: a greeting holds it whole.
-    fn take_zone_news(&mut self, zones: ZonesOut, now: u64) {
+    /// Applies the zones out of service from the store. A greeting contains the whole set, so all others are greeted
+    /// at once.
+    fn handle_store_zones(&mut self, zones: ZonesOut, now: u64) {
         if self.put_zones(zones) == ZoneNews::Changed {
             self.greet_balancers(false);
-            self.greet_keepers(now);
+            self.greet_all_keepers(now);
         }
     }
 
-    fn take_members(&mut self, members: Members, attempt: u64, now: u64) {
+    fn handle_members(&mut self, members: Members, attempt: u64, now: u64) {
         let Members { at, records } = members;
         let (era, revision) = (at.era, at.number);
         let id = Id::MembersListed;
@@ -208,7 +208,7 @@
         self.state.list(&listed, now);
         self.balancers.clear();
         self.add_balancers(&listed);
-        // Whoever waits for the list is told the members of now.
+        // Pending list queries are answered from this snapshot.
         self.publish();
         self.lists.put(at, records, attempt);
         if self.list_era.replace(era).is_some_and(|it| it < era) {
@@ -217,40 +217,40 @@
         }
     }
 
-    fn take_peer_members(&mut self, members: &[Listed], now: u64) {
+    fn handle_peer_members(&mut self, members: &[Listed], now: u64) {
         let id = Id::MembersListed;
         tracing::info!(id = id as u16, name = id.name(), peer_members = members.len());
         self.state.learn(members, now);
         self.add_balancers(members);
     }
 
-    /// Takes news on zones out of service, from the store or a peer.
+    /// Applies zones out of service from the store or a peer.
     fn put_zones(&mut self, news: ZonesOut) -> ZoneNews {
-        let became = self.state.put_zones(news, now_ms());
-        if became == ZoneNews::Changed {
-            self.show_zones_out();
+        let change = self.state.put_zones(news, now_ms());
+        if change == ZoneNews::Changed {
+            self.report_zones_out();
         }
-        became
+        change
     }
 
-    /// Takes back zones whose entries the store lost and the operator did not write again.
+    /// Returns zones to service whose entries the store lost and the operator did not write again.
     pub(super) fn release_zones(&mut self, now: u64) {
         if self.state.release_zones(now) {
-            self.show_zones_out();
+            self.report_zones_out();
         }
     }
 
-    fn show_zones_out(&mut self) {
+    fn report_zones_out(&mut self) {
         let names = self.state.fleet().zone_names_out();
         let at = self.state.fleet().zones_out().map(ZonesOut::revision).unwrap_or_default();
         let id = Id::ZonesOutChanged;
         let zones = names.join(" ");
         tracing::info!(id = id as u16, name = id.name(), revision = at.number, era = at.era, zones);
-        metrics::show_zones_out(&names);
+        metrics::set_zones_out(&names);
         self.unpublished = true;
     }
 
-    /// Puts routes in force; whether they are newer than those that were.
+    /// Applies routes; returns whether they are newer than those in force.
     fn put_routes(&mut self, routes: Routes, source: &str) -> bool {
         let (stamp, count) = (routes.stamp(), routes.by_address.len());
         let known = self.state.routes().stamp();
--- a/crates/opaque/src/balancer/duties.rs
+++ b/crates/opaque/src/balancer/maintenance.rs
@@ -1,5 +1,4 @@
-//! What a balancer's process does for the others: it greets them, has agents keep copies, waits at the store for changes, and has
-//! objects of agents that are gone removed.
+//! Periodic tasks of a balancer: greetings, copies on agents, watch roles, and the removal of agents that are gone.
 
 use std::net::SocketAddrV4;
 
@@ -7,39 +6,40 @@
 use rand::seq::IteratorRandom;
 
 use super::Process;
-use crate::{codec::Codec, discovery::Duty, store::Record};
+use crate::{codec::Codec, discovery::WatchRole, store::Record};
 
-/// Pause between two greetings of another balancer, which tell it of a newer configuration: news reaches all of
-/// 520 balancers within 2 s even if the store serves only one of them.
-const GOSSIP_MS: u64 = 400;
-/// Time after which a balancer that had a configuration from the store tells all others, as the one that should have told some of
-/// them may have died: three levels of the tree, some 0.1 s each on slow VMs, and as much again.
-pub(super) const RETELL_MS: u64 = 600;
-/// Pause between two looks for such agents.
-const WEED_MS: u64 = 1_500;
+/// Interval between greetings of a random balancer, which spread a new configuration to the whole fleet within
+/// seconds.
+const GOSSIP_INTERVAL_MS: u64 = 400;
+/// Delay before a balancer greets all others again, in case a member of the distribution tree failed to forward.
+pub(super) const REGREET_DELAY_MS: u64 = 600;
+/// Interval between checks for agents to remove.
+const REMOVAL_CHECK_INTERVAL_MS: u64 = 1_500;
 
 impl<C> Process<C>
 where
     C: Codec,
 {
-    /// Has agents that left or are gone for long taken off the list, as far as that is up to this balancer.
-    pub(super) fn weed(&mut self, now: u64) {
-        if now.saturating_sub(self.weed_ms) < WEED_MS || !self.ready.get() {
+    /// Removes agents that left or are gone for long, as far as this balancer is responsible for them.
+    pub(super) fn remove_gone_agents(&mut self, now: u64) {
+        if now.saturating_sub(self.removal_check_ms) < REMOVAL_CHECK_INTERVAL_MS
+            || !self.ready.get()
+        {
             return;
         }
-        self.weed_ms = now;
+        self.removal_check_ms = now;
         let gone = self.state.to_withdraw(now);
-        self.due.retain(|it, _| gone.contains(it));
+        self.removal_due.retain(|it, _| gone.contains(it));
         let is_due = |it: &&Record| {
             gone.contains(&it.listed.address) && !self.removed.contains(&it.listed.address)
         };
         for record in self.records.iter().filter(is_due).cloned().collect::<Vec<_>>() {
             let agent = record.listed.address;
-            let since_ms = now.saturating_sub(*self.due.entry(agent).or_insert(now));
+            let since_ms = now.saturating_sub(*self.removal_due.entry(agent).or_insert(now));
             if !self.state.is_remover(agent, &self.balancers, since_ms) {
                 continue;
             }
-            // A full queue means that calls are slow: the next look finds the agent again.
+            // If the queue is full, the next check finds the agent again.
             if self.gone.try_send(record).is_err() {
                 return;
             }
@@ -48,19 +48,19 @@
         }
     }
 
-    pub(super) fn choose_watchers(&self) {
+    pub(super) fn update_watch_roles(&self) {
         if !self.state.knows_members() {
             return;
         }
         let balancers = self.balancers.len();
-        let routes = duty(self.state.is_watcher(&self.balancers), balancers);
-        self.watches.send_if_modified(|it| std::mem::replace(it, routes) != routes);
-        let zones = duty(self.state.is_zone_watcher(&self.balancers), balancers);
-        self.zone_watches.send_if_modified(|it| std::mem::replace(it, zones) != zones);
+        let routes = watch_role(self.state.is_watcher(&self.balancers), balancers);
+        self.routes_role_sender.send_if_modified(|it| std::mem::replace(it, routes) != routes);
+        let zones = watch_role(self.state.is_zone_watcher(&self.balancers), balancers);
+        self.zones_role_sender.send_if_modified(|it| std::mem::replace(it, zones) != zones);
     }
 
     pub(super) fn gossip(&mut self, now: u64) {
-        if now.saturating_sub(self.gossip_ms) < GOSSIP_MS {
+        if now.saturating_sub(self.gossip_ms) < GOSSIP_INTERVAL_MS {
             return;
         }
         self.gossip_ms = now;
@@ -71,10 +71,11 @@
         self.greet_keeper(now);
     }
 
-    /// Those that have the configuration from the store see to it that agents keep copies: with each greeting of another
-    /// balancer one of an agent.
+    /// A balancer that watches the store greets a random agent that keeps a copy, so that the copy stays current.
     fn greet_keeper(&mut self, now: u64) {
-        if *self.watches.borrow() != Duty::Watch || self.state.routes().stamp().is_none() {
+        if *self.routes_role_sender.borrow() != WatchRole::Watch
+            || self.state.routes().stamp().is_none()
+        {
             return;
         }
         let to = self.state.keepers(now).into_iter().choose(&mut rand::rng());
@@ -84,15 +85,15 @@
         }
     }
 
-    /// Tells all agents that keep copies what is in force here.
-    pub(super) fn greet_keepers(&mut self, now: u64) {
+    /// Greets all agents that keep copies.
+    pub(super) fn greet_all_keepers(&mut self, now: u64) {
         for to in self.state.keepers(now) {
             let greeting = Greeting { keep: true, ..self.greeting() };
             self.peers.control(to, Body::Greeting(greeting));
         }
     }
 
-    /// What is in force here.
+    /// Greeting with the state in force here.
     pub(super) fn greeting(&self) -> Greeting {
         Greeting {
             zones: self.state.fleet().zones_out().map(ZonesEntry::from),
@@ -105,7 +106,7 @@
         self.peers.control(to, Body::Greeting(greeting));
     }
 
-    /// Tells all balancers of the configuration that is in force here, and whether this one leaves.
+    /// Greets all balancers with the configuration in force, and whether this balancer is leaving.
     pub(super) fn greet_balancers(&mut self, leaving: bool) {
         for to in self.balancers.clone() {
             self.greet(to, leaving);
@@ -119,14 +120,14 @@
         self.greet_balancers(leaving);
     }
 
-    /// Tells all others of news from the store some time after the tree was told.
-    pub(super) fn tell_again(&mut self, now: u64) {
-        if self.retell_ms.take_if(|it| now >= *it).is_some() {
+    /// Repeats the greeting of all balancers when it is due.
+    pub(super) fn regreet(&mut self, now: u64) {
+        if self.regreet_ms.take_if(|it| now >= *it).is_some() {
             self.greet_balancers(false);
         }
     }
 }
 
-fn duty(watches: bool, balancers: usize) -> Duty {
-    if watches { Duty::Watch } else { Duty::Read(balancers) }
+fn watch_role(watches: bool, balancers: usize) -> WatchRole {
+    if watches { WatchRole::Watch } else { WatchRole::Read(balancers) }
 }
--- a/crates/opaque/src/codec.rs
+++ b/crates/opaque/src/codec.rs
@@ -1,21 +1,21 @@
-//! How packets of opaque flows look on the wire of a platform.
+//! Wire format of a platform's packets.
 
 use camphorwinch_core::opaque::{FlowKey, Head};
 
-/// Largest packet of a flow that is passed on.
-pub const MAX_PACKET: usize = 2_048;
+/// Largest packet that is forwarded, in bytes.
+pub const MAX_PACKET_BYTES: usize = 2_048;
 
-/// Reads and writes packets.
+/// Decodes and encodes a platform's packets.
 pub trait Codec: Send + Sync + 'static {
-    /// Reads a caller's packet; none if it is not one.
+    /// Decodes the head of a caller's packet; `None` if it is malformed.
     fn caller_head(&self, packet: &[u8]) -> Option<Head>;
 
-    /// Reads an upstream's packet, which may be a caller's that it bounced.
+    /// Decodes the head of an upstream's packet, which may be a bounced caller's packet.
     fn upstream_head(&self, packet: &[u8]) -> Option<Head>;
 
-    /// Makes a bounced packet what it was before the upstream bounced it.
+    /// Restores a bounced packet to its original form.
     fn restore(&self, packet: &mut [u8]);
 
-    /// Appends a reset of the flow towards its caller.
+    /// Appends a reset packet for the flow's caller.
     fn reset(&self, key: &FlowKey, seq: u32, out: &mut Vec<u8>);
 }
--- a/crates/opaque/src/note.rs
+++ b/crates/opaque/src/decision_log.rs
@@ -1,41 +1,41 @@
-//! Decisions as log lines and counts.
+//! Log lines and counters for decisions on flows.
 
 use camphorwinch_core::opaque::{FlowKey, effect::Decision, walk::Last};
 
 use crate::{event::Id, log::Limiter, metrics};
 
-/// What a line is good for. Each class has its own share of the lines, so that the steps of many flows never push out
-/// the line that says why one of them failed.
+/// Class of a line. Each has its own rate limit, so that steps of many flows don't suppress the line that explains a
+/// failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Class {
-    /// A step on a flow's way.
+    /// Intermediate step of a flow.
     Step,
-    /// What a caller notices.
+    /// Outcome visible to a caller.
     Outcome,
-    /// Told by a later line as well.
+    /// Detail that a later line repeats; logged at debug level.
     Detail,
 }
 
 /// Logs and counts decisions.
-pub(crate) struct Notes {
+pub(crate) struct DecisionLog {
     steps: Limiter,
     outcomes: Limiter,
     reported_ms: u64,
 }
 
-/// Pause between two lines on lines left out.
-const REPORT_EVERY_MS: u64 = 1_000;
+/// Interval between reports of suppressed lines.
+const REPORT_INTERVAL_MS: u64 = 1_000;
 
-impl Notes {
-    pub(crate) fn new(now_ms: u64) -> Notes {
+impl DecisionLog {
+    pub(crate) fn new(now_ms: u64) -> DecisionLog {
         let limiter = Limiter::new(now_ms);
-        Notes { steps: limiter.clone(), outcomes: limiter, reported_ms: now_ms }
+        DecisionLog { steps: limiter.clone(), outcomes: limiter, reported_ms: now_ms }
     }
 
-    /// Counts a decision and writes its line, if the rate allows.
+    /// Counts a decision and logs it, if the rate limit permits.
     pub(crate) fn write(&mut self, key: Option<FlowKey>, decision: &Decision, now_ms: u64) {
-        let (id, kind) = classify(decision);
-        metrics::DECISIONS.with_label_values(&[kind]).inc();
+        let (id, label) = event_and_label(decision);
+        metrics::DECISIONS.with_label_values(&[label]).inc();
         if let Decision::Found { after_ms, .. } = decision {
             metrics::SEARCH_SECONDS.observe(*after_ms as f64 / 1_000.0);
         }
@@ -51,12 +51,12 @@
             return;
         }
         let flow = key.map(|it| it.to_string());
-        line(id, flow.as_deref(), decision);
+        log_decision(id, flow.as_deref(), decision);
     }
 
-    /// Says how many lines were left out.
+    /// Logs the number of suppressed lines.
     pub(crate) fn tick(&mut self, now_ms: u64) {
-        if now_ms.saturating_sub(self.reported_ms) < REPORT_EVERY_MS {
+        if now_ms.saturating_sub(self.reported_ms) < REPORT_INTERVAL_MS {
             return;
         }
         self.reported_ms = now_ms;
@@ -77,7 +77,7 @@
         | Decision::Absent
         | Decision::Admitted { .. }
         | Decision::Held { .. } => Class::Step,
-        // The line of the agent that takes the flow holds the whole walk.
+        // The line of the accepting agent contains the whole walk.
         Decision::PassedOn { .. } => Class::Detail,
         Decision::NobodyAccepted { .. }
         | Decision::Refused
@@ -90,7 +90,7 @@
     }
 }
 
-fn classify(decision: &Decision) -> (Id, &'static str) {
+fn event_and_label(decision: &Decision) -> (Id, &'static str) {
     match decision {
         Decision::Placed { .. } => (Id::FlowPlaced, "placed"),
         Decision::Accepted { last: Last::No, .. } => (Id::FlowAccepted, "accepted"),
@@ -112,7 +112,7 @@
     }
 }
 
-fn line(id: Id, flow: Option<&str>, decision: &Decision) {
+fn log_decision(id: Id, flow: Option<&str>, decision: &Decision) {
     let name = id.name();
     let id = id as u16;
     match *decision {
--- a/crates/opaque/src/discovery.rs
+++ b/crates/opaque/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Finding the other processes and the configuration: in the store, or with peers while the store is of no use.
+//! Discovery of members and configuration, from the store or, while the store is unavailable, from peers.
 
 mod join;
 #[cfg(test)]
@@ -18,84 +18,83 @@
 
 pub(crate) use self::{
     join::{Join, Start},
-    topic::{Duty, Follow, Topic},
+    topic::{Follow, Topic, WatchRole},
 };
 use crate::{
     event::Id,
     metrics,
-    snapshot::{self, ASK_TIMEOUT},
+    snapshot::{self, QUERY_TIMEOUT},
     store::{Members, Record, Store, StoreError},
 };
 
-/// First pause after a failed call to the store.
-const FIRST_PAUSE: Duration = Duration::from_millis(150);
-/// Longest pause: a fleet that lost its store is back within two of them.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
-/// Time for a first call. Answers take 4 ms, those of a slow store a quarter of a second; when the store comes back,
-/// calls that still wait for an answer that never comes delay the fleet by this time.
-const FIRST_PATIENCE: Duration = Duration::from_millis(700);
-/// Time for a call after others got no answer: the store may be slower still.
-const LONGEST_PATIENCE: Duration = Duration::from_millis(2_800);
-/// Calls without an answer before the time for one doubles.
-const TIMEOUTS_EACH: u32 = 6;
-/// Calls for one removal, with half a second or more between them: an outage of the store lasts seconds.
-const WITHDRAW_TRIES: u32 = 30;
-
-/// What was found.
+/// Backoff after the first failed store call.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(150);
+/// Upper bound of the backoff between store calls.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
+/// Timeout of a store call while the store answers normally.
+const INITIAL_CALL_TIMEOUT: Duration = Duration::from_millis(700);
+/// Upper bound of the timeout after repeated timeouts.
+const MAX_CALL_TIMEOUT: Duration = Duration::from_millis(2_800);
+/// Timeouts before the call timeout doubles.
+const TIMEOUTS_PER_DOUBLING: u32 = 6;
+/// Attempts to remove one member's object; must outlast an outage of several seconds.
+const MAX_WITHDRAW_ATTEMPTS: u32 = 30;
+
+/// A piece of cluster state from the store or a peer.
 #[derive(Debug)]
-pub(crate) enum Found {
-    /// A configuration of a peer, which may be older than the one in force.
-    Routes(Routes),
+pub(crate) enum Update {
+    /// A configuration from a peer, which may be older than the one in force.
+    PeerRoutes(Routes),
     /// A configuration from the store.
-    News(Routes),
-    /// Zones out of service, as a peer knows them.
-    Zones(ZonesOut),
-    /// Zones out of service whose entries the store lost, as a peer knows them.
-    LostZones(Vec<String>),
+    StoreRoutes(Routes),
+    /// Zones out of service, from a peer.
+    PeerZones(ZonesOut),
+    /// Zones out of service whose store entries were lost, from a peer.
+    PeerLostZones(Vec<String>),
     /// Zones out of service, from the store.
-    ZoneNews(ZonesOut),
-    /// The whole list of members, or all balancers on it for an agent; and the number of the attempt that brought it.
+    StoreZones(ZonesOut),
+    /// The complete list of members, or all balancers for an agent, and the number of the attempt that fetched it.
     Members(Members, u64),
-    /// Members that a peer knows of.
+    /// Members known to a peer.
     PeerMembers(Vec<Listed>),
 }
 
-/// Pauses after failures: doubled each time, drawn at random below that, so that processes don't come in step.
+/// Jittered exponential backoff and adaptive call timeout for the store.
 struct Backoff {
     pause: Duration,
-    lost: bool,
+    failing: bool,
     timeouts: u32,
 }
 
 impl Backoff {
     fn new() -> Backoff {
-        Backoff { pause: FIRST_PAUSE, lost: false, timeouts: 0 }
+        Backoff { pause: INITIAL_BACKOFF, failing: false, timeouts: 0 }
     }
 
-    /// How long the next call may take.
-    fn patience(&self) -> Duration {
-        (FIRST_PATIENCE * 2u32.pow((self.timeouts / TIMEOUTS_EACH).min(2))).min(LONGEST_PATIENCE)
+    fn call_timeout(&self) -> Duration {
+        (INITIAL_CALL_TIMEOUT * 2u32.pow((self.timeouts / TIMEOUTS_PER_DOUBLING).min(2)))
+            .min(MAX_CALL_TIMEOUT)
     }
 
-    fn note_lost(&mut self, error: &StoreError) {
+    fn record_failure(&mut self, error: &StoreError) {
         if let StoreError::Timeout { .. } = error {
             self.timeouts += 1;
         }
-        if !self.lost {
+        if !self.failing {
             let id = Id::StoreLost;
             tracing::warn!(id = id as u16, name = id.name(), error = %error);
         }
-        self.lost = true;
+        self.failing = true;
     }
 
-    async fn failed(&mut self, error: &StoreError) {
-        self.note_lost(error);
-        sleep(self.pause.mul_f64(spread())).await;
-        self.pause = (self.pause * 2).min(LONGEST_PAUSE);
+    async fn wait_after_failure(&mut self, error: &StoreError) {
+        self.record_failure(error);
+        sleep(self.pause.mul_f64(jitter())).await;
+        self.pause = (self.pause * 2).min(MAX_BACKOFF);
     }
 
-    fn succeeded(&mut self) {
-        if self.lost {
+    fn reset(&mut self) {
+        if self.failing {
             let id = Id::StoreBack;
             tracing::info!(id = id as u16, name = id.name());
         }
@@ -103,12 +102,12 @@
     }
 }
 
-/// A factor for pauses, drawn at random so that processes don't come in step.
-fn spread() -> f64 {
+/// Random factor that keeps processes from retrying in lockstep.
+fn jitter() -> f64 {
     rand::rng().random_range(0.6..1.0)
 }
 
-/// Reports each reset of the store.
+/// Logs each reset of the store.
 pub(crate) async fn observe_resets(mut era: watch::Receiver<Option<u64>>) {
     let mut known = None;
     while let Ok(now) = era.wait_for(|&it| it != known).await.map(|it| *it) {
@@ -120,16 +119,16 @@
     }
 }
 
-/// Returns when an answer of the store tells of a later era.
+/// Returns once the store reports an era later than `era`.
 async fn reset_after(store_era: &mut watch::Receiver<Option<u64>>, era: u64) {
     if store_era.wait_for(|it| *it > Some(era)).await.is_err() {
-        // No answer will come any more.
+        // The store client is gone; no later era can arrive.
         std::future::pending::<()>().await;
     }
 }
 
-/// Takes members off the list that have been gone for long. They come through `gone`.
-pub(crate) async fn weed<S>(store: S, mut gone: mpsc::Receiver<Record>)
+/// Removes the members received through `gone` from the store.
+pub(crate) async fn remove_gone_members<S>(store: S, mut gone: mpsc::Receiver<Record>)
 where
     S: Store,
 {
@@ -146,36 +145,36 @@
     }
 }
 
-/// Removes a member's object, again and again while the store is away.
+/// Removes a member's object, retrying transient errors.
 async fn withdraw<S>(store: &S, record: &Record) -> Result<(), StoreError>
 where
     S: Store,
 {
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
         let name = &record.name;
-        let done = store.withdraw(name, Some(record.revision), FIRST_PATIENCE).await;
-        let error = match count("withdraw", done) {
+        let result = store.withdraw(name, Some(record.revision), INITIAL_CALL_TIMEOUT).await;
+        let error = match count("withdraw", result) {
             Ok(()) => return Ok(()),
             Err(e) => e,
         };
-        tries += 1;
-        if tries == WITHDRAW_TRIES || !error.is_passing() {
+        attempts += 1;
+        if attempts == MAX_WITHDRAW_ATTEMPTS || !error.is_transient() {
             return Err(error);
         }
-        sleep(LONGEST_PAUSE.mul_f64(spread())).await;
+        sleep(MAX_BACKOFF.mul_f64(jitter())).await;
     }
 }
 
-/// Asks peers, all at once, and takes the first answer.
-pub(crate) async fn ask_any(
+/// Queries all peers concurrently and applies the first answer.
+pub(crate) async fn query_any(
     peers: &[SocketAddrV4],
     own: SocketAddrV4,
-    ask: &Question,
-    out: &mpsc::Sender<Found>,
+    query: &Question,
+    out: &mpsc::Sender<Update>,
 ) {
     let others = peers.iter().copied().filter(|&it| it != own);
-    let mut answers: FuturesUnordered<_> = others.map(|it| ask_one(it, ask)).collect();
+    let mut answers: FuturesUnordered<_> = others.map(|it| query_one(it, query)).collect();
     while let Some((peer, answer)) = answers.next().await {
         let id = Id::PeerAsked;
         let found = match answer {
@@ -196,26 +195,29 @@
     }
 }
 
-async fn ask_one(peer: SocketAddrV4, ask: &Question) -> (SocketAddrV4, anyhow::Result<Vec<Found>>) {
-    let answer = snapshot::ask(peer, ask, ASK_TIMEOUT).await;
-    let with_members = ask.members() != Part::None;
-    (peer, answer.and_then(|it| Ok(found(&it, with_members)?)))
+async fn query_one(
+    peer: SocketAddrV4,
+    query: &Question,
+) -> (SocketAddrV4, anyhow::Result<Vec<Update>>) {
+    let answer = snapshot::query(peer, query, QUERY_TIMEOUT).await;
+    let with_members = query.members() != Part::None;
+    (peer, answer.and_then(|it| Ok(updates(&it, with_members)?)))
 }
 
-fn found(
+fn updates(
     snapshot: &Snapshot,
     with_members: bool,
-) -> Result<Vec<Found>, camphorwinch_wire::opaque::DecodeError> {
+) -> Result<Vec<Update>, camphorwinch_wire::opaque::DecodeError> {
     let mut found = Vec::new();
     if with_members {
-        found.push(Found::PeerMembers(snapshot.members()?));
+        found.push(Update::PeerMembers(snapshot.members()?));
     }
-    // Before the routes: whoever knows these places flows.
+    // Must precede the routes: flows are placed once the routes are known.
     if !snapshot.lost_zones.is_empty() {
-        found.push(Found::LostZones(snapshot.lost_zones.clone()));
+        found.push(Update::PeerLostZones(snapshot.lost_zones.clone()));
     }
-    found.extend(snapshot.zones.clone().map(|it| Found::Zones(it.into())));
-    found.extend(snapshot.routes()?.map(Found::Routes));
+    found.extend(snapshot.zones.clone().map(|it| Update::PeerZones(it.into())));
+    found.extend(snapshot.routes()?.map(Update::PeerRoutes));
     Ok(found)
 }
 
--- a/crates/opaque/src/discovery/join.rs
+++ b/crates/opaque/src/discovery/join.rs
@@ -1,6 +1,6 @@
-//! How a process enters the list of members, and gets the list: from processes that have it, or from the store.
+//! Registration of this process in the member list, and retrieval of that list from peers or the store.
 
-mod told;
+mod peer_list;
 
 use std::{collections::BTreeSet, net::SocketAddrV4, sync::Arc, time::Duration};
 
@@ -12,98 +12,95 @@
     time::{Instant, sleep, timeout},
 };
 
-use super::{Backoff, Found, ask_any, count, reset_after, spread};
+use super::{Backoff, Update, count, jitter, query_any, reset_after};
 use crate::{
     event::Id,
     lists::Lists,
     store::{Announced, Member, Members, Store, StoreError},
 };
 
-/// Pause between two lists of members, which find what was missed at the start.
-const LIST_EVERY: Duration = Duration::from_secs(45);
-/// Pauses of balancers that an agent leaves between two lists of its own: it needs the balancers only, and those that list it
-/// greet it.
-const AGENT_PAUSES: u32 = 10;
-/// Members up to which that pause holds. It grows with more of them, as each list takes more calls then.
-const LIST_MEMBERS: usize = 300;
-/// Time over which a fleet of [`LIST_MEMBERS`] spreads the lists that follow on a reset of the store.
+/// Interval between periodic reads of the member list.
+const LIST_INTERVAL: Duration = Duration::from_secs(45);
+/// Factor on the interval for agents, which need only the balancers and are greeted by those that list them.
+const AGENT_INTERVAL_FACTOR: u32 = 10;
+/// Fleet size up to which the intervals apply; they grow in proportion above it.
+const BASELINE_MEMBERS: usize = 300;
+/// Time over which a fleet of [`BASELINE_MEMBERS`] spreads its list reads after a store reset.
 const RESET_SPREAD: Duration = Duration::from_millis(500);
-/// Shortest pause between the beginnings of two lists that others need, for each member: whoever asks meanwhile is served by the
-/// next one. So the pages that are read a second don't grow with the fleet, and a small one does not wait.
-const LIST_GAP_EACH: Duration = Duration::from_micros(200);
-/// Time after which a process reads the store itself if no peer was heard: one that stands still must not hold up a start.
-const ALONE_AFTER: Duration = Duration::from_millis(60);
-/// The same if one was heard and has not answered: the store may turn it away while it serves others.
-const ANSWER_AFTER: Duration = Duration::from_millis(400);
-/// Time for all peers, after which the process reads the store itself.
-const TELL_LIMIT: Duration = Duration::from_millis(1_600);
-/// The same at the first start of the whole system, when those who are asked start themselves and no caller waits.
-const FIRST_START_LIMIT: Duration = Duration::from_secs(5);
+/// Minimum time between two requested list reads, per member, so that the read load does not grow with the fleet.
+const LIST_GAP_PER_MEMBER: Duration = Duration::from_micros(200);
+/// Time without a response from any peer after which the process reads the store itself.
+const NO_RESPONSE_TIMEOUT: Duration = Duration::from_millis(60);
+/// Time without a complete answer, after a peer has responded, before the process reads the store itself.
+const NO_ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Total time for querying peers before the process reads the store itself.
+const PEERS_TIMEOUT: Duration = Duration::from_millis(1_600);
+/// The same at the first start of the system, when the peers are starting too.
+const FIRST_START_PEERS_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where a process stands that has just started.
+/// Progress of the initial discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Start {
-    /// It asks others.
-    Asking,
-    /// Another one told it the configuration and the members.
-    Told,
-    /// It has to call the store for all it needs.
-    Alone,
+    /// Querying peers.
+    Querying,
+    /// The configuration and the members came from a peer.
+    FromPeer,
+    /// The process must read all its state from the store.
+    FromStore,
 }
 
-/// What a process needs to enter the list and to get it.
+/// Task that registers this process and keeps its member list up to date.
 pub(crate) struct Join<S> {
-    /// The store.
+    /// Store client.
     pub(crate) store: S,
     /// This process.
     pub(crate) own: Member,
-    /// Whether it belongs on the list.
+    /// Whether this process should be listed.
     pub(crate) serves: watch::Receiver<bool>,
-    /// Whether the whole system starts for the first time, so that nothing is left from a former life.
+    /// Whether the system starts for the first time, so that no entry of an earlier run exists.
     pub(crate) first_start: bool,
-    /// Balancers that are asked first.
+    /// Balancers to query first.
     pub(crate) seeds: watch::Receiver<Vec<SocketAddrV4>>,
-    /// Balancers that have greeted this process.
+    /// Balancers that have sent a greeting to this process.
     pub(crate) greeted: watch::Receiver<BTreeSet<SocketAddrV4>>,
-    /// Somebody says that this process is not on the list, or that the list may have changed.
-    pub(crate) again: Arc<Notify>,
-    /// The list as it is told to others.
+    /// Notified when this process is missing from the list or the list may have changed.
+    pub(crate) relist: Arc<Notify>,
+    /// The list as served to other processes.
     pub(crate) lists: Arc<Lists>,
-    /// Where this process stands.
+    /// Progress of the initial discovery.
     pub(crate) start: watch::Sender<Start>,
-    /// Where what is found goes.
-    pub(crate) out: mpsc::Sender<Found>,
+    /// Receives the discovered state.
+    pub(crate) out: mpsc::Sender<Update>,
 }
 
-/// The list, and members beside it that a peer has heard of: the store may have lost their entries.
-struct Got {
+/// The store's list, and further members known to a peer, whose store entries may be lost.
+struct MemberList {
     members: Members,
-    others: Vec<Listed>,
+    unlisted: Vec<Listed>,
 }
 
-/// Why the list is got once more.
+/// Why the list is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reason {
-    /// The process starts.
+    /// Initial read.
     Start,
-    /// Its time has come: what another process read some time ago will do.
-    Due,
-    /// Others need one that is read now, or the store came back from a copy.
-    Wanted,
-    /// This process may have been taken off it.
-    Again,
+    /// Periodic read, for which an older list from a peer is sufficient.
+    Interval,
+    /// A peer needs a current list, or the store was reset.
+    Requested,
+    /// This process may have been removed from the list.
+    Rejoin,
 }
 
 impl<S> Join<S>
 where
     S: Store,
 {
-    /// Lists this process once it serves, and gets the list of members; then again from time to time, when `again` says so, and when
-    /// others need it.
+    /// Registers this process once it serves, and reads the list of members at the start, periodically and on request.
     pub(crate) async fn run(self) {
         let mut backoff = Backoff::new();
-        let mut asking: Option<JoinHandle<()>> = None;
-        // Its own object as it was announced last; none if there may be none.
+        let mut seeds_query: Option<JoinHandle<()>> = None;
+        // This process's store object as last announced; `None` if it must be announced relist.
         let mut object = None;
         let mut withdrawn = self.first_start;
         let mut resets = self.store.era();
@@ -112,51 +109,52 @@
         loop {
             let begun = Instant::now();
             let attempt = self.lists.begin();
-            let patience = backoff.patience();
-            match self.enter(&mut object, &mut withdrawn, reason, patience).await {
+            let call_timeout = backoff.call_timeout();
+            match self.enter(&mut object, &mut withdrawn, reason, call_timeout).await {
                 Ok(None) => {
-                    backoff.succeeded();
-                    self.again.notified().await;
+                    backoff.reset();
+                    self.relist.notified().await;
                 }
-                Ok(Some(Got { members, others })) => {
-                    backoff.succeeded();
-                    self.started(Start::Alone);
+                Ok(Some(MemberList { members, unlisted })) => {
+                    backoff.reset();
+                    self.started(Start::FromStore);
                     let (at, known) = (members.at, members.records.len());
-                    let others = Some(others).filter(|it| !it.is_empty()).map(Found::PeerMembers);
+                    let unlisted =
+                        Some(unlisted).filter(|it| !it.is_empty()).map(Update::PeerMembers);
                     let is_older = newest > Some(at);
                     newest = newest.max(Some(at));
                     if is_older {
-                        // Of a peer that got it before this process got its last one.
+                        // The peer's list predates the one this process already has.
                         self.lists.failed(attempt);
                     } else {
-                        for it in [Found::Members(members, attempt)].into_iter().chain(others) {
+                        for it in [Update::Members(members, attempt)].into_iter().chain(unlisted) {
                             if self.out.send(it).await.is_err() {
                                 return;
                             }
                         }
                     }
                     reason = self.wait(begun, at, known, &mut resets).await;
-                    if reason == Reason::Again && self.is_agent() {
+                    if reason == Reason::Rejoin && self.is_agent() {
                         object = None;
                     }
                 }
                 Err(e) => {
                     self.lists.failed(attempt);
-                    self.started(Start::Alone);
-                    // A peer that is down answers only after its timeout, when the store may have been back for long.
-                    if asking.as_ref().is_none_or(JoinHandle::is_finished) {
-                        asking = Some(self.ask_seeds());
+                    self.started(Start::FromStore);
+                    // An unreachable peer delays the answer by its timeout, so the queries run in the background.
+                    if seeds_query.as_ref().is_none_or(JoinHandle::is_finished) {
+                        seeds_query = Some(self.query_seeds());
                     }
-                    backoff.failed(&e).await;
+                    backoff.wait_after_failure(&e).await;
                 }
             }
         }
     }
 
-    /// Notes how the start went. Only the first word counts.
+    /// Records the outcome of the initial discovery; later calls have no effect.
     fn started(&self, how: Start) {
         self.start.send_if_modified(|it| {
-            let asked = *it == Start::Asking;
+            let asked = *it == Start::Querying;
             if asked {
                 *it = how;
             }
@@ -168,7 +166,7 @@
         self.own.pool.is_some()
     }
 
-    /// Waits for a reason to get the list again.
+    /// Waits until the list has to be read relist.
     async fn wait(
         &self,
         begun: Instant,
@@ -177,125 +175,125 @@
         resets: &mut watch::Receiver<Option<u64>>,
     ) -> Reason {
         tokio::select! {
-            () = sleep(list_pause(known, self.is_agent()).mul_f64(spread())) => Reason::Due,
-            () = self.again.notified() => Reason::Again,
-            () = self.lists.wanted.notified() => {
-                tokio::time::sleep_until(begun + LIST_GAP_EACH * known as u32).await;
-                Reason::Wanted
+            () = sleep(list_pause(known, self.is_agent()).mul_f64(jitter())) => Reason::Interval,
+            () = self.relist.notified() => Reason::Rejoin,
+            () = self.lists.refresh_requested.notified() => {
+                tokio::time::sleep_until(begun + LIST_GAP_PER_MEMBER * known as u32).await;
+                Reason::Requested
             }
             () = reset_after(resets, at.era) => {
-                sleep(reset_pause(known).mul_f64(spread())).await;
-                Reason::Wanted
+                sleep(reset_pause(known).mul_f64(jitter())).await;
+                Reason::Requested
             }
         }
     }
 
-    /// Asks the seeds for what they know, beside other work.
-    fn ask_seeds(&self) -> JoinHandle<()> {
+    /// Queries the seeds in the background.
+    fn query_seeds(&self) -> JoinHandle<()> {
         let seeds = self.seeds.borrow().clone();
         let (own, out) = (self.own.address, self.out.clone());
-        tokio::spawn(async move { ask_any(&seeds, own, &Question::all(), &out).await })
+        tokio::spawn(async move { query_any(&seeds, own, &Question::all(), &out).await })
     }
 
-    /// The members, this process among them, if it serves. A list that is not older than its own object shows each process that was
-    /// listed before, so of two that start at once one sees the other.
+    /// Returns the members, after registering this process if it serves.
+    ///
+    /// A list at least as new as its own object contains each process listed before, so of two that start concurrently
+    /// one sees the other.
     async fn enter(
         &self,
         object: &mut Option<Announced>,
         withdrawn: &mut bool,
         reason: Reason,
-        patience: Duration,
-    ) -> Result<Option<Got>, StoreError> {
+        call_timeout: Duration,
+    ) -> Result<Option<MemberList>, StoreError> {
         if !*self.serves.borrow() {
             if !*withdrawn {
-                // From a former life that could not remove it, as the store was away.
-                count("withdraw", self.store.withdraw(&self.own.name, None, patience).await)?;
+                // An entry of an earlier run, which could not remove it while the store was unavailable.
+                count("withdraw", self.store.withdraw(&self.own.name, None, call_timeout).await)?;
                 *withdrawn = true;
             }
             return Ok(None);
         }
         let need = match object {
-            Some(_) if reason == Reason::Due => Need::Any,
+            Some(_) if reason == Reason::Interval => Need::Any,
             Some(_) => Need::Fresh,
-            None => self.announce(object, patience).await?,
+            None => self.announce(object, call_timeout).await?,
         };
-        let got = self.members(need, patience).await?;
-        if self.is_agent() || got.members.lists(&self.own) {
-            return Ok(Some(got));
+        let list = self.members(need, call_timeout).await?;
+        if self.is_agent() || list.members.lists(&self.own) {
+            return Ok(Some(list));
         }
-        // It was removed meanwhile, or lost by the store.
-        let need = self.announce(object, patience).await?;
-        self.members(need, patience).await.map(Some)
+        // The entry was removed meanwhile, or lost by the store.
+        let need = self.announce(object, call_timeout).await?;
+        self.members(need, call_timeout).await.map(Some)
     }
 
-    /// Announces this process; how new a list has to be afterwards.
+    /// Writes this process's entry and returns how new a list has to be afterwards.
     async fn announce(
         &self,
         object: &mut Option<Announced>,
-        patience: Duration,
+        call_timeout: Duration,
     ) -> Result<Need, StoreError> {
-        let announced = count("announce", self.store.announce(&self.own, patience).await)?;
+        let announced = count("announce", self.store.announce(&self.own, call_timeout).await)?;
         *object = Some(announced);
         let id = Id::Announced;
         let revision = announced.revision.map(|it| it.number);
         tracing::info!(id = id as u16, name = id.name(), revision, created = announced.created);
         let since = announced.revision.map_or(Need::Fresh, Need::Since);
-        // Balancers that started after a balancer was listed need not know that it has started again: only a list of now shows the
-        // agents that joined while it was away. Agents are greeted by balancers that list them.
+        // Balancers listed after this one may not know of its restart, so only a current list shows the agents that
+        // joined meanwhile. Agents are greeted by the balancers that list them.
         let is_back = !announced.created && !self.is_agent();
         Ok(if is_back { Need::Fresh } else { since })
     }
 
-    /// The members, from processes that have the list or from the store. A process that others ask reads the store itself.
-    async fn members(&self, need: Need, patience: Duration) -> Result<Got, StoreError> {
+    /// Returns the members from peers or the store. A seed always reads the store, as its peers query it.
+    async fn members(&self, need: Need, call_timeout: Duration) -> Result<MemberList, StoreError> {
         let seeds = self.seeds.borrow().clone();
         if seeds.contains(&self.own.address) {
-            return self.read(patience).await;
+            return self.read(call_timeout).await;
         }
-        let heard = watch::Sender::new(false);
-        let limit = if self.first_start { FIRST_START_LIMIT } else { TELL_LIMIT };
-        let told = timeout(limit, self.told(&seeds, need, &heard));
+        let responded = watch::Sender::new(false);
+        let limit = if self.first_start { FIRST_START_PEERS_TIMEOUT } else { PEERS_TIMEOUT };
+        let from_peers = timeout(limit, self.members_from_peers(&seeds, need, &responded));
         tokio::select! {
-            told = told => match told {
-                Ok(Some(got)) => Ok(got),
-                Ok(None) | Err(_) => self.read(patience).await,
+            from_peers = from_peers => match from_peers {
+                Ok(Some(list)) => Ok(list),
+                Ok(None) | Err(_) => self.read(call_timeout).await,
             },
-            read = self.read_alone(&heard, patience) => read,
+            read = self.read_after_timeout(&responded, call_timeout) => read,
         }
     }
 
-    /// Reads the list in the store.
-    async fn read(&self, patience: Duration) -> Result<Got, StoreError> {
-        let members = count("list", self.store.members(patience).await)?;
-        Ok(Got { members, others: Vec::new() })
+    async fn read(&self, call_timeout: Duration) -> Result<MemberList, StoreError> {
+        let members = count("list", self.store.members(call_timeout).await)?;
+        Ok(MemberList { members, unlisted: Vec::new() })
     }
 
-    /// Reads it if no peer was heard for some time, or none has answered for some more.
-    async fn read_alone(
+    /// Reads the store if no peer responds, or none answers in time.
+    async fn read_after_timeout(
         &self,
-        heard: &watch::Sender<bool>,
-        patience: Duration,
-    ) -> Result<Got, StoreError> {
-        let (alone_after, answer_after) = if self.first_start {
-            (FIRST_START_LIMIT, FIRST_START_LIMIT)
+        responded: &watch::Sender<bool>,
+        call_timeout: Duration,
+    ) -> Result<MemberList, StoreError> {
+        let (no_response_timeout, no_answer_timeout) = if self.first_start {
+            (FIRST_START_PEERS_TIMEOUT, FIRST_START_PEERS_TIMEOUT)
         } else {
-            (ALONE_AFTER, ANSWER_AFTER)
+            (NO_RESPONSE_TIMEOUT, NO_ANSWER_TIMEOUT)
         };
-        let mut peers = heard.subscribe();
-        if timeout(alone_after, peers.wait_for(|&it| it)).await.is_ok() {
-            sleep(answer_after).await;
+        let mut peers = responded.subscribe();
+        if timeout(no_response_timeout, peers.wait_for(|&it| it)).await.is_ok() {
+            sleep(no_answer_timeout).await;
         }
-        self.read(patience).await
+        self.read(call_timeout).await
     }
 }
 
 pub(super) fn list_pause(members: usize, agent: bool) -> Duration {
-    let pause = LIST_EVERY.mul_f64((members as f64 / LIST_MEMBERS as f64).max(1.0));
-    if agent { pause * AGENT_PAUSES } else { pause }
+    let pause = LIST_INTERVAL.mul_f64((members as f64 / BASELINE_MEMBERS as f64).max(1.0));
+    if agent { pause * AGENT_INTERVAL_FACTOR } else { pause }
 }
 
-/// Time over which the processes that see a reset of the store spread their lists. What it lost of them is on its list again
-/// within two seconds in a small fleet.
+/// Time over which processes spread their list reads after a store reset.
 fn reset_pause(members: usize) -> Duration {
-    RESET_SPREAD.mul_f64(members as f64 / LIST_MEMBERS as f64)
+    RESET_SPREAD.mul_f64(members as f64 / BASELINE_MEMBERS as f64)
 }
--- a/crates/opaque/src/discovery/tests.rs
+++ b/crates/opaque/src/discovery/tests.rs
@@ -20,41 +20,43 @@
     time::{sleep, timeout},
 };
 
-use super::{Duty, Follow, Found, Join, Start, Topic, join::list_pause, topic::Era, withdraw};
+use super::{
+    Follow, Join, Start, Topic, Update, WatchRole, join::list_pause, topic::Era, withdraw,
+};
 use crate::store::{
-    Announced as Object, Freshness, Member, Members, Record, Seen, Store, StoreError, Watched,
+    Announced, ConfigRead, Freshness, Member, Members, Record, Store, StoreError, Watched,
 };
 use crate::{lists::Lists, snapshot};
 
-/// Revision of the store, far above that of its configuration.
+/// Store revision, far above the configuration's own.
 const STORE_AT: u64 = 900;
-/// Revision of the configuration, which the store's history no longer holds.
+/// Revision of the configuration, which is compacted already.
 const CONFIG_AT: u64 = 5;
 
-/// A store whose history goes back to [`STORE_AT`] only; with `forgets` it has none at all.
+/// Store with a history from [`STORE_AT`] on; with `compacts` it has no history.
 #[derive(Clone, Default)]
-struct Fake {
-    forgets: bool,
-    /// Turns calls about zones away.
-    busy: bool,
-    /// Turns calls about the configuration away after so many.
-    serves: Option<usize>,
+struct HistoryStore {
+    compacts: bool,
+    /// Rejects reads of the zones.
+    zones_busy: bool,
+    /// Rejects reads of the configuration after this many calls.
+    config_limit: Option<usize>,
     calls: Arc<Mutex<Vec<Option<u64>>>>,
     reads: Arc<Mutex<Vec<Freshness>>>,
     era: watch::Sender<Option<u64>>,
 }
 
-impl Fake {
+impl HistoryStore {
     fn calls(&self) -> Vec<Option<u64>> {
         self.calls.lock().expect("not poisoned").clone()
     }
 
-    fn note(&self, call: Option<u64>) {
+    fn record_call(&self, call: Option<u64>) {
         self.calls.lock().expect("not poisoned").push(call);
     }
 }
 
-impl Store for Fake {
+impl Store for HistoryStore {
     fn era(&self) -> watch::Receiver<Option<u64>> {
         self.era.subscribe()
     }
@@ -63,30 +65,30 @@
         Ok(Members::default())
     }
 
-    async fn announce(&self, _: &Member, _: Duration) -> Result<Object, StoreError> {
-        Ok(Object { revision: None, created: true })
+    async fn announce(&self, _: &Member, _: Duration) -> Result<Announced, StoreError> {
+        Ok(Announced { revision: None, created: true })
     }
 
     async fn withdraw(&self, _: &str, at: Option<Revision>, _: Duration) -> Result<(), StoreError> {
-        self.note(at.map(|it| it.number));
+        self.record_call(at.map(|it| it.number));
         let step = "withdraw a member";
         match self.calls().len() {
             1 | 2 => Err(StoreError::Busy { step, status: 503 }),
-            _ if self.forgets => Err(StoreError::Conflict { step }),
+            _ if self.compacts => Err(StoreError::Conflict { step }),
             _ => Ok(()),
         }
     }
 
-    async fn routes(&self, it: Freshness, _: Duration) -> Result<Seen, StoreError> {
-        self.note(None);
+    async fn routes(&self, it: Freshness, _: Duration) -> Result<ConfigRead, StoreError> {
+        self.record_call(None);
         self.reads.lock().expect("not poisoned").push(it);
-        if self.serves.is_some_and(|it| self.calls().len() > it) {
+        if self.config_limit.is_some_and(|it| self.calls().len() > it) {
             return Err(StoreError::Busy { step: "read the configuration", status: 503 });
         }
         let routes =
             Routes { revision: Revision::new(0, CONFIG_AT), version: 1, ..Routes::default() };
         let era = self.era.borrow().unwrap_or_default();
-        Ok(Seen { routes: Some(routes), at: Revision::new(era, STORE_AT) })
+        Ok(ConfigRead { routes: Some(routes), at: Revision::new(era, STORE_AT) })
     }
 
     async fn watch(
@@ -94,19 +96,19 @@
         at: Revision,
         wait: Duration,
         _: Duration,
-    ) -> Result<Watched<Seen>, StoreError> {
-        self.note(Some(at.number));
-        if self.forgets || at.number < STORE_AT {
+    ) -> Result<Watched<ConfigRead>, StoreError> {
+        self.record_call(Some(at.number));
+        if self.compacts || at.number < STORE_AT {
             return Ok(Watched::Compacted);
         }
         sleep(wait).await;
-        Ok(Watched::Seen(Seen { routes: None, at }))
+        Ok(Watched::Advanced(ConfigRead { routes: None, at }))
     }
 
     async fn zones_out(&self, it: Freshness, _: Duration) -> Result<ZonesOut, StoreError> {
-        self.note(None);
+        self.record_call(None);
         self.reads.lock().expect("not poisoned").push(it);
-        if self.busy {
+        if self.zones_busy {
             return Err(StoreError::Busy { step: "list zones", status: 503 });
         }
         Ok(ZonesOut::new(Revision::new(0, STORE_AT), ["a".to_owned()]))
@@ -118,23 +120,23 @@
         _: Duration,
         _: Duration,
     ) -> Result<Watched<ZonesOut>, StoreError> {
-        self.note(Some(known.revision().number));
-        if self.forgets {
+        self.record_call(Some(known.revision().number));
+        if self.compacts {
             return Ok(Watched::Compacted);
         }
         sleep(Duration::from_millis(50)).await;
         let change = ("a".to_owned(), known.names().count() == 0);
-        Ok(Watched::Seen(
+        Ok(Watched::Advanced(
             known.with_changes(Revision::new(0, known.revision().number + 1), [change]),
         ))
     }
 }
 
-async fn calls_in_a_second(store: &Fake) -> Vec<Option<u64>> {
-    let (_watches, watching) = watch::channel(Duty::Watch);
-    let (out, mut found) = mpsc::channel::<Found>(16);
-    let task = tokio::spawn(follow(store.clone(), Topic::Routes, watching, Arc::default(), out));
-    let drain = tokio::spawn(async move { while found.recv().await.is_some() {} });
+async fn calls_in_a_second(store: &HistoryStore) -> Vec<Option<u64>> {
+    let (_role_sender, role) = watch::channel(WatchRole::Watch);
+    let (out, mut updates) = mpsc::channel::<Update>(16);
+    let task = tokio::spawn(follow(store.clone(), Topic::Routes, role, Arc::default(), out));
+    let drain = tokio::spawn(async move { while updates.recv().await.is_some() {} });
     sleep(Duration::from_secs(1)).await;
     task.abort();
     drain.abort();
@@ -151,146 +153,144 @@
     Record { listed: member.listed(), name: member.name, revision: Revision::new(0, 7) }
 }
 
-/// Follows a topic as a process does that nobody told anything.
+/// Follows a topic without any state from peers.
 async fn follow<S>(
     store: S,
     topic: Topic,
-    duty: watch::Receiver<Duty>,
-    served: Arc<Notify>,
-    out: mpsc::Sender<Found>,
+    role: watch::Receiver<WatchRole>,
+    config_read: Arc<Notify>,
+    out: mpsc::Sender<Update>,
 ) where
     S: Store,
 {
-    let start = watch::channel(Start::Alone).1;
-    Follow { store, duty, start, served, out }.run(topic).await;
+    let start = watch::channel(Start::FromStore).1;
+    Follow { store, role, start, config_read, out }.run(topic).await;
 }
 
-/// Joins as a process does whom nobody has greeted.
+/// Joins without any greeting received.
 async fn join<S>(
     store: S,
     own: Member,
     serves: watch::Receiver<bool>,
     seeds: watch::Receiver<Vec<SocketAddrV4>>,
-    again: Arc<Notify>,
-    out: mpsc::Sender<Found>,
+    relist: Arc<Notify>,
+    out: mpsc::Sender<Update>,
 ) where
     S: Store,
 {
     let greeted = watch::Sender::default().subscribe();
-    let (lists, start) = (Arc::default(), watch::Sender::new(Start::Asking));
-    Join { store, own, serves, first_start: false, seeds, greeted, again, lists, start, out }
+    let (lists, start) = (Arc::default(), watch::Sender::new(Start::Querying));
+    Join { store, own, serves, first_start: false, seeds, greeted, relist, lists, start, out }
         .run()
         .await;
 }
 
 #[tokio::test]
-async fn a_balancer_that_is_no_watcher_reads_and_does_not_wait() {
-    let store = Fake::default();
-    let (watches, watching) = watch::channel(Duty::Read(3));
-    let (out, mut found) = mpsc::channel::<Found>(16);
-    let task = tokio::spawn(follow(store.clone(), Topic::Routes, watching, Arc::default(), out));
-    assert!(matches!(found.recv().await, Some(Found::News(_))));
+async fn polling_balancer_reads_without_watching() {
+    let store = HistoryStore::default();
+    let (role_sender, role) = watch::channel(WatchRole::Read(3));
+    let (out, mut updates) = mpsc::channel::<Update>(16);
+    let task = tokio::spawn(follow(store.clone(), Topic::Routes, role, Arc::default(), out));
+    assert!(matches!(updates.recv().await, Some(Update::StoreRoutes(_))));
     sleep(Duration::from_millis(300)).await;
     assert_eq!(store.calls(), [None]);
-    // It becomes one: it reads what it may have missed, then waits.
-    watches.send_replace(Duty::Watch);
-    assert!(matches!(found.recv().await, Some(Found::News(_))));
+    // On the change to watching it reads what it may have missed, then watches.
+    role_sender.send_replace(WatchRole::Watch);
+    assert!(matches!(updates.recv().await, Some(Update::StoreRoutes(_))));
     sleep(Duration::from_millis(300)).await;
     assert_eq!(store.calls(), [None, None, Some(STORE_AT)]);
-    // At the start a route that is missing would have flows refused; later the watch goes on from what was read.
+    // The first read must be current; later ones may be stale.
     let reads = store.reads.lock().expect("not poisoned").clone();
     assert_eq!(reads, [Freshness::Current, Freshness::Stale]);
-    // The process ends.
-    drop((watches, found));
+    drop((role_sender, updates));
     task.abort();
 }
 
-async fn next_zones(found: &mut mpsc::Receiver<Found>) -> Vec<String> {
-    let found = found.recv().await;
-    let Some(Found::ZoneNews(zones)) = found else { panic!("{found:?}") };
+async fn next_zones(updates: &mut mpsc::Receiver<Update>) -> Vec<String> {
+    let update = updates.recv().await;
+    let Some(Update::StoreZones(zones)) = update else { panic!("{update:?}") };
     zones.names().map(str::to_owned).collect()
 }
 
 #[tokio::test]
-async fn changes_of_zones_follow_on_the_list() {
-    let store = Fake::default();
-    let (_watches, watching) = watch::channel(Duty::Watch);
-    let (out, mut found) = mpsc::channel::<Found>(1);
-    let task = tokio::spawn(follow(store.clone(), Topic::zones(), watching, Arc::default(), out));
-    assert_eq!(next_zones(&mut found).await, ["a"]);
-    assert!(next_zones(&mut found).await.is_empty());
-    assert_eq!(next_zones(&mut found).await, ["a"]);
+async fn zone_changes_follow_the_first_list() {
+    let store = HistoryStore::default();
+    let (_role_sender, role) = watch::channel(WatchRole::Watch);
+    let (out, mut updates) = mpsc::channel::<Update>(1);
+    let task = tokio::spawn(follow(store.clone(), Topic::zones(), role, Arc::default(), out));
+    assert_eq!(next_zones(&mut updates).await, ["a"]);
+    assert!(next_zones(&mut updates).await.is_empty());
+    assert_eq!(next_zones(&mut updates).await, ["a"]);
     let calls = store.calls();
     assert_eq!(calls[..3], [None, Some(STORE_AT), Some(STORE_AT + 1)]);
     task.abort();
 }
 
-// Each start of a balancer that does not wait for changes cost a call that waited for nothing.
+// Guards against a useless watch call at each start of a balancer that only polls.
 #[tokio::test]
-async fn a_process_that_does_not_know_its_duty_yet_does_not_wait_at_the_store() {
-    let store = Fake::default();
-    let (duty, deciding) = watch::channel(Duty::Undecided);
-    let (out, mut found) = mpsc::channel::<Found>(16);
-    let task = tokio::spawn(follow(store.clone(), Topic::Routes, deciding, Arc::default(), out));
-    assert!(matches!(found.recv().await, Some(Found::News(_))));
+async fn undecided_process_does_not_watch() {
+    let store = HistoryStore::default();
+    let (role_sender, role) = watch::channel(WatchRole::Undecided);
+    let (out, mut updates) = mpsc::channel::<Update>(16);
+    let task = tokio::spawn(follow(store.clone(), Topic::Routes, role, Arc::default(), out));
+    assert!(matches!(updates.recv().await, Some(Update::StoreRoutes(_))));
     sleep(Duration::from_millis(200)).await;
-    duty.send_replace(Duty::Read(3));
+    role_sender.send_replace(WatchRole::Read(3));
     sleep(Duration::from_millis(500)).await;
     assert_eq!(store.calls(), [None]);
     task.abort();
 }
 
-// The members can't be read, so it never learns whether others wait.
+// The members can't be read, so the role is never decided.
 #[tokio::test]
-async fn a_process_that_stays_undecided_waits_at_the_store() {
-    let store = Fake::default();
-    let (_duty, deciding) = watch::channel(Duty::Undecided);
-    let (out, _found) = mpsc::channel::<Found>(16);
-    let task = tokio::spawn(follow(store.clone(), Topic::Routes, deciding, Arc::default(), out));
+async fn process_watches_if_its_role_stays_undecided() {
+    let store = HistoryStore::default();
+    let (_role_sender, role) = watch::channel(WatchRole::Undecided);
+    let (out, _updates) = mpsc::channel::<Update>(16);
+    let task = tokio::spawn(follow(store.clone(), Topic::Routes, role, Arc::default(), out));
     sleep(Duration::from_millis(800)).await;
     assert_eq!(store.calls(), [None, Some(STORE_AT)]);
     task.abort();
 }
 
-// Each outage of the store would cost twice the calls if both topics were tried on their own.
+// Guards against twice the calls during an outage of the store.
 #[tokio::test]
-async fn in_an_outage_zones_wait_for_the_store_to_answer_about_the_configuration() {
-    let store = Fake { busy: true, ..Fake::default() };
-    let (_duty, watching) = watch::channel(Duty::Watch);
-    let (out, _found) = mpsc::channel::<Found>(1);
-    let served = Arc::new(Notify::new());
-    let task = tokio::spawn(follow(store.clone(), Topic::zones(), watching, served.clone(), out));
+async fn zones_retry_after_configuration_read_succeeds() {
+    let store = HistoryStore { zones_busy: true, ..HistoryStore::default() };
+    let (_role_sender, role) = watch::channel(WatchRole::Watch);
+    let (out, _updates) = mpsc::channel::<Update>(1);
+    let config_read = Arc::new(Notify::new());
+    let task = tokio::spawn(follow(store.clone(), Topic::zones(), role, config_read.clone(), out));
     sleep(Duration::from_secs(1)).await;
     assert_eq!(store.calls(), [None, None]);
-    served.notify_waiters();
+    config_read.notify_waiters();
     sleep(Duration::from_millis(100)).await;
     assert_eq!(store.calls(), [None, None, None]);
     task.abort();
 }
 
 #[tokio::test]
-async fn zones_are_listed_again_if_the_store_drops_its_history() {
-    let store = Fake { forgets: true, ..Fake::default() };
-    let (_watches, watching) = watch::channel(Duty::Watch);
-    let (out, mut found) = mpsc::channel::<Found>(1);
-    let task = tokio::spawn(follow(store.clone(), Topic::zones(), watching, Arc::default(), out));
+async fn zones_are_read_again_after_compaction() {
+    let store = HistoryStore { compacts: true, ..HistoryStore::default() };
+    let (_role_sender, role) = watch::channel(WatchRole::Watch);
+    let (out, mut updates) = mpsc::channel::<Update>(1);
+    let task = tokio::spawn(follow(store.clone(), Topic::zones(), role, Arc::default(), out));
     for _ in 0..3 {
-        assert_eq!(next_zones(&mut found).await, ["a"]);
+        assert_eq!(next_zones(&mut updates).await, ["a"]);
     }
     assert_eq!(store.calls()[..4], [None, Some(STORE_AT), None, Some(STORE_AT)]);
-    // The first one tells the era that stale answers have to be of; later ones that are stale could lack the history again
-    // that the store has dropped.
+    // The read after the lost history must be current, as a stale one may lack the history too.
     let reads = store.reads.lock().expect("not poisoned").clone();
     assert_eq!(reads[..2], [Freshness::Current; 2]);
     task.abort();
 }
 
 #[tokio::test]
-async fn a_call_that_waits_ends_when_another_one_sees_that_the_store_was_reset() {
-    let store = Fake::default();
-    let (_watches, watching) = watch::channel(Duty::Watch);
-    let (out, _found) = mpsc::channel::<Found>(16);
-    let task = tokio::spawn(follow(store.clone(), Topic::Routes, watching, Arc::default(), out));
+async fn watch_ends_on_store_reset() {
+    let store = HistoryStore::default();
+    let (_role_sender, role) = watch::channel(WatchRole::Watch);
+    let (out, _updates) = mpsc::channel::<Update>(16);
+    let task = tokio::spawn(follow(store.clone(), Topic::Routes, role, Arc::default(), out));
     sleep(Duration::from_millis(100)).await;
     assert_eq!(store.calls(), [None, Some(STORE_AT)]);
     store.era.send_replace(Some(1));
@@ -299,10 +299,9 @@
     task.abort();
 }
 
-// A stale answer may be of the store as it was before it came back from a copy. Taken for the newest state it would stand above
-// all that the store confirms until its numbers have passed those of before.
+// Guards against state from before a store reset, whose revisions would pass for newer ones.
 #[test]
-fn a_stale_answer_counts_only_in_an_era_that_a_current_one_told() {
+fn stale_answers_need_an_era_confirmed_by_a_current_one() {
     let mut era = Era::default();
     assert_eq!(era.freshness(), Freshness::Current);
     assert!(!era.accepts(1, Freshness::Stale));
@@ -311,28 +310,28 @@
     assert!(era.accepts(1, Freshness::Stale));
     assert!(!era.accepts(2, Freshness::Stale));
     assert!(era.accepts(2, Freshness::Current));
-    assert_eq!(era.freshness(), Freshness::Current, "stale ones may still be of before");
+    assert_eq!(era.freshness(), Freshness::Current, "stale answers may predate the reset");
     assert!(!era.accepts(1, Freshness::Current));
 }
 
 #[tokio::test]
-async fn a_removal_is_repeated_while_the_store_is_away() {
-    let store = Fake::default();
+async fn removal_is_retried_while_store_is_unavailable() {
+    let store = HistoryStore::default();
     withdraw(&store, &record()).await.expect("removed");
     assert_eq!(store.calls(), [Some(7); 3]);
 }
 
 #[tokio::test]
-async fn a_removal_ends_if_the_object_has_changed() {
-    let store = Fake { forgets: true, ..Fake::default() };
+async fn removal_stops_if_object_has_changed() {
+    let store = HistoryStore { compacts: true, ..HistoryStore::default() };
     let error = withdraw(&store, &record()).await.expect_err("it has changed");
     assert!(matches!(error, StoreError::Conflict { .. }), "{error}");
 }
 
 #[test]
-fn lists_of_members_stay_within_the_rates_of_the_store() {
+fn member_list_reads_stay_within_store_rate() {
     assert_eq!(list_pause(20, false), Duration::from_secs(45));
-    // The size designed for: 520 balancers and 5,900 agents, 500 members on a page; pauses are drawn from 0.6 of this on.
+    // Design size: 520 balancers and 5,900 agents at 500 members per page; 0.8 is the mean jitter.
     let (balancers, agents) = (520, 5_900);
     let members = balancers + agents;
     let calls_per_s = |processes: usize, agent| {
@@ -343,39 +342,38 @@
     assert!(calls_per_s < 25.0, "{calls_per_s}");
 }
 
-// Spb-edge scale-1: 4,076 calls to the store in 50 s. A watch began at the configuration's own revision, which the store
-// had dropped from its history, so that reading and watching went round without a pause.
+// Guards against a loop of reads and watches: a watch must not start at the configuration's own, compacted revision.
 #[tokio::test]
-async fn a_watch_goes_on_from_the_revision_of_the_store() {
-    let store = Fake::default();
+async fn watch_continues_from_store_revision() {
+    let store = HistoryStore::default();
     assert_eq!(calls_in_a_second(&store).await, [None, Some(STORE_AT)]);
 }
 
 #[tokio::test]
-async fn a_store_that_drops_its_history_all_the_time_is_not_called_in_a_loop() {
-    let store = Fake { forgets: true, ..Fake::default() };
+async fn permanent_compaction_does_not_cause_a_busy_loop() {
+    let store = HistoryStore { compacts: true, ..HistoryStore::default() };
     let calls = calls_in_a_second(&store).await.len();
-    // A read and a watch for each pause of 90 to 150 ms.
+    // One read and one watch per pause of 90 to 150 ms.
     assert!((8..=26).contains(&calls), "{calls}");
 }
 
-/// A store that lists who was announced and not withdrawn, after it was busy for some calls.
+/// Store of the announced members; its lists fail for the first `busy` calls.
 #[derive(Clone, Default)]
-struct Announced {
+struct MemberStore {
     busy: Arc<Mutex<u32>>,
     names: Arc<Mutex<Vec<String>>>,
-    /// Lists that were read.
+    /// Number of successful reads of the list.
     lists: Arc<Mutex<u32>>,
     era: watch::Sender<Option<u64>>,
 }
 
-impl Announced {
+impl MemberStore {
     fn names(&self) -> Vec<String> {
         self.names.lock().expect("not poisoned").clone()
     }
 }
 
-impl Store for Announced {
+impl Store for MemberStore {
     fn era(&self) -> watch::Receiver<Option<u64>> {
         self.era.subscribe()
     }
@@ -392,13 +390,13 @@
         Ok(Members { at, records })
     }
 
-    async fn announce(&self, member: &Member, _: Duration) -> Result<Object, StoreError> {
+    async fn announce(&self, member: &Member, _: Duration) -> Result<Announced, StoreError> {
         let mut names = self.names.lock().expect("not poisoned");
         let created = !names.contains(&member.name);
         if created {
             names.push(member.name.clone());
         }
-        Ok(Object { revision: None, created })
+        Ok(Announced { revision: None, created })
     }
 
     async fn withdraw(
@@ -411,8 +409,8 @@
         Ok(())
     }
 
-    async fn routes(&self, _: Freshness, _: Duration) -> Result<Seen, StoreError> {
-        Ok(Seen { routes: None, at: Revision::new(0, STORE_AT) })
+    async fn routes(&self, _: Freshness, _: Duration) -> Result<ConfigRead, StoreError> {
+        Ok(ConfigRead { routes: None, at: Revision::new(0, STORE_AT) })
     }
 
     async fn watch(
@@ -420,8 +418,8 @@
         at: Revision,
         _: Duration,
         _: Duration,
-    ) -> Result<Watched<Seen>, StoreError> {
-        Ok(Watched::Seen(Seen { routes: None, at }))
+    ) -> Result<Watched<ConfigRead>, StoreError> {
+        Ok(Watched::Advanced(ConfigRead { routes: None, at }))
     }
 
     async fn zones_out(&self, _: Freshness, _: Duration) -> Result<ZonesOut, StoreError> {
@@ -434,19 +432,18 @@
         _: Duration,
         _: Duration,
     ) -> Result<Watched<ZonesOut>, StoreError> {
-        Ok(Watched::Seen(known.clone()))
+        Ok(Watched::Advanced(known.clone()))
     }
 }
 
-// Everything lost power while the store was busy: seeds that were not up yet held up each process that had asked them,
-// by 0.6 s in which the store was back already.
+// Guards against a start that is delayed by peers that don't answer.
 #[tokio::test]
-async fn a_peer_that_does_not_answer_does_not_hold_up_the_store() {
+async fn silent_peer_does_not_delay_store_read() {
     let peer = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let SocketAddr::V4(at) = peer.local_addr().expect("its address") else { panic!("not IPv4") };
     let (_keep, seeds) = watch::channel(vec![at]);
-    let (out, mut found) = mpsc::channel(16);
-    let store = Announced::default();
+    let (out, mut updates) = mpsc::channel(16);
+    let store = MemberStore::default();
     *store.busy.lock().expect("not poisoned") = 1;
     let task = tokio::spawn(join(
         store,
@@ -456,98 +453,99 @@
         Arc::new(Notify::new()),
         out,
     ));
-    let (_unanswered, _) = peer.accept().await.expect("the process asks for the list");
-    let (stream, _) = peer.accept().await.expect("the process asks for what is known");
-    let first = timeout(Duration::from_millis(900), found.recv()).await;
+    let (_unanswered, _) = peer.accept().await.expect("a query for the list");
+    let (stream, _) = peer.accept().await.expect("a query for the state");
+    let first = timeout(Duration::from_millis(900), updates.recv()).await;
     let first = first.expect("in time").expect("the store's list");
-    assert!(matches!(first, Found::Members(..)), "{first:?}");
-    // The peer is still being waited for.
+    assert!(matches!(first, Update::Members(..)), "{first:?}");
+    // The query to the peer is still pending.
     let snapshot = Bytes::from(Snapshot::default().encode_to_vec());
-    frames(stream).send(snapshot).await.expect("the answer is taken");
-    let second = found.recv().await.expect("the peer's answer");
-    assert!(matches!(second, Found::PeerMembers(_)), "{second:?}");
+    frames(stream).send(snapshot).await.expect("the answer is sent");
+    let second = updates.recv().await.expect("the peer's answer");
+    assert!(matches!(second, Update::PeerMembers(_)), "{second:?}");
     task.abort();
 }
 
-// Processes that had listed themselves after the copy was made were on no list until their next look, up to five minutes later.
+// Guards against processes that stay unlisted after a store reset.
 #[tokio::test]
-async fn a_process_whose_object_the_store_lost_lists_itself_again() {
-    let store = Announced::default();
+async fn process_registers_again_after_store_lost_its_object() {
+    let store = MemberStore::default();
     let (_keep, seeds) = watch::channel(Vec::new());
-    let (out, mut found) = mpsc::channel(16);
+    let (out, mut updates) = mpsc::channel(16);
     let serving = watch::channel(true).1;
-    let again = Arc::new(Notify::new());
-    let task = tokio::spawn(join(store.clone(), member(), serving, seeds, again, out));
-    found.recv().await.expect("a list");
+    let relist = Arc::new(Notify::new());
+    let task = tokio::spawn(join(store.clone(), member(), serving, seeds, relist, out));
+    updates.recv().await.expect("a list");
     assert_eq!(store.names(), ["one"]);
     store.names.lock().expect("not poisoned").clear();
     store.era.send_replace(Some(1));
-    let Some(Found::Members(members, _)) = found.recv().await else { panic!("no list") };
+    let Some(Update::Members(members, _)) = updates.recv().await else { panic!("no list") };
     assert_eq!((members.at.era, members.records.len()), (1, 1));
     assert_eq!(store.names(), ["one"]);
-    // Once is enough.
+    // The list is read only once.
     sleep(Duration::from_millis(600)).await;
-    assert!(found.try_recv().is_err());
+    assert!(updates.try_recv().is_err());
     task.abort();
 }
 
-// Chillwatch trouble-1, seed 12: VMs on their way out were powered on once more and listed themselves, then they were gone.
-// For 5 s no caller was told that its flow was dead, since those agents might have held it: 406 of 18,600 requests failed
-// instead of 232.
+// Guards against waiting for agents that hold no flows: flows must be reset without them.
 #[tokio::test]
-async fn an_agent_without_an_upstream_is_not_on_the_list() {
-    let store = Announced::default();
-    // From before it was powered off, when the store was away.
+async fn agent_without_upstream_is_not_listed() {
+    let store = MemberStore::default();
+    // Entry of an earlier run.
     store.announce(&member(), Duration::ZERO).await.expect("announced");
     let (serves, serving) = watch::channel(false);
     let (_keep, seeds) = watch::channel(Vec::new());
-    let (out, mut found) = mpsc::channel(16);
-    let again = Arc::new(Notify::new());
-    let task = tokio::spawn(join(store.clone(), member(), serving, seeds, again.clone(), out));
+    let (out, mut updates) = mpsc::channel(16);
+    let relist = Arc::new(Notify::new());
+    let task = tokio::spawn(join(store.clone(), member(), serving, seeds, relist.clone(), out));
     let removed = async {
         while !store.names().is_empty() {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(Duration::from_secs(1), removed).await.expect("it is taken off the list");
+    timeout(Duration::from_secs(1), removed).await.expect("the entry is removed");
     serves.send_replace(true);
-    again.notify_one();
-    found.recv().await.expect("a list");
+    relist.notify_one();
+    updates.recv().await.expect("a list");
     assert_eq!(store.names(), ["one"]);
     task.abort();
 }
 
-/// A process of another address than the one that joins, which tells what it knows.
+/// Starts a snapshot server of another process.
 async fn seed(lists: &Arc<Lists>) -> (SocketAddrV4, watch::Sender<Arc<Snapshot>>) {
-    let free = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let SocketAddr::V4(at) = free.local_addr().expect("its address") else { panic!("not IPv4") };
-    drop(free);
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
+    let SocketAddr::V4(at) = listener.local_addr().expect("its address") else {
+        panic!("not IPv4")
+    };
+    drop(listener);
     let routes = Routes { revision: Revision::new(0, 3), version: 8, ..Routes::default() };
-    // A process that has only heard of another one does not know its zone.
-    let heard = Listed { zone: ZoneId(9), ..member().listed() };
-    let known = Snapshot::new(Some(&routes), &[heard]);
+    // The zone of an unlisted member may be unknown.
+    let unlisted = Listed { zone: ZoneId(9), ..member().listed() };
+    let known = Snapshot::new(Some(&routes), &[unlisted]);
     let (newest, snapshots) = watch::channel(Arc::new(known));
     snapshot::serve(at, snapshots, Some(lists.clone())).expect("it listens");
     (at, newest)
 }
 
-// Fleet of 981 processes: 3 to 5 calls of the store at each start, most of them for the list, which every process read for itself.
-// Cause: nobody could tell it on, as nobody said as of when it was read. Proof: the store is asked for one entry and for no list.
+// Guards against a list read from the store by each starting process.
 #[tokio::test]
-async fn a_process_takes_the_list_from_a_seed() {
+async fn process_gets_list_from_seed() {
     let lists = Arc::new(Lists::default());
     let (at, _newest) = seed(&lists).await;
     let (_keep, seeds) = watch::channel(vec![at]);
-    let (out, mut found) = mpsc::channel(16);
-    let store = Announced::default();
+    let (out, mut updates) = mpsc::channel(16);
+    let store = MemberStore::default();
     let serving = watch::channel(true).1;
     let task = tokio::spawn(join(store.clone(), member(), serving, seeds, Arc::default(), out));
-    // The seed has no list that was read after the question.
-    timeout(Duration::from_secs(1), lists.wanted.notified()).await.expect("it is asked");
+    // The seed's list is older than the query.
+    timeout(Duration::from_secs(1), lists.refresh_requested.notified())
+        .await
+        .expect("the seed is queried");
     let attempt = lists.begin();
     lists.put(Revision::new(0, STORE_AT), vec![record()], attempt);
-    assert!(matches!(found.recv().await, Some(Found::Routes(it)) if it.version == 8));
-    let Some(Found::Members(members, _)) = found.recv().await else { panic!("no list") };
+    assert!(matches!(updates.recv().await, Some(Update::PeerRoutes(it)) if it.version == 8));
+    let Some(Update::Members(members, _)) = updates.recv().await else { panic!("no list") };
     assert_eq!((members.at, &members.records), (Revision::new(0, STORE_AT), &vec![record()]));
     assert_eq!(
         (store.names(), *store.lists.lock().expect("not poisoned")),
@@ -556,34 +554,35 @@
     task.abort();
 }
 
-// A third of all processes may be turned away by the store, a seed among them.
+// The store may reject the seed while it accepts other processes.
 #[tokio::test]
-async fn a_process_whose_seed_can_not_read_the_list_reads_it_itself() {
+async fn process_reads_list_if_seed_fails() {
     let lists = Arc::new(Lists::default());
     let (at, _newest) = seed(&lists).await;
     let (_keep, seeds) = watch::channel(vec![at]);
-    let (out, mut found) = mpsc::channel(16);
-    let store = Announced::default();
+    let (out, mut updates) = mpsc::channel(16);
+    let store = MemberStore::default();
     let serving = watch::channel(true).1;
     let task = tokio::spawn(join(store.clone(), member(), serving, seeds, Arc::default(), out));
-    timeout(Duration::from_secs(1), lists.wanted.notified()).await.expect("it is asked");
+    timeout(Duration::from_secs(1), lists.refresh_requested.notified())
+        .await
+        .expect("the seed is queried");
     lists.failed(lists.begin());
     let members = async {
         loop {
-            if let Some(Found::Members(members, _)) = found.recv().await {
+            if let Some(Update::Members(members, _)) = updates.recv().await {
                 return members;
             }
         }
     };
-    let members = timeout(Duration::from_millis(500), members).await.expect("at once");
+    let members = timeout(Duration::from_millis(500), members).await.expect("a list without delay");
     assert_eq!((members.records.len(), *store.lists.lock().expect("not poisoned")), (1, 1));
     task.abort();
 }
 
-// After a loss of power seeds were silent, and each start waited for one after the other: on days with such a loss up to 0.036 of a small
-// site's worth. Proof: with three seeds that accept and say nothing the store's list is there after less time than two of them take.
+// Guards against a start that waits for silent seeds one after the other.
 #[tokio::test]
-async fn silent_seeds_do_not_hold_up_a_start() {
+async fn silent_seeds_do_not_delay_start() {
     let mut at = Vec::new();
     let mut silent = Vec::new();
     for _ in 0..3 {
@@ -593,51 +592,50 @@
         silent.push(it);
     }
     let (_keep, seeds) = watch::channel(at);
-    let (out, mut found) = mpsc::channel(16);
+    let (out, mut updates) = mpsc::channel(16);
     let serving = watch::channel(true).1;
-    let store = Announced::default();
+    let store = MemberStore::default();
     let task = tokio::spawn(join(store, member(), serving, seeds, Arc::default(), out));
-    let list = timeout(Duration::from_millis(350), found.recv()).await.expect("in time");
-    assert!(matches!(list, Some(Found::Members(..))), "{list:?}");
+    let list = timeout(Duration::from_millis(350), updates.recv()).await.expect("in time");
+    assert!(matches!(list, Some(Update::Members(..))), "{list:?}");
     task.abort();
 }
 
-// Fleet, scale-1: the store turns a third of the VMs away for 9 s. A balancer whose turn to read fell into that tried again each half second,
-// though others read and tell of changes. Proof: one call for each of its turns.
+// Guards against retries of a polling balancer while the store rejects it.
 #[tokio::test(start_paused = true)]
-async fn a_reader_that_is_turned_away_waits_for_its_next_turn() {
-    let store = Fake { serves: Some(1), ..Fake::default() };
-    let (_duty, reading) = watch::channel(Duty::Read(3));
-    let (out, mut found) = mpsc::channel::<Found>(16);
-    let task = tokio::spawn(follow(store.clone(), Topic::Routes, reading, Arc::default(), out));
-    assert!(matches!(found.recv().await, Some(Found::News(_))));
+async fn rejected_poll_waits_for_next_interval() {
+    let store = HistoryStore { config_limit: Some(1), ..HistoryStore::default() };
+    let (_role_sender, role) = watch::channel(WatchRole::Read(3));
+    let (out, mut updates) = mpsc::channel::<Update>(16);
+    let task = tokio::spawn(follow(store.clone(), Topic::Routes, role, Arc::default(), out));
+    assert!(matches!(updates.recv().await, Some(Update::StoreRoutes(_))));
     sleep(Duration::from_secs(100)).await;
-    // Turns are 6 to 10 s apart.
+    // The read interval is 6 to 10 s.
     let calls = store.calls().len();
     assert!((11..=18).contains(&calls), "{calls}");
     task.abort();
 }
 
-// A process that knows no configuration yet can't wait.
+// Without a configuration the process can't wait for the next interval.
 #[tokio::test(start_paused = true)]
-async fn a_reader_that_knows_nothing_tries_again_at_once() {
-    let store = Fake { serves: Some(0), ..Fake::default() };
-    let (_duty, reading) = watch::channel(Duty::Read(3));
-    let (out, _found) = mpsc::channel::<Found>(16);
-    let task = tokio::spawn(follow(store.clone(), Topic::Routes, reading, Arc::default(), out));
+async fn poll_without_configuration_retries_with_backoff() {
+    let store = HistoryStore { config_limit: Some(0), ..HistoryStore::default() };
+    let (_role_sender, role) = watch::channel(WatchRole::Read(3));
+    let (out, _updates) = mpsc::channel::<Update>(16);
+    let task = tokio::spawn(follow(store.clone(), Topic::Routes, role, Arc::default(), out));
     sleep(Duration::from_secs(10)).await;
     assert!(store.calls().len() > 15, "{:?}", store.calls());
     task.abort();
 }
 
-// Balancers that read the configuration beside those that wait for its changes made more calls the more of them there were.
+// Guards against a read rate that grows with the number of polling balancers.
 #[test]
-fn reads_of_the_configuration_do_not_grow_with_the_fleet() {
+fn configuration_read_rate_does_not_grow_with_fleet() {
     let reads_per_s =
-        |balancers| balancers as f64 / Topic::Routes.read_every(balancers).as_secs_f64();
+        |balancers| balancers as f64 / Topic::Routes.read_interval(balancers).as_secs_f64();
     for balancers in [60, 520, 1_040] {
         assert!(reads_per_s(balancers) < 5.2, "{balancers}: {}", reads_per_s(balancers));
     }
-    // Each balancer must find a zone that went out by itself, in any fleet.
-    assert_eq!(Topic::zones().read_every(520), Topic::zones().read_every(5));
+    // Each balancer must find a change of the zones by itself, in a fleet of any size.
+    assert_eq!(Topic::zones().read_interval(520), Topic::zones().read_interval(5));
 }
--- a/crates/opaque/src/discovery/topic.rs
+++ b/crates/opaque/src/discovery/topic.rs
@@ -1,4 +1,4 @@
-//! What a process follows in the store: the configuration, and the zones out of service.
+//! Watching the configuration and the zones out of service in the store.
 
 use std::{ops::Range, sync::Arc, time::Duration};
 
@@ -9,36 +9,34 @@
     time::{Instant, sleep, timeout},
 };
 
-use super::{Backoff, FIRST_PAUSE, Found, Start, count, reset_after, spread};
+use super::{Backoff, INITIAL_BACKOFF, Start, Update, count, jitter, reset_after};
 use crate::store::{Freshness, Store, StoreError, Watched};
 
-/// Mean time for which one call waits for a change of the configuration; each draws its own, so that calls that a change woke
-/// together don't end together. A connection that went silent is noticed after this time, and peers' greetings tell of news
-/// meanwhile.
+/// Mean duration of one watch call for the configuration. It bounds the time until a silent connection is noticed;
+/// each call is jittered so that calls don't end together.
 const WATCH_WAIT: Duration = Duration::from_secs(6);
-/// The same for the zones out of service, which the other balancers read each few seconds besides.
+/// The same for the zones out of service, which other balancers also poll.
 const WATCH_ZONES_WAIT: Duration = Duration::from_secs(12);
-/// Shortest and longest wait, in means.
-const WAIT_SHARES: Range<f64> = 0.75..1.25;
-/// Time after which a process whose call about zones failed tries again, if its calls about the configuration go on failing.
-/// Before that it waits for one of those to succeed: in an outage each process calls for one topic instead of two.
-const RETRY_ZONES: Duration = Duration::from_secs(3);
-/// Pause between two reads of the configuration by a balancer that does not wait for its changes, in a fleet of up to
-/// [`READERS`] of them. These reads may be stale, at a tenth of a call's price.
-const READ_EVERY: Duration = Duration::from_secs(10);
-/// Such balancers of which one reads the configuration each 0.2 s, so that a change is found even while all those that wait for it
-/// are cut off from the store. More of them make longer pauses, so that a larger fleet does not make more calls.
-const READERS: usize = 51;
-/// Pause between two reads of the zones out of service, by any number of balancers: each must leave a zone within seconds, also if no
-/// other balancer reaches it.
-const READ_ZONES_EVERY: Duration = Duration::from_secs(4);
-/// Age that a stale answer may have: for so long after the store came back from a copy no stale ones are asked for.
-const STALE_FOR: Duration = Duration::from_secs(10);
-/// Longest time for which a process waits until it knows whether it is to wait at the store: as long as a list of the members
-/// takes on a slow VM. In a fleet of 15 balancers that saves each start of one that is not a call.
-const UNDECIDED: Duration = Duration::from_millis(500);
+/// Jitter of the watch duration, as a factor of its mean.
+const WATCH_JITTER: Range<f64> = 0.75..1.25;
+/// Longest wait after a failed zones call. It ends early when a configuration call succeeds, which halves the call
+/// rate during an outage.
+const ZONES_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval between reads of the configuration by a balancer that does not watch, in a fleet of up to
+/// [`BASELINE_READERS`] such balancers. These reads may be stale.
+const READ_INTERVAL: Duration = Duration::from_secs(10);
+/// Polling balancers up to which [`READ_INTERVAL`] applies. It grows in proportion above, so that the total read rate
+/// stays constant.
+const BASELINE_READERS: usize = 51;
+/// Interval between reads of the zones out of service, independent of the fleet's size: each balancer must notice a
+/// change within seconds, even if no other one reaches it.
+const ZONES_READ_INTERVAL: Duration = Duration::from_secs(4);
+/// Maximum age of a stale answer. No stale reads are made for this time after a store reset.
+const MAX_STALENESS: Duration = Duration::from_secs(10);
+/// Longest wait for a watch role at the start, about the time of one member list read.
+const ROLE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What is followed in the store, with what is known of it.
+/// A watched subject, with its known state.
 #[derive(Debug)]
 pub(crate) enum Topic {
     /// The configuration.
@@ -47,65 +45,67 @@
     Zones(ZonesOut),
 }
 
-/// What a call about a topic brought: the store's revision and the news, if there are some.
-type Step = Watched<(Revision, Option<Found>)>;
+/// Result of a store call: the store's revision and the update, if any.
+type Step = Watched<(Revision, Option<Update>)>;
 
 impl Topic {
-    /// Zones of which nothing is known yet.
+    /// Zones out of service, none known yet.
     pub(crate) fn zones() -> Topic {
         Topic::Zones(ZonesOut::default())
     }
 
-    /// Pause between two reads while nobody waits here for changes, in a fleet of so many balancers.
-    pub(super) fn read_every(&self, balancers: usize) -> Duration {
+    /// Interval between reads while this process does not watch, in a fleet of `balancers`.
+    pub(super) fn read_interval(&self, balancers: usize) -> Duration {
         match self {
-            Topic::Routes => READ_EVERY.mul_f64((balancers as f64 / READERS as f64).max(1.0)),
-            Topic::Zones(_) => READ_ZONES_EVERY,
+            Topic::Routes => {
+                READ_INTERVAL.mul_f64((balancers as f64 / BASELINE_READERS as f64).max(1.0))
+            }
+            Topic::Zones(_) => ZONES_READ_INTERVAL,
         }
     }
 
-    /// Time for which the next call waits for changes.
+    /// Jittered duration of the next watch call.
     fn watch_wait(&self) -> Duration {
         let mean = match self {
             Topic::Routes => WATCH_WAIT,
             Topic::Zones(_) => WATCH_ZONES_WAIT,
         };
-        mean.mul_f64(rand::rng().random_range(WAIT_SHARES))
+        mean.mul_f64(rand::rng().random_range(WATCH_JITTER))
     }
 
     /// Waits after a failed call.
-    async fn failed(&self, error: &StoreError, backoff: &mut Backoff, served: &Notify) {
-        // The first time it may be this call alone that was cut.
+    async fn failed(&self, error: &StoreError, backoff: &mut Backoff, config_read: &Notify) {
+        // After a single failure only this connection may be broken, so the plain backoff applies.
         if let Topic::Zones(_) = self
-            && backoff.lost
-            && error.is_passing()
+            && backoff.failing
+            && error.is_transient()
         {
-            backoff.note_lost(error);
-            // Either is a reason to try again.
-            let _ = timeout(RETRY_ZONES, served.notified()).await;
+            backoff.record_failure(error);
+            // Retries after the timeout as well as after the notification.
+            let _ = timeout(ZONES_RETRY_TIMEOUT, config_read.notified()).await;
             return;
         }
-        backoff.failed(error).await;
+        backoff.wait_after_failure(error).await;
     }
 
     async fn read<S>(
         &mut self,
         store: &S,
         freshness: Freshness,
-        patience: Duration,
+        call_timeout: Duration,
     ) -> Result<Step, StoreError>
     where
         S: Store,
     {
         match self {
             Topic::Routes => {
-                let seen = count("read-config", store.routes(freshness, patience).await)?;
-                Ok(Watched::Seen((seen.at, seen.routes.map(Found::News))))
+                let seen = count("read-config", store.routes(freshness, call_timeout).await)?;
+                Ok(Watched::Advanced((seen.at, seen.routes.map(Update::StoreRoutes))))
             }
             Topic::Zones(known) => {
-                let zones = store.zones_out(freshness, patience).await;
+                let zones = store.zones_out(freshness, call_timeout).await;
                 *known = count("read-zones", zones)?;
-                Ok(Watched::Seen((known.revision(), Some(Found::ZoneNews(known.clone())))))
+                Ok(Watched::Advanced((known.revision(), Some(Update::StoreZones(known.clone())))))
             }
         }
     }
@@ -114,7 +114,7 @@
         &mut self,
         store: &S,
         at: Revision,
-        patience: Duration,
+        call_timeout: Duration,
     ) -> Result<Step, StoreError>
     where
         S: Store,
@@ -122,54 +122,56 @@
         let wait = self.watch_wait();
         match self {
             Topic::Routes => {
-                let watched = store.watch(at, wait, patience).await;
+                let watched = store.watch(at, wait, call_timeout).await;
                 Ok(match count("watch-config", watched)? {
-                    Watched::Seen(seen) => Watched::Seen((seen.at, seen.routes.map(Found::News))),
+                    Watched::Advanced(seen) => {
+                        Watched::Advanced((seen.at, seen.routes.map(Update::StoreRoutes)))
+                    }
                     Watched::Compacted => Watched::Compacted,
                 })
             }
             Topic::Zones(known) => {
-                let watched = store.watch_zones(known, wait, patience).await;
-                let Watched::Seen(zones) = count("watch-zones", watched)? else {
+                let watched = store.watch_zones(known, wait, call_timeout).await;
+                let Watched::Advanced(zones) = count("watch-zones", watched)? else {
                     return Ok(Watched::Compacted);
                 };
                 *known = zones;
-                Ok(Watched::Seen((known.revision(), Some(Found::ZoneNews(known.clone())))))
+                Ok(Watched::Advanced((known.revision(), Some(Update::StoreZones(known.clone())))))
             }
         }
     }
 }
 
-/// Whether a process waits at the store for changes of a topic.
+/// How a process follows a topic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Duty {
-    /// Not known yet, as the other processes are not.
+pub(crate) enum WatchRole {
+    /// Not await_role, as the members are not known yet.
     Undecided,
-    /// It does.
+    /// Watches the store for changes.
     Watch,
-    /// It reads from time to time, as so many balancers do; others tell of changes.
+    /// Polls the store, as this many balancers do; peers report changes in between.
     Read(usize),
 }
 
-/// The duty once it is decided on; none if the process ends.
-async fn decided(duty: &mut watch::Receiver<Duty>) -> Option<Duty> {
-    match timeout(UNDECIDED, duty.wait_for(|&it| it != Duty::Undecided)).await {
+/// Waits until the role is await_role, up to [`ROLE_TIMEOUT`]; `None` if the process ends.
+async fn await_role(role: &mut watch::Receiver<WatchRole>) -> Option<WatchRole> {
+    match timeout(ROLE_TIMEOUT, role.wait_for(|&it| it != WatchRole::Undecided)).await {
         Ok(Ok(it)) => Some(*it),
         Ok(Err(_)) => None,
-        Err(_) => Some(Duty::Watch),
+        Err(_) => Some(WatchRole::Watch),
     }
 }
 
-/// The store's era, as far as a follower knows it.
+/// The store's era as known to a follower.
 #[derive(Debug, Default)]
 pub(super) struct Era {
     known: Option<u64>,
-    rose: Option<Instant>,
+    risen_at: Option<Instant>,
 }
 
 impl Era {
-    /// Whether an answer may be taken. A stale one may be of the store as it was before it came back from a copy, whatever era it
-    /// tells; its revisions could pass for later ones.
+    /// Whether an answer may be applied. A stale one may come from before a store reset, whatever era it carries, and
+    /// its revisions could pass for later ones.
     pub(super) fn accepts(&mut self, era: u64, freshness: Freshness) -> bool {
         if self.known == Some(era) {
             return true;
@@ -178,30 +180,30 @@
             return false;
         }
         if self.known.replace(era).is_some() {
-            self.rose = Some(Instant::now());
+            self.risen_at = Some(Instant::now());
         }
         true
     }
 
-    /// How new the answer to the next read has to be.
+    /// Freshness required of the next read.
     pub(super) fn freshness(&self) -> Freshness {
-        let settled = self.rose.is_none_or(|it| it.elapsed() > STALE_FOR);
+        let settled = self.risen_at.is_none_or(|it| it.elapsed() > MAX_STALENESS);
         if self.known.is_some() && settled { Freshness::Stale } else { Freshness::Current }
     }
 }
 
-/// What a process needs to follow a topic in the store.
+/// Task that follows a topic in the store.
 pub(crate) struct Follow<S> {
-    /// The store.
+    /// Store client.
     pub(crate) store: S,
-    /// Whether it waits there for changes.
-    pub(crate) duty: watch::Receiver<Duty>,
-    /// Whether others have told it what is in force, so that it need not read that at its start.
+    /// Whether to watch or poll.
+    pub(crate) role: watch::Receiver<WatchRole>,
+    /// Outcome of the initial discovery; state from a peer need not be read again.
     pub(crate) start: watch::Receiver<Start>,
-    /// Tells the zones' follower that the store answered the other one.
-    pub(crate) served: Arc<Notify>,
-    /// Where what is found goes.
-    pub(crate) out: mpsc::Sender<Found>,
+    /// Notifies the zones' follower of a successful configuration call.
+    pub(crate) config_read: Arc<Notify>,
+    /// Receives the updates.
+    pub(crate) out: mpsc::Sender<Update>,
 }
 
 impl<S> Follow<S>
@@ -213,55 +215,55 @@
         let mut backoff = Backoff::new();
         let mut resets = self.store.era();
         let mut era = Era::default();
-        // Where the last read or call ended; none if the next one has to read.
+        // Revision at which the last call ended; `None` if the next one has to read.
         let mut at = None;
         let mut freshness = Freshness::Current;
-        let Ok(start) = self.start.wait_for(|&it| it != Start::Asking).await.map(|it| *it) else {
+        let Ok(start) = self.start.wait_for(|&it| it != Start::Querying).await.map(|it| *it) else {
             return;
         };
-        let mut informed = start == Start::Told;
-        let mut known = informed;
-        if informed {
+        let mut bootstrapped = start == Start::FromPeer;
+        let mut known = bootstrapped;
+        if bootstrapped {
             era.known = *resets.borrow();
             freshness = era.freshness();
         }
         loop {
-            if at.is_some() || informed {
-                let Some(now) = decided(&mut self.duty).await else {
+            if at.is_some() || bootstrapped {
+                let Some(current) = await_role(&mut self.role).await else {
                     return;
                 };
-                if let Duty::Read(balancers) = now {
-                    let pause = topic.read_every(balancers).mul_f64(spread());
-                    // Others tell of changes meanwhile. A closed channel means that the process ends.
-                    let watches = timeout(pause, self.duty.wait_for(|&it| it == Duty::Watch));
+                if let WatchRole::Read(balancers) = current {
+                    let pause = topic.read_interval(balancers).mul_f64(jitter());
+                    // Peers report changes meanwhile. A closed channel means that the process ends.
+                    let watches = timeout(pause, self.role.wait_for(|&it| it == WatchRole::Watch));
                     if let Ok(Err(_)) = watches.await {
                         return;
                     }
                     at = None;
                 }
             }
-            informed = false;
+            bootstrapped = false;
             let step = match at {
-                None => topic.read(&self.store, freshness, backoff.patience()).await,
+                None => topic.read(&self.store, freshness, backoff.call_timeout()).await,
                 Some(at) => tokio::select! {
-                    it = topic.watch(&self.store, at, backoff.patience()) => it,
-                    // Its connection may have gone silent with the store that it reached.
+                    it = topic.watch(&self.store, at, backoff.call_timeout()) => it,
+                    // The connection may have gone silent with the old store.
                     () = reset_after(&mut resets, at.era) => Ok(Watched::Compacted),
                 },
             };
-            let asked_for = std::mem::replace(&mut freshness, Freshness::Current);
+            let requested = std::mem::replace(&mut freshness, Freshness::Current);
             let step = match step {
-                Ok(Watched::Seen((it, _))) if !era.accepts(it.era, asked_for) => {
+                Ok(Watched::Advanced((it, _))) if !era.accepts(it.era, requested) => {
                     Ok(Watched::Compacted)
                 }
                 it => it,
             };
             match step {
-                Ok(Watched::Seen((seen_at, news))) => {
-                    backoff.succeeded();
+                Ok(Watched::Advanced((seen_at, news))) => {
+                    backoff.reset();
                     freshness = era.freshness();
                     if let Topic::Routes = topic {
-                        self.served.notify_waiters();
+                        self.config_read.notify_waiters();
                     }
                     at = Some(seen_at);
                     known = true;
@@ -274,28 +276,28 @@
                 }
                 Ok(Watched::Compacted) => {
                     at = None;
-                    // The store may go on like that.
-                    sleep(FIRST_PAUSE.mul_f64(spread())).await;
+                    // Avoids a busy loop if the store keeps reporting this.
+                    sleep(INITIAL_BACKOFF.mul_f64(jitter())).await;
                 }
                 Err(e) => {
-                    // What came while the watch was broken may be in no history any more.
+                    // The history since the watch broke may be compacted.
                     at = None;
-                    if known && self.waits_for_its_turn(&topic, &e) {
-                        backoff.note_lost(&e);
-                        informed = true;
+                    if known && self.waits_for_next_interval(&topic, &e) {
+                        backoff.record_failure(&e);
+                        bootstrapped = true;
                         freshness = era.freshness();
                         continue;
                     }
-                    topic.failed(&e, &mut backoff, &self.served).await;
+                    topic.failed(&e, &mut backoff, &self.config_read).await;
                 }
             }
         }
     }
 
-    /// Whether a call that failed is left at that until the next turn: others read the configuration as well, and tell of changes. When the
-    /// store turns many processes away, each try again would be one more call that brings nothing.
-    fn waits_for_its_turn(&self, topic: &Topic, error: &StoreError) -> bool {
-        let reads = matches!(*self.duty.borrow(), Duty::Read(_));
-        reads && error.is_passing() && matches!(topic, Topic::Routes)
+    /// Whether a failed call is retried only at the next interval. Peers also read the configuration, and retries
+    /// would add load while the store rejects calls.
+    fn waits_for_next_interval(&self, topic: &Topic, error: &StoreError) -> bool {
+        let reads = matches!(*self.role.borrow(), WatchRole::Read(_));
+        reads && error.is_transient() && matches!(topic, Topic::Routes)
     }
 }
--- a/crates/opaque/src/event.rs
+++ b/crates/opaque/src/event.rs
@@ -1,24 +1,24 @@
-//! Numbered events of processes that carry opaque flows. The catalogue stands in `docs/EVENTS.md`; a test holds both
-//! equal. Numbers go on after those of `camphorwinchd`, whose numbers keep their meaning here.
+//! Numbered log events of processes that carry opaque flows, as listed in `docs/EVENTS.md`, which a test compares. The
+//! numbers continue those of `camphorwinchd`.
 
 macro_rules! catalogue {
     ($($id:literal $variant:ident $name:literal $meaning:literal;)*) => {
-        /// Kind of an event.
+        /// Identifier of a log event.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum Id {
             $(#[doc = $meaning] $variant = $id,)*
         }
 
         impl Id {
-            /// All kinds.
+            /// All events, in catalogue order.
             pub const ALL: &[Id] = &[$(Id::$variant,)*];
 
-            /// Name, as in the catalogue.
+            /// Name in the catalogue.
             pub fn name(self) -> &'static str {
                 match self { $(Id::$variant => $name,)* }
             }
 
-            /// Meaning, as in the catalogue.
+            /// Description in the catalogue.
             pub fn meaning(self) -> &'static str {
                 match self { $(Id::$variant => $meaning,)* }
             }
--- a/crates/opaque/src/http.rs
+++ b/crates/opaque/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for readiness, metrics and what a platform's upstreams call.
+//! Minimal HTTP server for readiness, metrics and heartbeats.
 
 use std::{convert::Infallible, future::Future, net::SocketAddrV4};
 
@@ -10,7 +10,7 @@
 
 use crate::socket;
 
-/// Serves `address` until the process ends; `handle` answers each request.
+/// Serves HTTP on `address` until the process ends; `handle` answers each request.
 pub fn serve<H, F>(address: SocketAddrV4, what: &'static str, handle: H) -> anyhow::Result<()>
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -22,7 +22,7 @@
             let (stream, peer) = match listener.accept().await {
                 Ok(it) => it,
                 Err(e) => {
-                    tracing::warn!("accept a connection for {what}: {e}");
+                    tracing::warn!("failed to accept a connection for {what}: {e}");
                     tokio::task::yield_now().await;
                     continue;
                 }
@@ -35,7 +35,7 @@
             tokio::spawn(async move {
                 let served = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
                 if let Err(e) = served.await {
-                    tracing::debug!("connection of {peer} for {what}: {e}");
+                    tracing::debug!("connection from {peer} for {what} failed: {e}");
                 }
             });
         }
@@ -43,13 +43,13 @@
     Ok(())
 }
 
-/// A response with a body of the given content type.
-pub fn respond<B>(status: StatusCode, kind: &'static str, body: B) -> Response<Full<Bytes>>
+/// Builds a response with a body of the given content type.
+pub fn respond<B>(status: StatusCode, content_type: &'static str, body: B) -> Response<Full<Bytes>>
 where
     B: Into<Bytes>,
 {
     let mut response = Response::new(Full::new(body.into()));
     *response.status_mut() = status;
-    response.headers_mut().insert(CONTENT_TYPE, http::HeaderValue::from_static(kind));
+    response.headers_mut().insert(CONTENT_TYPE, http::HeaderValue::from_static(content_type));
     response
 }
--- a/crates/opaque/src/lists/tests.rs
+++ b/crates/opaque/src/lists/tests.rs
@@ -19,19 +19,18 @@
     snapshot.members.iter().map(|it| it.name.as_str()).collect()
 }
 
-// Read while the change was gone over: an agent whose word that it leaves came late, after it was listed again, was missing in what
-// was told, and the asker took that for the whole list: it could have reset flows which that agent holds.
+// A partial list must not pass for the whole: the requester could reset flows of the missing agent.
 #[test]
-fn the_list_is_told_whole() {
+fn served_list_contains_all_listed_members() {
     let lists = Lists::default();
     lists.put(Revision::new(0, 9), vec![record(1, None), record(2, Some(5))], 1);
-    // The teller has heard of an agent that the store does not list, and takes the listed one for gone.
-    let heard = Snapshot::new(None, &[listed(1, None), listed(3, Some(5))]);
-    let told = lists.complete(heard.clone(), Part::All);
-    assert_eq!(names(&told), ["", "process-1", "process-2"]);
-    assert_eq!(told.listed_at(), Some(Revision::new(0, 9)));
-    let balancers = heard.parts(&Question::default().with_members(Part::Balancers));
+    // The server knows of an unlisted agent and assumes that the listed one is gone.
+    let known = Snapshot::new(None, &[listed(1, None), listed(3, Some(5))]);
+    let served = lists.complete(known.clone(), Part::All);
+    assert_eq!(names(&served), ["", "process-1", "process-2"]);
+    assert_eq!(served.listed_at(), Some(Revision::new(0, 9)));
+    let balancers = known.parts(&Question::default().with_members(Part::Balancers));
     assert_eq!(names(&lists.complete(balancers, Part::Balancers)), ["process-1"]);
-    let config = heard.parts(&Question::default().with_config());
+    let config = known.parts(&Question::default().with_config());
     assert!(lists.complete(config, Part::None).members.is_empty());
 }
--- a/crates/opaque/src/log.rs
+++ b/crates/opaque/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: JSON lines on standard output, never more than the process can afford and never waiting for a reader.
+//! Rate-limited JSON log on standard output that never blocks on its reader.
 
 use std::{
     io::{self, Write},
@@ -13,16 +13,16 @@
 use anyhow::{Context, anyhow};
 use tracing_subscriber::{EnvFilter, fmt::MakeWriter};
 
-/// Lines that may wait for the writer: some seconds of the highest rate.
-const WAITING: usize = 1_024;
-/// Lines on single flows in a second, of each class. With some 300 bytes a line both classes take 24 KB/s.
+/// Capacity of the queue to the writer thread.
+const QUEUE_LINES: usize = 1_024;
+/// Sustained rate of lines on single flows, for each class.
 pub const FLOW_LINES_PER_S: u32 = 40;
-/// Lines on single flows that may come at once after a quiet time.
+/// Burst of lines on single flows.
 pub const FLOW_LINES_BURST: u32 = 200;
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// For how long the end of the process waits for its last lines to be written.
+/// Time to wait at exit for the last lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 enum Item {
@@ -30,7 +30,7 @@
     Flush(SyncSender<()>),
 }
 
-/// Writes the last lines when it is dropped at the end of the process.
+/// Flushes the log when dropped at the end of the process.
 #[derive(Debug)]
 pub struct Guard {
     sender: SyncSender<Item>,
@@ -40,15 +40,15 @@
     fn drop(&mut self) {
         let (done, written) = sync_channel(1);
         if self.sender.try_send(Item::Flush(done)).is_ok() {
-            // Without a reader the lines are lost; the process must end all the same.
+            // Without a reader the lines are lost, but the process must still exit.
             let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
-/// Starts the log; `level` is the least level, as in `info`.
+/// Starts the log; `level` is the minimum level, such as `info`.
 pub fn init(level: &str) -> anyhow::Result<Guard> {
-    let (sender, items) = sync_channel::<Item>(WAITING);
+    let (sender, items) = sync_channel::<Item>(QUEUE_LINES);
     let write = move || {
         let mut out = io::stdout().lock();
         for item in items {
@@ -56,21 +56,23 @@
                 Item::Line(line) => out.write_all(&line).and_then(|()| out.flush()),
                 Item::Flush(done) => done.try_send(()).map_err(io::Error::other),
             };
-            // A reader that has gone can't be told about it.
             if result.is_err() {
                 DROPPED.fetch_add(1, Ordering::Relaxed);
             }
         }
     };
     let guard = Guard { sender: sender.clone() };
-    thread::Builder::new().name("log".to_owned()).spawn(write).context("start the log's writer")?;
+    thread::Builder::new()
+        .name("log".to_owned())
+        .spawn(write)
+        .context("failed to start the log writer thread")?;
     let builder = tracing_subscriber::fmt().json().flatten_event(true).with_target(false);
     let builder = builder.with_env_filter(EnvFilter::new(level)).with_writer(Lines { sender });
-    builder.try_init().map_err(|e| anyhow!("start the log: {e}"))?;
+    builder.try_init().map_err(|e| anyhow!("failed to initialise the log: {e}"))?;
     Ok(guard)
 }
 
-/// Lines that were lost because the reader was slow.
+/// Number of lines dropped because the reader was slow.
 pub fn dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
@@ -87,7 +89,7 @@
     }
 }
 
-/// A line that is handed to the writer as a whole.
+/// A line that is queued as a whole when dropped.
 struct Line {
     bytes: Vec<u8>,
     sender: SyncSender<Item>,
@@ -115,7 +117,7 @@
     }
 }
 
-/// Lets lines on single flows through up to a rate and counts the others.
+/// Token bucket for lines on single flows, which counts those suppressed.
 #[derive(Clone, Debug)]
 pub struct Limiter {
     tokens: u32,
@@ -124,12 +126,12 @@
 }
 
 impl Limiter {
-    /// A limiter that starts with a whole burst.
+    /// Creates a limiter with a full burst.
     pub fn new(now_ms: u64) -> Limiter {
         Limiter { tokens: FLOW_LINES_BURST, refilled_ms: now_ms, suppressed: 0 }
     }
 
-    /// Whether a line may be written now.
+    /// Whether a line may be logged now; a refusal is counted.
     pub fn allow(&mut self, now_ms: u64) -> bool {
         let passed = now_ms.saturating_sub(self.refilled_ms);
         let new = passed * u64::from(FLOW_LINES_PER_S) / 1_000;
@@ -146,7 +148,7 @@
         true
     }
 
-    /// Lines not written since the last call.
+    /// Returns and resets the number of suppressed lines.
     pub fn take_suppressed(&mut self) -> u64 {
         std::mem::take(&mut self.suppressed)
     }
--- a/crates/opaque/src/metrics.rs
+++ b/crates/opaque/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and latency histograms of a process, as text for Prometheus.
+//! Metrics of a process, in the Prometheus text format.
 
 use std::{
     collections::BTreeSet,
@@ -11,8 +11,8 @@
     IntGaugeVec, Opts, TextEncoder, default_registry,
 };
 
-/// Bounds of latency histograms, in seconds: from a local round trip to a caller's patience.
-const LATENCY_BOUNDS: [f64; 9] = [0.000_2, 0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0];
+/// Buckets of latency histograms, in seconds.
+const LATENCY_BUCKETS_S: [f64; 9] = [0.000_2, 0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0];
 
 macro_rules! register {
     ($metric:expr) => {{
@@ -28,7 +28,7 @@
     register!(IntCounterVec::new(opts, &["decision"]))
 });
 
-/// Packets, by what became of them.
+/// Packets, by outcome.
 pub static PACKETS: LazyLock<IntCounterVec> = LazyLock::new(|| {
     let opts = Opts::new("camphorwinch_opaque_packets_total", "Packets, by what became of them.");
     register!(IntCounterVec::new(opts, &["outcome"]))
@@ -43,7 +43,7 @@
     register!(IntCounterVec::new(opts, &["step", "result"]))
 });
 
-/// Questions for the list of members, by result.
+/// Queries for the member list, by result.
 pub static LIST_ASKS: LazyLock<IntCounterVec> = LazyLock::new(|| {
     let opts = Opts::new(
         "camphorwinch_opaque_list_asks_total",
@@ -52,7 +52,7 @@
     register!(IntCounterVec::new(opts, &["result"]))
 });
 
-/// Objects of the store that could not be read, counted with each list.
+/// Store objects that could not be decoded, counted on each read.
 pub static UNREADABLE: LazyLock<IntCounter> = LazyLock::new(|| {
     register!(IntCounter::new(
         "camphorwinch_opaque_unreadable_objects_total",
@@ -60,7 +60,7 @@
     ))
 });
 
-/// Flows known.
+/// Known flows.
 pub static FLOWS: LazyLock<IntGauge> = LazyLock::new(|| {
     register!(IntGauge::new("camphorwinch_opaque_flows", "Flows that the process knows."))
 });
@@ -73,7 +73,7 @@
     ))
 });
 
-/// Requests that wait for a slot of the upstream.
+/// Requests waiting for a slot of the upstream.
 pub static WAITING: LazyLock<IntGauge> = LazyLock::new(|| {
     register!(IntGauge::new(
         "camphorwinch_opaque_waiting",
@@ -81,14 +81,14 @@
     ))
 });
 
-/// Time that requests waited at the agent, of those that did.
+/// Time requests waited at the agent, in seconds.
 pub static WAIT_SECONDS: LazyLock<Histogram> = LazyLock::new(|| {
     let help = "Time that requests waited at the agent for a slot, of those that did.";
     let opts = HistogramOpts::new("camphorwinch_opaque_wait_seconds", help);
-    register!(Histogram::with_opts(opts.buckets(LATENCY_BOUNDS.to_vec())))
+    register!(Histogram::with_opts(opts.buckets(LATENCY_BUCKETS_S.to_vec())))
 });
 
-/// Agents or balancers heard of.
+/// Agents or balancers heard from recently.
 pub static PEERS: LazyLock<IntGauge> = LazyLock::new(|| {
     register!(IntGauge::new("camphorwinch_opaque_peers", "Peers that were heard of lately."))
 });
@@ -105,7 +105,7 @@
     register!(IntGauge::new("camphorwinch_opaque_config_revision", help))
 });
 
-/// Zones out of service, with the Unix time in seconds at which this process learnt of it.
+/// Zones out of service, with the Unix time in seconds at which this process learned of each.
 pub static ZONES_OUT: LazyLock<IntGaugeVec> = LazyLock::new(|| {
     let help = "Zones out of service, with the Unix time at which this process learnt of it.";
     let opts = Opts::new("camphorwinch_opaque_zone_out_since_seconds", help);
@@ -114,40 +114,40 @@
 
 static SHOWN_ZONES: Mutex<BTreeSet<String>> = Mutex::new(BTreeSet::new());
 
-/// Bytes of held packets.
+/// Bytes of buffered packets.
 pub static HELD_BYTES: LazyLock<IntGauge> = LazyLock::new(|| {
     register!(IntGauge::new("camphorwinch_opaque_held_bytes", "Bytes of packets held back."))
 });
 
-/// Lines of the log that were lost.
+/// Log lines that were dropped.
 pub static LOG_LOST: LazyLock<IntGauge> = LazyLock::new(|| {
     let help = "Lines of the log lost because the reader was slow.";
     register!(IntGauge::new("camphorwinch_opaque_log_lost", help))
 });
 
-/// Time from the start of a search for a flow to its holder's answer.
+/// Time from the start of a flow search to the holder's answer, in seconds.
 pub static SEARCH_SECONDS: LazyLock<Histogram> = LazyLock::new(|| {
     let help = "Time in which the holder of a flow was found.";
     let opts = HistogramOpts::new("camphorwinch_opaque_search_seconds", help);
-    register!(Histogram::with_opts(opts.buckets(LATENCY_BOUNDS.to_vec())))
+    register!(Histogram::with_opts(opts.buckets(LATENCY_BUCKETS_S.to_vec())))
 });
 
-/// Time that calls to the store took, by step.
+/// Duration of store calls, by step, in seconds.
 pub static STORE_SECONDS: LazyLock<HistogramVec> = LazyLock::new(|| {
     let help = "Time that calls to the store took, by step.";
     let opts = HistogramOpts::new("camphorwinch_opaque_store_seconds", help);
-    register!(HistogramVec::new(opts.buckets(LATENCY_BOUNDS.to_vec()), &["step"]))
+    register!(HistogramVec::new(opts.buckets(LATENCY_BUCKETS_S.to_vec()), &["step"]))
 });
 
-/// Shows which zones are out of service; those that were keep their time.
-pub(crate) fn show_zones_out(names: &[&str]) {
+/// Sets the gauges of the zones out of service; zones already set keep their time.
+pub(crate) fn set_zones_out(names: &[&str]) {
     let mut shown = SHOWN_ZONES.lock().unwrap_or_else(PoisonError::into_inner);
     for gone in shown.iter().filter(|it| !names.contains(&it.as_str())) {
         if let Err(e) = ZONES_OUT.remove_label_values(&[gone]) {
-            tracing::warn!(zone = gone, "take a zone off the metrics: {e}");
+            tracing::warn!(zone = gone, "failed to remove a zone's metric: {e}");
         }
     }
-    // A clock before 1970 shows as zero; nothing is decided by this time.
+    // A clock before 1970 is reported as zero; the time is only informative.
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     for new in names.iter().filter(|it| !shown.contains(**it)) {
         ZONES_OUT.with_label_values(&[*new]).set(now.as_secs() as i64);
@@ -155,7 +155,7 @@
     *shown = names.iter().map(|&it| it.to_owned()).collect();
 }
 
-/// All metrics as text.
+/// Renders all metrics as text.
 pub fn render() -> prometheus::Result<Vec<u8>> {
     LOG_LOST.set(crate::log::dropped() as i64);
     let mut text = Vec::new();
--- a/crates/opaque/src/member.rs
+++ b/crates/opaque/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams to other processes.
+//! Datagrams to other processes and to callers.
 
 use std::net::{SocketAddr, SocketAddrV4};
 
@@ -11,7 +11,7 @@
 
 use crate::metrics;
 
-/// The socket for datagrams between processes, with a buffer to write them in.
+/// Socket for datagrams between processes, with an encoding buffer.
 pub(crate) struct Peers {
     socket: UdpSocket,
     buffer: Vec<u8>,
@@ -19,14 +19,14 @@
 
 impl Peers {
     pub(crate) fn new(socket: UdpSocket) -> Peers {
-        Peers { socket, buffer: Vec::with_capacity(crate::codec::MAX_PACKET) }
+        Peers { socket, buffer: Vec::with_capacity(crate::codec::MAX_PACKET_BYTES) }
     }
 
     pub(crate) fn socket(&self) -> &UdpSocket {
         &self.socket
     }
 
-    /// The next datagram that has arrived, if there is one.
+    /// Returns the next received datagram, if any.
     pub(crate) fn receive<'a>(&self, buffer: &'a mut [u8]) -> Option<(SocketAddrV4, &'a [u8])> {
         let (len, from) = self.socket.try_recv_from(buffer).ok()?;
         // The socket is bound to an IPv4 address.
@@ -43,7 +43,7 @@
         self.send_buffer(to, "relayed");
     }
 
-    /// Has an agent pass a caller's packet on to others.
+    /// Sends a caller's packet to an agent that forwards it to `agents`.
     pub(crate) fn spread(
         &mut self,
         to: SocketAddrV4,
@@ -56,7 +56,7 @@
         self.send_buffer(to, "spread");
     }
 
-    /// Answers a balancer about a flow.
+    /// Sends an agent's answer on a flow to a balancer.
     pub(crate) fn answer(
         &mut self,
         to: SocketAddrV4,
@@ -69,28 +69,28 @@
         self.send_buffer(to, "answered");
     }
 
-    /// Sends a rare message.
+    /// Sends a control message.
     pub(crate) fn control(&mut self, to: SocketAddrV4, body: Body) {
         self.buffer.clear();
         opaque::encode_control(&Control { body: Some(body) }, &mut self.buffer);
         self.send_buffer(to, "control");
     }
 
-    /// Asks an agent for flows.
+    /// Queries an agent for flows.
     pub(crate) fn query(&mut self, to: SocketAddrV4, keys: &[FlowKey]) {
         self.buffer.clear();
         opaque::encode_query(keys, &mut self.buffer);
         self.send_buffer(to, "query");
     }
 
-    /// Tells a balancer what is known of flows.
+    /// Sends a balancer the verdicts on flows.
     pub(crate) fn verdicts(&mut self, to: SocketAddrV4, verdicts: &[(FlowKey, Verdict)]) {
         self.buffer.clear();
         opaque::encode_verdicts(verdicts, &mut self.buffer);
         self.send_buffer(to, "verdicts");
     }
 
-    /// Sends a packet as it is, to a caller.
+    /// Sends an unmodified packet to a caller.
     pub(crate) fn plain(&self, to: SocketAddrV4, packet: &[u8]) {
         send(&self.socket, to, packet, "to-caller");
     }
@@ -100,23 +100,23 @@
     }
 }
 
-/// Counts a packet that can't be read.
-pub(crate) fn count_faulty() {
+/// Counts a packet that can't be decoded.
+pub(crate) fn count_malformed() {
     metrics::PACKETS.with_label_values(&["faulty"]).inc();
 }
 
-/// Counts a datagram that is not for this kind of process.
+/// Counts a datagram that is not meant for this kind of process.
 pub(crate) fn count_misdirected() {
     metrics::PACKETS.with_label_values(&["misdirected"]).inc();
 }
 
-/// Sends a datagram without waiting. One that does not fit into the kernel's buffer is lost, as on the network.
+/// Sends a datagram without blocking. It is dropped if the kernel's buffer is full.
 pub(crate) fn send(socket: &UdpSocket, to: SocketAddrV4, bytes: &[u8], outcome: &str) {
     match socket.try_send_to(bytes, to.into()) {
         Ok(_) => metrics::PACKETS.with_label_values(&[outcome]).inc(),
         Err(e) => {
             metrics::PACKETS.with_label_values(&["send-failed"]).inc();
-            tracing::debug!("send to {to}: {e}");
+            tracing::debug!("failed to send a datagram to {to}: {e}");
         }
     }
 }
--- a/crates/opaque/src/snapshot.rs
+++ b/crates/opaque/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a process knows, asked for and told over TCP.
+//! Snapshots of a process's state, served and queried over TCP.
 
 #[cfg(test)]
 mod tests;
@@ -25,15 +25,15 @@
     socket,
 };
 
-/// Time for the question and for the answer to pass: a round trip between regions, the transfer of a large configuration, and some.
-pub(crate) const ASK_TIMEOUT: Duration = Duration::from_millis(600);
+/// Timeout for sending a query or an answer: a round trip between regions plus the transfer of a large configuration.
+pub(crate) const QUERY_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Answers that are written at once: after a loss of power hundreds of processes ask, and an answer is some 100 kB at 1,000 members.
-const TOLD_AT_ONCE: usize = 16;
-/// Time for an answer after the first word: its sender may have to read the list.
+/// Bound on concurrent answers, which limits memory when a whole fleet restarts.
+const MAX_CONCURRENT_ANSWERS: usize = 16;
+/// Timeout for the answer after the first response; the peer may have to read the list.
 const PENDING_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Tells the newest state to whoever asks.
+/// Serves the latest state at `address`.
 pub(crate) fn serve(
     address: SocketAddrV4,
     newest: watch::Receiver<Arc<Snapshot>>,
@@ -49,16 +49,16 @@
     newest: watch::Receiver<Arc<Snapshot>>,
     lists: Option<Arc<Lists>>,
 ) {
-    let turns = Arc::new(Semaphore::new(TOLD_AT_ONCE));
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_ANSWERS));
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
             tokio::task::yield_now().await;
             continue;
         };
-        let (newest, lists, turns) = (newest.clone(), lists.clone(), turns.clone());
+        let (newest, lists, permits) = (newest.clone(), lists.clone(), permits.clone());
         tokio::spawn(async move {
-            if let Err(e) = answer(stream, &newest, lists.as_deref(), &turns).await {
-                tracing::debug!("tell {peer} what is known: {e:#}");
+            if let Err(e) = answer(stream, &newest, lists.as_deref(), &permits).await {
+                tracing::debug!("failed to answer a snapshot query from {peer}: {e:#}");
             }
         });
     }
@@ -68,40 +68,44 @@
     stream: TcpStream,
     newest: &watch::Receiver<Arc<Snapshot>>,
     lists: Option<&Lists>,
-    turns: &Semaphore,
+    permits: &Semaphore,
 ) -> anyhow::Result<()> {
     let mut frames = frames(stream);
-    let question = timeout(ASK_TIMEOUT, frames.next()).await.context("no question")?;
-    let question = question.ok_or_else(|| anyhow!("closed without a question"))?;
-    let ask = Question::decode(question.context("receive")?).context("decode")?;
+    let question = timeout(QUERY_TIMEOUT, frames.next()).await.context("no query received")?;
+    let question = question.ok_or_else(|| anyhow!("connection closed before a query"))?;
+    let query = Question::decode(question.context("receive")?).context("decode")?;
     let answer = match lists {
-        None => Answer::Tell { met: true },
-        Some(lists) => decide(lists, &ask, &mut frames).await?,
+        None => Answer::Respond { met: true },
+        Some(lists) => decide(lists, &query, &mut frames).await?,
     };
-    let _turn = turns.acquire().await.context("the process ends")?;
+    let _permit = permits.acquire().await.context("process is shutting down")?;
     let snapshot = match (answer, lists) {
-        (Answer::Tell { met }, Some(lists)) => {
-            let told = newest.borrow().parts(&ask);
-            lists.complete(Snapshot { meets_need: met, ..told }, ask.members())
+        (Answer::Respond { met }, Some(lists)) => {
+            let parts = newest.borrow().parts(&query);
+            lists.complete(Snapshot { meets_need: met, ..parts }, query.members())
         }
         (Answer::Refer(others), Some(lists)) => refer(lists.at(), others),
-        (Answer::Tell { .. } | Answer::Refer(_), None) => newest.borrow().parts(&ask),
+        (Answer::Respond { .. } | Answer::Refer(_), None) => newest.borrow().parts(&query),
     };
     let bytes = Bytes::from(snapshot.encode_to_vec());
-    timeout(ASK_TIMEOUT, frames.send(bytes)).await.context("not taken in time")?.context("send")
+    timeout(QUERY_TIMEOUT, frames.send(bytes))
+        .await
+        .context("timed out sending the answer")?
+        .context("send")
 }
 
-/// Decides how to answer. The asker hears at once that it is heard: it can't tell a process at work from one that stands still.
+/// Decides how to answer. Sends an immediate acknowledgement, so that the requester can tell a slow peer from a dead
+/// one.
 async fn decide(
     lists: &Lists,
-    ask: &Question,
+    query: &Question,
     frames: &mut Frames<TcpStream>,
 ) -> anyhow::Result<Answer> {
     let pending = Snapshot { pending: true, ..Snapshot::default() };
     frames.send(Bytes::from(pending.encode_to_vec())).await.context("send")?;
-    Ok(match lists.answer(ask) {
+    Ok(match lists.answer(query) {
         Some(answer) => answer,
-        None => lists.answer_later(ask).await,
+        None => lists.answer_later(query).await,
     })
 }
 
@@ -110,55 +114,55 @@
     Snapshot { list_era: at.era, list_revision: at.number, referred, ..Snapshot::default() }
 }
 
-/// A question that a peer is at work on.
-pub(crate) struct Asked {
+/// A query that a peer has acknowledged.
+pub(crate) struct PendingQuery {
     frames: Frames<TcpStream>,
     first: Snapshot,
 }
 
-impl Asked {
-    /// Asks a peer and waits for its first word, for `patience` at the most.
+impl PendingQuery {
+    /// Sends a query and waits up to `response_timeout` for the first response.
     pub(crate) async fn new(
         peer: SocketAddrV4,
-        ask: &Question,
-        patience: Duration,
-    ) -> anyhow::Result<Asked> {
+        query: &Question,
+        response_timeout: Duration,
+    ) -> anyhow::Result<PendingQuery> {
         let exchange = async {
             let mut frames = frames(TcpStream::connect(peer).await.context("connect")?);
-            frames.send(Bytes::from(ask.encode_to_vec())).await.context("send")?;
+            frames.send(Bytes::from(query.encode_to_vec())).await.context("send")?;
             let first = receive(&mut frames).await?;
-            Ok(Asked { frames, first })
+            Ok(PendingQuery { frames, first })
         };
-        within(patience, exchange).await.with_context(|| format!("ask {peer}"))
+        with_timeout(response_timeout, exchange).await.with_context(|| format!("query {peer}"))
     }
 
-    /// The answer.
+    /// Waits for the answer.
     pub(crate) async fn answer(mut self) -> anyhow::Result<Snapshot> {
         if !self.first.pending {
             return Ok(self.first);
         }
-        within(PENDING_TIMEOUT, receive(&mut self.frames)).await
+        with_timeout(PENDING_TIMEOUT, receive(&mut self.frames)).await
     }
 }
 
-/// Asks a peer; `patience` is for its first word.
-pub(crate) async fn ask(
+/// Queries a peer; `response_timeout` bounds the wait for its first response.
+pub(crate) async fn query(
     peer: SocketAddrV4,
-    ask: &Question,
-    patience: Duration,
+    query: &Question,
+    response_timeout: Duration,
 ) -> anyhow::Result<Snapshot> {
-    let asked = Asked::new(peer, ask, patience).await?;
-    asked.answer().await.with_context(|| format!("ask {peer}"))
+    let pending = PendingQuery::new(peer, query, response_timeout).await?;
+    pending.answer().await.with_context(|| format!("query {peer}"))
 }
 
 async fn receive(frames: &mut Frames<TcpStream>) -> anyhow::Result<Snapshot> {
-    let Some(frame) = frames.next().await else { bail!("closed without answer") };
+    let Some(frame) = frames.next().await else { bail!("connection closed before an answer") };
     Snapshot::decode(frame.context("receive")?).context("decode")
 }
 
-async fn within<T, F>(patience: Duration, step: F) -> anyhow::Result<T>
+async fn with_timeout<T, F>(response_timeout: Duration, step: F) -> anyhow::Result<T>
 where
     F: Future<Output = anyhow::Result<T>>,
 {
-    timeout(patience, step).await.map_err(|_| anyhow!("no answer")).flatten()
+    timeout(response_timeout, step).await.map_err(|_| anyhow!("timed out")).flatten()
 }
--- a/crates/opaque/src/snapshot/tests.rs
+++ b/crates/opaque/src/snapshot/tests.rs
@@ -6,35 +6,34 @@
 
 use super::*;
 
-/// Asks and reads the first word.
-async fn asker(at: SocketAddrV4) -> Frames<TcpStream> {
-    let mut frames = frames(TcpStream::connect(at).await.expect("it listens"));
-    let ask = Bytes::from(Question::all().encode_to_vec());
-    frames.send(ask).await.expect("it is taken");
-    receive(&mut frames).await.expect("the first word");
+/// Sends a query and reads the first response.
+async fn requester(at: SocketAddrV4) -> Frames<TcpStream> {
+    let mut frames = frames(TcpStream::connect(at).await.expect("the server listens"));
+    let query = Bytes::from(Question::all().encode_to_vec());
+    frames.send(query).await.expect("the query is sent");
+    receive(&mut frames).await.expect("the first response");
     frames
 }
 
-/// Whether the rest of the answer begins to come. The connection stays open, so that it is not taken.
-async fn is_answered(asker: &mut Frames<TcpStream>) -> bool {
-    let answer = asker.get_mut().read_u8();
+/// Whether more of the answer arrives. The connection stays open with the answer unread.
+async fn is_answered(requester: &mut Frames<TcpStream>) -> bool {
+    let answer = requester.get_mut().read_u8();
     timeout(Duration::from_millis(250), answer).await.is_ok_and(|it| it.is_ok())
 }
 
-// Own day rough-replacement on 981 VMs: a balancer that was asked by all who came back from a loss of power had 27 MB, others 4.
-// Cause: each answer was built at once and held until its asker took it. Proof: of 24 askers that take nothing 16 hold an answer.
+// Guards against building all answers at once, which exhausts memory when many processes restart.
 #[tokio::test]
-async fn answers_that_are_not_taken_are_few() {
-    let free = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let SocketAddr::V4(at) = free.local_addr().expect("its address") else { panic!("IPv6") };
-    drop(free);
-    // More than the buffers of a connection hold.
+async fn unread_answers_are_bounded() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
+    let SocketAddr::V4(at) = listener.local_addr().expect("its address") else { panic!("IPv6") };
+    drop(listener);
+    // Larger than the socket buffers.
     let member = MemberEntry { name: "x".repeat(1_000), ..MemberEntry::default() };
     let large = Snapshot { members: vec![member; 7_000], ..Snapshot::default() };
     let (_newest, snapshots) = watch::channel(Arc::new(large));
     serve(at, snapshots, Some(Arc::default())).expect("it serves");
-    let mut askers = join_all((0..TOLD_AT_ONCE + 8).map(|_| asker(at))).await;
-    let answered = join_all(askers.iter_mut().map(is_answered)).await;
+    let mut requesters = join_all((0..MAX_CONCURRENT_ANSWERS + 8).map(|_| requester(at))).await;
+    let answered = join_all(requesters.iter_mut().map(is_answered)).await;
     let answered = answered.into_iter().filter(|&it| it).count();
-    assert!((1..=TOLD_AT_ONCE).contains(&answered), "{answered}");
+    assert!((1..=MAX_CONCURRENT_ANSWERS).contains(&answered), "{answered}");
 }
