--- a/crates/opaque/src/store.rs
+++ b/crates/opaque/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store, as far as opaque flows need it: members and the configuration.
+//! Interface to the platform's store of members and configuration.
 
 use std::{future::Future, net::SocketAddrV4, time::Duration};
 
@@ -12,21 +12,21 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-/// A process as the store lists it.
+/// A process as registered in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Name, unique in the fleet and the same after a restart.
+    /// Name, unique in the fleet and stable across restarts.
     pub name: String,
-    /// Address for packets between processes.
+    /// Address for datagrams between processes.
     pub address: SocketAddrV4,
-    /// Name of its pool, if it is an agent.
+    /// Name of its pool; `None` for a balancer.
     pub pool: Option<String>,
-    /// Name of its zone.
+    /// Name of its availability zone.
     pub zone: String,
 }
 
 impl Member {
-    /// The member as decisions see it.
+    /// The member as used by the decision logic.
     pub fn listed(&self) -> Listed {
         Listed {
             address: self.address,
@@ -39,124 +39,124 @@
 /// A member with the revision of its object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Name of the process and of its object.
+    /// Name of the process and of its store object.
     pub name: String,
-    /// The member as decisions see it.
+    /// The member as used by the decision logic.
     pub listed: Listed,
-    /// Revision of its last change.
+    /// Revision of the object's last change.
     pub revision: Revision,
 }
 
-/// All members as a call saw them.
+/// All members at one revision of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Members {
-    /// The store's revision as of which they were read.
+    /// Store revision of the read.
     pub at: Revision,
     /// The members.
     pub records: Vec<Record>,
 }
 
 impl Members {
-    /// Whether a process is listed as it is.
+    /// Whether `member` is listed with its current address, pool and zone.
     pub fn lists(&self, member: &Member) -> bool {
         let listed = member.listed();
         self.records.iter().any(|it| it.name == member.name && it.listed == listed)
     }
 }
 
-/// A process's own object, after it was announced.
+/// Result of announcing a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Announced {
-    /// Revision of the object, if the answer told it.
+    /// Revision of the object, if the store reported it.
     pub revision: Option<Revision>,
-    /// Whether there was none before.
+    /// Whether the object did not exist before.
     pub created: bool,
 }
 
-/// The configuration as a call saw it.
+/// Result of reading the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
-    /// The configuration; none if there is none, or none newer than what was asked for.
+pub struct ConfigRead {
+    /// The configuration; `None` if there is none, or none newer than requested.
     pub routes: Option<Routes>,
-    /// The store's revision, from which a watch goes on. It may be far above that of the configuration, whose own may
-    /// have left the store's history.
+    /// Store revision from which a watch continues. It may be far above the configuration's own, which may already be
+    /// compacted.
     pub at: Revision,
 }
 
-/// How new an answer has to be.
+/// Required freshness of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// Not older than the call.
+    /// At least as new as the call.
     Current,
-    /// Perhaps some seconds old, for a tenth of the price.
+    /// May be some seconds old, at a tenth of the cost.
     Stale,
 }
 
-/// What a watch brought.
+/// Result of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Watched<T> {
-    /// What happened up to a revision.
-    Seen(T),
-    /// The store no longer has the history, or has come back from an older copy: read anew.
+    /// State up to a revision.
+    Advanced(T),
+    /// The history was compacted, or the store was reset to an older copy: a new read is needed.
     Compacted,
 }
 
-/// Why a call to the store brought nothing.
+/// Error of a call to the store.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// No answer in time; the call may have taken effect.
-    #[error("{step}: no answer within {waited:?}")]
+    /// No answer within the timeout; the call may have taken effect.
+    #[error("{step}: timed out after {waited:?}")]
     Timeout {
-        /// What was asked.
+        /// Name of the failed operation.
         step: &'static str,
-        /// How long was waited.
+        /// Time waited.
         waited: Duration,
     },
     /// The store could not be reached, or the connection broke; the call may have taken effect.
-    #[error("{step}: connection to {peer}: {reason}")]
+    #[error("{step}: connection to {peer} failed: {reason}")]
     Connection {
-        /// What was asked.
+        /// Name of the failed operation.
         step: &'static str,
-        /// The store's address.
+        /// Address of the store.
         peer: SocketAddrV4,
-        /// What is wrong.
+        /// Cause of the failure.
         reason: String,
     },
-    /// The store refuses calls for now and did nothing.
-    #[error("{step}: busy, status {status}")]
+    /// The store is overloaded and did not execute the call.
+    #[error("{step}: store is busy, status {status}")]
     Busy {
-        /// What was asked.
+        /// Name of the failed operation.
         step: &'static str,
         /// HTTP status.
         status: u16,
     },
-    /// The condition of a write does not hold.
-    #[error("{step}: the object has changed")]
+    /// The precondition of a write failed.
+    #[error("{step}: object was changed concurrently")]
     Conflict {
-        /// What was asked.
+        /// Name of the failed operation.
         step: &'static str,
     },
-    /// The store came back from an older copy between two answers that belong together.
-    #[error("{step}: the store was reset meanwhile")]
+    /// The store was reset to an older copy between two answers that belong together.
+    #[error("{step}: store was reset during the operation")]
     Reset {
-        /// What was asked.
+        /// Name of the failed operation.
         step: &'static str,
     },
-    /// An answer that makes no sense.
-    #[error("{step}: answer of status {status}: {reason}")]
+    /// Unexpected or invalid answer.
+    #[error("{step}: invalid response, status {status}: {reason}")]
     Answer {
-        /// What was asked.
+        /// Name of the failed operation.
         step: &'static str,
         /// HTTP status.
         status: u16,
-        /// What is wrong.
+        /// Cause of the failure.
         reason: String,
     },
 }
 
 impl StoreError {
-    /// Whether the same call may succeed later.
-    pub fn is_passing(&self) -> bool {
+    /// Whether a retry of the same call may succeed.
+    pub fn is_transient(&self) -> bool {
         match self {
             StoreError::Timeout { .. }
             | StoreError::Connection { .. }
@@ -167,60 +167,61 @@
     }
 }
 
-/// The store. `patience` is how long a call may take.
+/// Client of the store. `call_timeout` bounds a single call.
 pub trait Store: Clone + Send + Sync + 'static {
-    /// The store's era by the highest one that an answer told: it rises each time the store comes back from an older copy.
-    /// None before the first answer.
+    /// Highest era reported by the store, which rises with each reset to an older copy. `None` before the first
+    /// answer.
     fn era(&self) -> watch::Receiver<Option<u64>>;
 
-    /// All members, not older than the call.
+    /// Reads all members, at least as new as the call.
     fn members(
         &self,
-        patience: Duration,
+        call_timeout: Duration,
     ) -> impl Future<Output = Result<Members, StoreError>> + Send;
 
-    /// Lists a member, in place of one of the same name.
+    /// Registers a member, replacing one of the same name.
     fn announce(
         &self,
         member: &Member,
-        patience: Duration,
+        call_timeout: Duration,
     ) -> impl Future<Output = Result<Announced, StoreError>> + Send;
 
-    /// Takes a member off the list; with a revision only if it has not changed since, and the store has not been reset.
+    /// Removes a member; with a revision only if the object has not changed and the store has not been reset since.
     fn withdraw(
         &self,
         name: &str,
         revision: Option<Revision>,
-        patience: Duration,
+        call_timeout: Duration,
     ) -> impl Future<Output = Result<(), StoreError>> + Send;
 
-    /// The configuration.
+    /// Reads the configuration.
     fn routes(
         &self,
         freshness: Freshness,
-        patience: Duration,
-    ) -> impl Future<Output = Result<Seen, StoreError>> + Send;
+        call_timeout: Duration,
+    ) -> impl Future<Output = Result<ConfigRead, StoreError>> + Send;
 
-    /// Waits for a configuration newer than `revision` of the store.
+    /// Waits up to `wait` for a configuration newer than the store revision `revision`.
     fn watch(
         &self,
         revision: Revision,
         wait: Duration,
-        patience: Duration,
-    ) -> impl Future<Output = Result<Watched<Seen>, StoreError>> + Send;
+        call_timeout: Duration,
+    ) -> impl Future<Output = Result<Watched<ConfigRead>, StoreError>> + Send;
 
-    /// The zones out of service.
+    /// Reads the zones out of service.
     fn zones_out(
         &self,
         freshness: Freshness,
-        patience: Duration,
+        call_timeout: Duration,
     ) -> impl Future<Output = Result<ZonesOut, StoreError>> + Send;
 
-    /// Waits for a change of the zones out of service; the set after it, or the one that was known with a newer revision.
+    /// Waits up to `wait` for a change of the zones out of service. Returns the new set, or the known one with a newer
+    /// revision.
     fn watch_zones(
         &self,
         known: &ZonesOut,
         wait: Duration,
-        patience: Duration,
+        call_timeout: Duration,
     ) -> impl Future<Output = Result<Watched<ZonesOut>, StoreError>> + Send;
 }
--- a/crates/opaque/tests/docs.rs
+++ b/crates/opaque/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The pages say what the code does.
+//! The documentation lists all events and metrics.
 
 use camphorwinch_opaque::event::Id;
 
@@ -7,7 +7,7 @@
 const METRICS: &str = include_str!("../src/metrics.rs");
 
 #[test]
-fn the_catalogue_of_events_matches_the_page() {
+fn event_catalogue_matches_documentation() {
     let row = |it: &Id| format!("| {} | {} | {} |", *it as u16, it.name(), it.meaning());
     let expected: Vec<String> = Id::ALL.iter().map(row).collect();
     let (_, own) = CATALOGUE.split_once("## Opaque flows").expect("the section");
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn every_metric_is_on_the_page_of_operations() {
+fn all_metrics_are_documented() {
     let names = METRICS.split('"').filter(|it| it.starts_with("camphorwinch_opaque_"));
     let names: Vec<&str> = names.collect();
     assert!(names.len() >= 10, "{names:?}");
--- a/crates/opaque/tests/log.rs
+++ b/crates/opaque/tests/log.rs
@@ -1,9 +1,9 @@
-//! The log's limits.
+//! Rate limits of the log.
 
 use camphorwinch_opaque::log::{FLOW_LINES_BURST, FLOW_LINES_PER_S, Limiter};
 
 #[test]
-fn a_storm_of_decisions_writes_a_bounded_number_of_lines() {
+fn log_rate_is_bounded_under_load() {
     let mut limiter = Limiter::new(0);
     // 100,000 decisions a second for ten seconds.
     let lines = (0..1_000_000u64).filter(|it| limiter.allow(it / 100)).count() as u32;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_usual_rate_is_written_whole() {
+fn normal_rate_is_not_limited() {
     let mut limiter = Limiter::new(0);
     for at in 0..1_000 {
         assert!(limiter.allow(at * 25), "{at}");
