--- a/crates/opaque/src/agent.rs
+++ b/crates/opaque/src/agent.rs
@@ -25,7 +25,7 @@
     clock::now_ms,
     codec::Codec,
     decision_log::DecisionLog,
-    discovery::{self, Join, Start, Update},
+    discovery::{self, DiscoveryState, Join, Update},
     event::Id,
     metrics,
     peers::Peers,
@@ -130,7 +130,7 @@
         relist: join_relist,
         lists: Arc::default(),
         // Agents follow no topic in the store.
-        start: watch::Sender::new(Start::FromStore),
+        start: watch::Sender::new(DiscoveryState::FromStore),
         out: updates,
     };
     tokio::spawn(join.run());
@@ -306,8 +306,8 @@
             self.report(now);
         }
         metrics::FLOWS.set(i64::from(self.state.flows()));
-        metrics::BUSY.set(i64::from(self.state.busy()));
-        metrics::WAITING.set(self.state.waiting() as i64);
+        metrics::REQUESTS.set(i64::from(self.state.busy()));
+        metrics::WAITING_REQUESTS.set(self.state.waiting() as i64);
         metrics::PEERS.set(self.balancers.len() as i64);
     }
 
--- a/crates/opaque/src/balancer.rs
+++ b/crates/opaque/src/balancer.rs
@@ -32,7 +32,7 @@
     clock::now_ms,
     codec::Codec,
     decision_log::DecisionLog,
-    discovery::{self, Follow, Join, Start, Topic, Update, WatchRole},
+    discovery::{self, DiscoveryState, Follow, Join, Topic, Update, WatchRole},
     event::Id,
     lists::Lists,
     metrics,
@@ -117,7 +117,7 @@
     tokio::spawn(discovery::observe_resets(store.era()));
     let relist = Arc::new(Notify::new());
     let (_, serves) = watch::channel(true);
-    let (start, started) = watch::channel(Start::Querying);
+    let (start, started) = watch::channel(DiscoveryState::Querying);
     let join = Join {
         store: store.clone(),
         own: own.clone(),
@@ -217,7 +217,7 @@
     list_era: Option<u64>,
     /// Time of the repeated greeting of all balancers about the newest configuration.
     regreet_ms: Option<u64>,
-    /// Agents removal_due for removal, and since when.
+    /// Agents due for removal, and since when.
     removal_due: BTreeMap<SocketAddrV4, u64>,
     gone: mpsc::Sender<Record>,
     effects: Vec<Effect>,
--- a/crates/opaque/src/discovery.rs
+++ b/crates/opaque/src/discovery.rs
@@ -17,7 +17,7 @@
 };
 
 pub(crate) use self::{
-    join::{Join, Start},
+    join::{DiscoveryState, Join},
     topic::{Follow, Topic, WatchRole},
 };
 use crate::{
@@ -154,7 +154,7 @@
     loop {
         let name = &record.name;
         let result = store.withdraw(name, Some(record.revision), INITIAL_CALL_TIMEOUT).await;
-        let error = match count("withdraw", result) {
+        let error = match count_call("withdraw", result) {
             Ok(()) => return Ok(()),
             Err(e) => e,
         };
@@ -221,7 +221,7 @@
     Ok(found)
 }
 
-fn count<T>(step: &'static str, result: Result<T, StoreError>) -> Result<T, StoreError> {
+fn count_call<T>(step: &'static str, result: Result<T, StoreError>) -> Result<T, StoreError> {
     let outcome = match &result {
         Ok(_) => "ok",
         Err(StoreError::Timeout { .. }) => "timeout",
--- a/crates/opaque/src/discovery/join.rs
+++ b/crates/opaque/src/discovery/join.rs
@@ -12,7 +12,7 @@
     time::{Instant, sleep, timeout},
 };
 
-use super::{Backoff, Update, count, jitter, query_any, reset_after};
+use super::{Backoff, Update, count_call, jitter, query_any, reset_after};
 use crate::{
     event::Id,
     lists::Lists,
@@ -40,7 +40,7 @@
 
 /// Progress of the initial discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Start {
+pub(crate) enum DiscoveryState {
     /// Querying peers.
     Querying,
     /// The configuration and the members came from a peer.
@@ -68,7 +68,7 @@
     /// The list as served to other processes.
     pub(crate) lists: Arc<Lists>,
     /// Progress of the initial discovery.
-    pub(crate) start: watch::Sender<Start>,
+    pub(crate) start: watch::Sender<DiscoveryState>,
     /// Receives the discovered state.
     pub(crate) out: mpsc::Sender<Update>,
 }
@@ -100,7 +100,7 @@
     pub(crate) async fn run(self) {
         let mut backoff = Backoff::new();
         let mut seeds_query: Option<JoinHandle<()>> = None;
-        // This process's store object as last announced; `None` if it must be announced relist.
+        // This process's store object as last announced; `None` if it must be announced again.
         let mut object = None;
         let mut withdrawn = self.first_start;
         let mut resets = self.store.era();
@@ -117,7 +117,7 @@
                 }
                 Ok(Some(MemberList { members, unlisted })) => {
                     backoff.reset();
-                    self.started(Start::FromStore);
+                    self.set_state(DiscoveryState::FromStore);
                     let (at, known) = (members.at, members.records.len());
                     let unlisted =
                         Some(unlisted).filter(|it| !it.is_empty()).map(Update::PeerMembers);
@@ -140,7 +140,7 @@
                 }
                 Err(e) => {
                     self.lists.failed(attempt);
-                    self.started(Start::FromStore);
+                    self.set_state(DiscoveryState::FromStore);
                     // An unreachable peer delays the answer by its timeout, so the queries run in the background.
                     if seeds_query.as_ref().is_none_or(JoinHandle::is_finished) {
                         seeds_query = Some(self.query_seeds());
@@ -152,13 +152,13 @@
     }
 
     /// Records the outcome of the initial discovery; later calls have no effect.
-    fn started(&self, how: Start) {
+    fn set_state(&self, how: DiscoveryState) {
         self.start.send_if_modified(|it| {
-            let asked = *it == Start::Querying;
-            if asked {
+            let pending = *it == DiscoveryState::Querying;
+            if pending {
                 *it = how;
             }
-            asked
+            pending
         });
     }
 
@@ -166,7 +166,7 @@
         self.own.pool.is_some()
     }
 
-    /// Waits until the list has to be read relist.
+    /// Waits until the list has to be read again.
     async fn wait(
         &self,
         begun: Instant,
@@ -209,7 +209,10 @@
         if !*self.serves.borrow() {
             if !*withdrawn {
                 // An entry of an earlier run, which could not remove it while the store was unavailable.
-                count("withdraw", self.store.withdraw(&self.own.name, None, call_timeout).await)?;
+                count_call(
+                    "withdraw",
+                    self.store.withdraw(&self.own.name, None, call_timeout).await,
+                )?;
                 *withdrawn = true;
             }
             return Ok(None);
@@ -234,7 +237,7 @@
         object: &mut Option<Announced>,
         call_timeout: Duration,
     ) -> Result<Need, StoreError> {
-        let announced = count("announce", self.store.announce(&self.own, call_timeout).await)?;
+        let announced = count_call("announce", self.store.announce(&self.own, call_timeout).await)?;
         *object = Some(announced);
         let id = Id::Announced;
         let revision = announced.revision.map(|it| it.number);
@@ -265,7 +268,7 @@
     }
 
     async fn read(&self, call_timeout: Duration) -> Result<MemberList, StoreError> {
-        let members = count("list", self.store.members(call_timeout).await)?;
+        let members = count_call("list", self.store.members(call_timeout).await)?;
         Ok(MemberList { members, unlisted: Vec::new() })
     }
 
--- a/crates/opaque/src/discovery/join/peer_list.rs
+++ b/crates/opaque/src/discovery/join/peer_list.rs
@@ -12,7 +12,7 @@
 
 use super::{
     super::{Update, jitter, updates},
-    Join, MemberList, Start,
+    DiscoveryState, Join, MemberList,
 };
 use crate::{
     event::Id,
@@ -145,7 +145,7 @@
             }
         }
         if routes_sent && !with_members {
-            self.started(Start::FromPeer);
+            self.set_state(DiscoveryState::FromPeer);
         }
     }
 }
@@ -174,5 +174,5 @@
         Ok(_) => "old",
         Err(_) => "no-answer",
     };
-    metrics::LIST_ASKS.with_label_values(&[result]).inc();
+    metrics::LIST_QUERIES.with_label_values(&[result]).inc();
 }
--- a/crates/opaque/src/discovery/tests.rs
+++ b/crates/opaque/src/discovery/tests.rs
@@ -21,7 +21,7 @@
 };
 
 use super::{
-    Follow, Join, Start, Topic, Update, WatchRole, join::list_pause, topic::Era, withdraw,
+    DiscoveryState, Follow, Join, Topic, Update, WatchRole, join::list_pause, topic::Era, withdraw,
 };
 use crate::store::{
     Announced, ConfigRead, Freshness, Member, Members, Record, Store, StoreError, Watched,
@@ -163,7 +163,7 @@
 ) where
     S: Store,
 {
-    let start = watch::channel(Start::FromStore).1;
+    let start = watch::channel(DiscoveryState::FromStore).1;
     Follow { store, role, start, config_read, out }.run(topic).await;
 }
 
@@ -179,7 +179,7 @@
     S: Store,
 {
     let greeted = watch::Sender::default().subscribe();
-    let (lists, start) = (Arc::default(), watch::Sender::new(Start::Querying));
+    let (lists, start) = (Arc::default(), watch::Sender::new(DiscoveryState::Querying));
     Join { store, own, serves, first_start: false, seeds, greeted, relist, lists, start, out }
         .run()
         .await;
--- a/crates/opaque/src/discovery/topic.rs
+++ b/crates/opaque/src/discovery/topic.rs
@@ -9,7 +9,7 @@
     time::{Instant, sleep, timeout},
 };
 
-use super::{Backoff, INITIAL_BACKOFF, Start, Update, count, jitter, reset_after};
+use super::{Backoff, DiscoveryState, INITIAL_BACKOFF, Update, count_call, jitter, reset_after};
 use crate::store::{Freshness, Store, StoreError, Watched};
 
 /// Mean duration of one watch call for the configuration. It bounds the time until a silent connection is noticed;
@@ -99,12 +99,12 @@
     {
         match self {
             Topic::Routes => {
-                let seen = count("read-config", store.routes(freshness, call_timeout).await)?;
+                let seen = count_call("read-config", store.routes(freshness, call_timeout).await)?;
                 Ok(Watched::Advanced((seen.at, seen.routes.map(Update::StoreRoutes))))
             }
             Topic::Zones(known) => {
                 let zones = store.zones_out(freshness, call_timeout).await;
-                *known = count("read-zones", zones)?;
+                *known = count_call("read-zones", zones)?;
                 Ok(Watched::Advanced((known.revision(), Some(Update::StoreZones(known.clone())))))
             }
         }
@@ -123,7 +123,7 @@
         match self {
             Topic::Routes => {
                 let watched = store.watch(at, wait, call_timeout).await;
-                Ok(match count("watch-config", watched)? {
+                Ok(match count_call("watch-config", watched)? {
                     Watched::Advanced(seen) => {
                         Watched::Advanced((seen.at, seen.routes.map(Update::StoreRoutes)))
                     }
@@ -132,7 +132,7 @@
             }
             Topic::Zones(known) => {
                 let watched = store.watch_zones(known, wait, call_timeout).await;
-                let Watched::Advanced(zones) = count("watch-zones", watched)? else {
+                let Watched::Advanced(zones) = count_call("watch-zones", watched)? else {
                     return Ok(Watched::Compacted);
                 };
                 *known = zones;
@@ -145,7 +145,7 @@
 /// How a process follows a topic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WatchRole {
-    /// Not await_role, as the members are not known yet.
+    /// Undecided, as the members are not known yet.
     Undecided,
     /// Watches the store for changes.
     Watch,
@@ -153,7 +153,7 @@
     Read(usize),
 }
 
-/// Waits until the role is await_role, up to [`ROLE_TIMEOUT`]; `None` if the process ends.
+/// Waits until the role is decided, up to [`ROLE_TIMEOUT`]; `None` if the process ends.
 async fn await_role(role: &mut watch::Receiver<WatchRole>) -> Option<WatchRole> {
     match timeout(ROLE_TIMEOUT, role.wait_for(|&it| it != WatchRole::Undecided)).await {
         Ok(Ok(it)) => Some(*it),
@@ -199,7 +199,7 @@
     /// Whether to watch or poll.
     pub(crate) role: watch::Receiver<WatchRole>,
     /// Outcome of the initial discovery; state from a peer need not be read again.
-    pub(crate) start: watch::Receiver<Start>,
+    pub(crate) start: watch::Receiver<DiscoveryState>,
     /// Notifies the zones' follower of a successful configuration call.
     pub(crate) config_read: Arc<Notify>,
     /// Receives the updates.
@@ -218,10 +218,12 @@
         // Revision at which the last call ended; `None` if the next one has to read.
         let mut at = None;
         let mut freshness = Freshness::Current;
-        let Ok(start) = self.start.wait_for(|&it| it != Start::Querying).await.map(|it| *it) else {
+        let Ok(start) =
+            self.start.wait_for(|&it| it != DiscoveryState::Querying).await.map(|it| *it)
+        else {
             return;
         };
-        let mut bootstrapped = start == Start::FromPeer;
+        let mut bootstrapped = start == DiscoveryState::FromPeer;
         let mut known = bootstrapped;
         if bootstrapped {
             era.known = *resets.borrow();
--- a/crates/opaque/src/lists.rs
+++ b/crates/opaque/src/lists.rs
@@ -27,7 +27,7 @@
 
 /// Longest wait for a refresh before a query is answered.
 const REFRESH_WAIT: Duration = Duration::from_millis(900);
-/// Longest wait of a referred process, whose list has just been read by another one.
+/// Longest wait before a referred requester is answered; the list is already on its way to this process.
 const REFERRED_WAIT: Duration = Duration::from_millis(200);
 
 /// The latest known member list.
--- a/crates/opaque/src/metrics.rs
+++ b/crates/opaque/src/metrics.rs
@@ -44,7 +44,7 @@
 });
 
 /// Queries for the member list, by result.
-pub static LIST_ASKS: LazyLock<IntCounterVec> = LazyLock::new(|| {
+pub static LIST_QUERIES: LazyLock<IntCounterVec> = LazyLock::new(|| {
     let opts = Opts::new(
         "camphorwinch_opaque_list_asks_total",
         "Questions to other processes for the list of members, by result.",
@@ -53,7 +53,7 @@
 });
 
 /// Store objects that could not be decoded, counted on each read.
-pub static UNREADABLE: LazyLock<IntCounter> = LazyLock::new(|| {
+pub static INVALID_OBJECTS: LazyLock<IntCounter> = LazyLock::new(|| {
     register!(IntCounter::new(
         "camphorwinch_opaque_unreadable_objects_total",
         "Objects of the store that could not be read, counted with each list."
@@ -66,7 +66,7 @@
 });
 
 /// Requests in progress.
-pub static BUSY: LazyLock<IntGauge> = LazyLock::new(|| {
+pub static REQUESTS: LazyLock<IntGauge> = LazyLock::new(|| {
     register!(IntGauge::new(
         "camphorwinch_opaque_requests",
         "Requests in progress at the upstream."
@@ -74,7 +74,7 @@
 });
 
 /// Requests waiting for a slot of the upstream.
-pub static WAITING: LazyLock<IntGauge> = LazyLock::new(|| {
+pub static WAITING_REQUESTS: LazyLock<IntGauge> = LazyLock::new(|| {
     register!(IntGauge::new(
         "camphorwinch_opaque_waiting",
         "Requests that wait at the agent for a slot of the upstream."
@@ -120,7 +120,7 @@
 });
 
 /// Log lines that were dropped.
-pub static LOG_LOST: LazyLock<IntGauge> = LazyLock::new(|| {
+pub static LOG_LINES_DROPPED: LazyLock<IntGauge> = LazyLock::new(|| {
     let help = "Lines of the log lost because the reader was slow.";
     register!(IntGauge::new("camphorwinch_opaque_log_lost", help))
 });
@@ -157,7 +157,7 @@
 
 /// Renders all metrics as text.
 pub fn render() -> prometheus::Result<Vec<u8>> {
-    LOG_LOST.set(crate::log::dropped() as i64);
+    LOG_LINES_DROPPED.set(crate::log::dropped() as i64);
     let mut text = Vec::new();
     TextEncoder::new().encode(&prometheus::gather(), &mut text)?;
     Ok(text)
