--- a/crates/opaque/src/agent.rs
+++ b/crates/opaque/src/agent.rs
@@ -293,7 +293,7 @@
     }
 
     fn update_report_interval(&mut self) {
-        self.state.set_report_pause(report_pause_ms(self.balancers.len()));
+        self.state.set_report_pause(report_interval_ms(self.balancers.len()));
     }
 
     fn tick(&mut self) {
@@ -301,7 +301,7 @@
         self.state.tick(now, &mut self.effects);
         self.apply(&[], now);
         self.decision_log.tick(now);
-        let pause = report_pause_ms(self.balancers.len());
+        let pause = report_interval_ms(self.balancers.len());
         if now.saturating_sub(self.reported_ms) >= u64::from(pause) && self.state.has_served() {
             self.report(now);
         }
@@ -386,7 +386,7 @@
 }
 
 /// Interval between reports to one of `balancers`, in milliseconds.
-fn report_pause_ms(balancers: usize) -> u32 {
+fn report_interval_ms(balancers: usize) -> u32 {
     REPORT_MS.max(balancers as u32 * 1_000 / REPORTS_PER_S)
 }
 
--- a/crates/opaque/src/balancer.rs
+++ b/crates/opaque/src/balancer.rs
@@ -318,7 +318,7 @@
         if stopping {
             return;
         }
-        let ready = self.is_serviceable(now);
+        let ready = self.can_serve(now);
         if self.ready.set(ready) {
             let id = if ready { Id::Connected } else { Id::Disconnected };
             let (heard, known) = (self.state.fleet().heard(now), self.state.fleet().len());
@@ -327,7 +327,7 @@
     }
 
     /// Whether packets can be served: the configuration is known and enough agents are reachable.
-    fn is_serviceable(&self, now: u64) -> bool {
+    fn can_serve(&self, now: u64) -> bool {
         if self.state.routes().stamp().is_none() {
             return false;
         }
--- a/crates/opaque/src/balancer/input.rs
+++ b/crates/opaque/src/balancer/input.rs
@@ -210,7 +210,7 @@
         self.add_balancers(&listed);
         // Pending list queries are answered from this snapshot.
         self.publish();
-        self.lists.put(at, records, attempt);
+        self.lists.publish(at, records, attempt);
         if self.list_era.replace(era).is_some_and(|it| it < era) {
             self.state.tell_unlisted(&self.balancers, now, &mut self.effects);
             self.apply(&[], now);
--- a/crates/opaque/src/discovery.rs
+++ b/crates/opaque/src/discovery.rs
@@ -61,14 +61,14 @@
 
 /// Jittered exponential backoff and adaptive call timeout for the store.
 struct Backoff {
-    pause: Duration,
+    delay: Duration,
     failing: bool,
     timeouts: u32,
 }
 
 impl Backoff {
     fn new() -> Backoff {
-        Backoff { pause: INITIAL_BACKOFF, failing: false, timeouts: 0 }
+        Backoff { delay: INITIAL_BACKOFF, failing: false, timeouts: 0 }
     }
 
     fn call_timeout(&self) -> Duration {
@@ -89,8 +89,8 @@
 
     async fn wait_after_failure(&mut self, error: &StoreError) {
         self.record_failure(error);
-        sleep(self.pause.mul_f64(jitter())).await;
-        self.pause = (self.pause * 2).min(MAX_BACKOFF);
+        sleep(self.delay.mul_f64(jitter())).await;
+        self.delay = (self.delay * 2).min(MAX_BACKOFF);
     }
 
     fn reset(&mut self) {
--- a/crates/opaque/src/discovery/join.rs
+++ b/crates/opaque/src/discovery/join.rs
@@ -108,7 +108,7 @@
         let mut newest = None;
         loop {
             let begun = Instant::now();
-            let attempt = self.lists.begin();
+            let attempt = self.lists.begin_attempt();
             let call_timeout = backoff.call_timeout();
             match self.enter(&mut object, &mut withdrawn, reason, call_timeout).await {
                 Ok(None) => {
@@ -125,7 +125,7 @@
                     newest = newest.max(Some(at));
                     if is_older {
                         // The peer's list predates the one this process already has.
-                        self.lists.failed(attempt);
+                        self.lists.fail_attempt(attempt);
                     } else {
                         for it in [Update::Members(members, attempt)].into_iter().chain(unlisted) {
                             if self.out.send(it).await.is_err() {
@@ -139,7 +139,7 @@
                     }
                 }
                 Err(e) => {
-                    self.lists.failed(attempt);
+                    self.lists.fail_attempt(attempt);
                     self.set_state(DiscoveryState::FromStore);
                     // An unreachable peer delays the answer by its timeout, so the queries run in the background.
                     if seeds_query.as_ref().is_none_or(JoinHandle::is_finished) {
@@ -152,11 +152,11 @@
     }
 
     /// Records the outcome of the initial discovery; later calls have no effect.
-    fn set_state(&self, how: DiscoveryState) {
+    fn set_state(&self, state: DiscoveryState) {
         self.start.send_if_modified(|it| {
             let pending = *it == DiscoveryState::Querying;
             if pending {
-                *it = how;
+                *it = state;
             }
             pending
         });
@@ -175,14 +175,14 @@
         resets: &mut watch::Receiver<Option<u64>>,
     ) -> Reason {
         tokio::select! {
-            () = sleep(list_pause(known, self.is_agent()).mul_f64(jitter())) => Reason::Interval,
+            () = sleep(list_interval(known, self.is_agent()).mul_f64(jitter())) => Reason::Interval,
             () = self.relist.notified() => Reason::Rejoin,
             () = self.lists.refresh_requested.notified() => {
                 tokio::time::sleep_until(begun + LIST_GAP_PER_MEMBER * known as u32).await;
                 Reason::Requested
             }
             () = reset_after(resets, at.era) => {
-                sleep(reset_pause(known).mul_f64(jitter())).await;
+                sleep(reset_delay(known).mul_f64(jitter())).await;
                 Reason::Requested
             }
         }
@@ -223,7 +223,7 @@
             None => self.announce(object, call_timeout).await?,
         };
         let list = self.members(need, call_timeout).await?;
-        if self.is_agent() || list.members.lists(&self.own) {
+        if self.is_agent() || list.members.contains(&self.own) {
             return Ok(Some(list));
         }
         // The entry was removed meanwhile, or lost by the store.
@@ -291,12 +291,12 @@
     }
 }
 
-pub(super) fn list_pause(members: usize, agent: bool) -> Duration {
+pub(super) fn list_interval(members: usize, agent: bool) -> Duration {
     let pause = LIST_INTERVAL.mul_f64((members as f64 / BASELINE_MEMBERS as f64).max(1.0));
     if agent { pause * AGENT_INTERVAL_FACTOR } else { pause }
 }
 
 /// Time over which processes spread their list reads after a store reset.
-fn reset_pause(members: usize) -> Duration {
+fn reset_delay(members: usize) -> Duration {
     RESET_SPREAD.mul_f64(members as f64 / BASELINE_MEMBERS as f64)
 }
--- a/crates/opaque/src/discovery/tests.rs
+++ b/crates/opaque/src/discovery/tests.rs
@@ -21,7 +21,8 @@
 };
 
 use super::{
-    DiscoveryState, Follow, Join, Topic, Update, WatchRole, join::list_pause, topic::Era, withdraw,
+    DiscoveryState, Follow, Join, Topic, Update, WatchRole, join::list_interval, topic::Era,
+    withdraw,
 };
 use crate::store::{
     Announced, ConfigRead, Freshness, Member, Members, Record, Store, StoreError, Watched,
@@ -330,13 +331,13 @@
 
 #[test]
 fn member_list_reads_stay_within_store_rate() {
-    assert_eq!(list_pause(20, false), Duration::from_secs(45));
+    assert_eq!(list_interval(20, false), Duration::from_secs(45));
     // Design size: 520 balancers and 5,900 agents at 500 members per page; 0.8 is the mean jitter.
     let (balancers, agents) = (520, 5_900);
     let members = balancers + agents;
     let calls_per_s = |processes: usize, agent| {
         let calls = processes as f64 * (members as f64 / 500.0).ceil();
-        calls / (list_pause(members, agent).as_secs_f64() * 0.8)
+        calls / (list_interval(members, agent).as_secs_f64() * 0.8)
     };
     let calls_per_s = calls_per_s(balancers, false) + calls_per_s(agents, true);
     assert!(calls_per_s < 25.0, "{calls_per_s}");
@@ -542,8 +543,8 @@
     timeout(Duration::from_secs(1), lists.refresh_requested.notified())
         .await
         .expect("the seed is queried");
-    let attempt = lists.begin();
-    lists.put(Revision::new(0, STORE_AT), vec![record()], attempt);
+    let attempt = lists.begin_attempt();
+    lists.publish(Revision::new(0, STORE_AT), vec![record()], attempt);
     assert!(matches!(updates.recv().await, Some(Update::PeerRoutes(it)) if it.version == 8));
     let Some(Update::Members(members, _)) = updates.recv().await else { panic!("no list") };
     assert_eq!((members.at, &members.records), (Revision::new(0, STORE_AT), &vec![record()]));
@@ -567,7 +568,7 @@
     timeout(Duration::from_secs(1), lists.refresh_requested.notified())
         .await
         .expect("the seed is queried");
-    lists.failed(lists.begin());
+    lists.fail_attempt(lists.begin_attempt());
     let members = async {
         loop {
             if let Some(Update::Members(members, _)) = updates.recv().await {
--- a/crates/opaque/src/discovery/topic.rs
+++ b/crates/opaque/src/discovery/topic.rs
@@ -74,7 +74,12 @@
     }
 
     /// Waits after a failed call.
-    async fn failed(&self, error: &StoreError, backoff: &mut Backoff, config_read: &Notify) {
+    async fn wait_after_failure(
+        &self,
+        error: &StoreError,
+        backoff: &mut Backoff,
+        config_read: &Notify,
+    ) {
         // After a single failure only this connection may be broken, so the plain backoff applies.
         if let Topic::Zones(_) = self
             && backoff.failing
@@ -290,7 +295,7 @@
                         freshness = era.freshness();
                         continue;
                     }
-                    topic.failed(&e, &mut backoff, &self.config_read).await;
+                    topic.wait_after_failure(&e, &mut backoff, &self.config_read).await;
                 }
             }
         }
--- a/crates/opaque/src/lists.rs
+++ b/crates/opaque/src/lists.rs
@@ -65,17 +65,17 @@
 
 impl Lists {
     /// Begins an attempt to read the list and returns its number.
-    pub(crate) fn begin(&self) -> u64 {
+    pub(crate) fn begin_attempt(&self) -> u64 {
         self.begun.fetch_add(1, Ordering::Relaxed) + 1
     }
 
     /// Records that an attempt ended without a list.
-    pub(crate) fn failed(&self, attempt: u64) {
+    pub(crate) fn fail_attempt(&self, attempt: u64) {
         self.known.send_modify(|it| it.ended = it.ended.max(attempt));
     }
 
     /// Publishes the list that an attempt read.
-    pub(crate) fn put(&self, at: Revision, records: Vec<Record>, attempt: u64) {
+    pub(crate) fn publish(&self, at: Revision, records: Vec<Record>, attempt: u64) {
         self.lock().take(at);
         self.known.send_modify(|it| {
             if it.at <= Some(at) {
--- a/crates/opaque/src/lists/tests.rs
+++ b/crates/opaque/src/lists/tests.rs
@@ -23,7 +23,7 @@
 #[test]
 fn served_list_contains_all_listed_members() {
     let lists = Lists::default();
-    lists.put(Revision::new(0, 9), vec![record(1, None), record(2, Some(5))], 1);
+    lists.publish(Revision::new(0, 9), vec![record(1, None), record(2, Some(5))], 1);
     // The server knows of an unlisted agent and assumes that the listed one is gone.
     let known = Snapshot::new(None, &[listed(1, None), listed(3, Some(5))]);
     let served = lists.complete(known.clone(), Part::All);
--- a/crates/opaque/src/store.rs
+++ b/crates/opaque/src/store.rs
@@ -58,7 +58,7 @@
 
 impl Members {
     /// Whether `member` is listed with its current address, pool and zone.
-    pub fn lists(&self, member: &Member) -> bool {
+    pub fn contains(&self, member: &Member) -> bool {
         let listed = member.listed();
         self.records.iter().any(|it| it.name == member.name && it.listed == listed)
     }
