--- a/crates/core/src/admit.rs
+++ b/crates/core/src/admit.rs
@@ -1,60 +1,60 @@
-//! Whether an agent takes a new flow. Load is judged here, where it is known exactly, not from lagging reports.
+//! Admission of new flows at an agent. It is based on the agent's exact load, not on delayed reports.
 
 use crate::{
     invariant::{self, Invariant},
     object::Policy,
 };
 
-/// What an agent holds and how much it may hold.
+/// Current load and limits of an agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Room {
-    /// Flows of the service.
+    /// Number of flows of the service.
     pub flows: u32,
-    /// Most flows of the service.
+    /// Maximum number of flows of the service.
     pub flow_limit: u32,
-    /// Flows of all services.
+    /// Number of flows of all services.
     pub all_flows: u32,
-    /// Most flows of all services.
+    /// Maximum number of flows of all services.
     pub all_limit: u32,
-    /// Requests that run or wait for a slot.
+    /// Number of requests that run or wait for a slot.
     pub busy: u32,
-    /// Requests that the upstream runs at once.
+    /// Number of requests that the upstream runs concurrently.
     pub slots: u32,
 }
 
-/// Whether the agent takes new work, and why not.
+/// Whether the agent accepts new work, and if not, why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Intake {
-    /// It does.
+    /// Accepts new work.
     Open,
-    /// Its upstream does not answer, or refuses for now.
+    /// The upstream is unreachable or currently refuses requests.
     Closed,
-    /// It drains.
+    /// The agent is draining.
     Draining,
 }
 
 /// Decision on a new flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// The agent takes the flow.
+    /// The agent accepts the flow.
     Accept,
-    /// The next candidate is asked.
+    /// The flow goes to the next candidate.
     Pass,
-    /// The caller is told that the flow is refused.
+    /// The flow is refused.
     Refuse,
 }
 
-/// Decides on a new flow; `last` if no other candidate is left to ask.
+/// Decides on a new flow; `last` means that no further candidate is left.
 pub fn admit(policy: Policy, intake: Intake, room: &Room, last: bool) -> Admission {
     let full = room.flows >= room.flow_limit || room.all_flows >= room.all_limit;
-    let crowded = policy == Policy::Even && room.busy >= room.slots;
+    let busy = policy == Policy::Even && room.busy >= room.slots;
     let decision = match (intake, full) {
         (Intake::Draining, _) | (_, true) if last => Admission::Refuse,
         (Intake::Draining, _) | (_, true) => Admission::Pass,
         (Intake::Closed, false) if !last => Admission::Pass,
-        (Intake::Open, false) if crowded && !last => Admission::Pass,
+        (Intake::Open, false) if busy && !last => Admission::Pass,
         (Intake::Open | Intake::Closed, false) => Admission::Accept,
     };
-    let holds = intake != Intake::Draining || decision != Admission::Accept;
-    if invariant::check(Invariant::DrainHolds, holds) { decision } else { Admission::Refuse }
+    let allowed = intake != Intake::Draining || decision != Admission::Accept;
+    if invariant::check(Invariant::DrainHolds, allowed) { decision } else { Admission::Refuse }
 }
--- a/crates/core/src/assemble.rs
+++ b/crates/core/src/assemble.rs
@@ -1,4 +1,4 @@
-//! Builds snapshots for the data paths out of a view.
+//! Builds snapshots for the data path from a view.
 
 use std::collections::{BTreeMap, btree_map};
 
@@ -10,7 +10,7 @@
     view::View,
 };
 
-/// Builds snapshots; remembers the last good spec of each object, which stays in force while a newer one is malformed.
+/// Builds snapshots. Keeps the last valid spec of each object in force while a newer one is invalid.
 #[derive(Debug, Default)]
 pub struct Assembler {
     parsed: BTreeMap<(Kind, String), Parsed>,
@@ -18,40 +18,40 @@
 
 #[derive(Debug)]
 struct Parsed {
-    /// Version last looked at.
-    seen: u64,
-    /// The last good spec, with its version.
-    good: Option<(u64, Spec)>,
+    /// Version parsed last.
+    parsed_version: u64,
+    /// The last valid spec with its version.
+    last_valid: Option<(u64, Spec)>,
 }
 
 impl Assembler {
-    /// An assembler that remembers nothing.
+    /// Creates an assembler without previous specs.
     pub fn new() -> Assembler {
         Assembler::default()
     }
 
-    /// The snapshot of `view`, and the faults of objects that were not reported before.
+    /// Builds the snapshot of `view`; also returns the errors of objects that were not reported before.
     pub fn snapshot(&mut self, view: &View) -> (Snapshot, Vec<SpecError>) {
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         let mut next = BTreeMap::new();
         for kind in Kind::CONFIG {
             for object in view.objects(kind) {
                 let key = (kind, object.name.clone());
                 let old = self.parsed.remove(&key);
-                next.insert(key, parse(old, object, &mut faults));
+                next.insert(key, parse(old, object, &mut errors));
             }
         }
         self.parsed = next;
         let mut snapshot = Snapshot { revision: view.revision(), ..Snapshot::default() };
-        self.add_config(&mut snapshot, &mut faults);
+        self.add_config(&mut snapshot, &mut errors);
         add_members(&mut snapshot, view);
-        (snapshot, faults)
+        (snapshot, errors)
     }
 
-    fn add_config(&self, snapshot: &mut Snapshot, faults: &mut Vec<SpecError>) {
+    fn add_config(&self, snapshot: &mut Snapshot, errors: &mut Vec<SpecError>) {
         let mut services: Vec<(&str, u64, &Service)> = Vec::new();
         for ((_, name), parsed) in &self.parsed {
-            let Some((version, spec)) = &parsed.good else {
+            let Some((version, spec)) = &parsed.last_valid else {
                 continue;
             };
             match spec {
@@ -68,32 +68,34 @@
         }
         services.sort_by_key(|(_, version, _)| *version);
         for (name, version, spec) in services {
-            if let Err(fault) = add_service(snapshot, name, version, spec) {
-                faults.push(fault);
+            if let Err(error) = add_service(snapshot, name, version, spec) {
+                errors.push(error);
             }
         }
     }
 }
 
-fn parse(old: Option<Parsed>, object: &Object, faults: &mut Vec<SpecError>) -> Parsed {
-    // An older version than the one in force stays out, whatever the view says.
-    let newer = old.as_ref().is_none_or(|it| object.version >= it.seen);
+fn parse(old: Option<Parsed>, object: &Object, errors: &mut Vec<SpecError>) -> Parsed {
+    // A version older than the one in force is never applied.
+    let newer = old.as_ref().is_none_or(|it| object.version >= it.parsed_version);
     if let Some(old) = old.as_ref().filter(|_| !check(Invariant::VersionGrows, newer)) {
-        return Parsed { seen: old.seen, good: old.good.clone() };
+        return Parsed { parsed_version: old.parsed_version, last_valid: old.last_valid.clone() };
     }
-    if let Some(old) = old.as_ref().filter(|it| it.seen == object.version) {
-        return Parsed { seen: old.seen, good: old.good.clone() };
+    if let Some(old) = old.as_ref().filter(|it| it.parsed_version == object.version) {
+        return Parsed { parsed_version: old.parsed_version, last_valid: old.last_valid.clone() };
     }
     match Spec::parse(object) {
-        Ok(spec) => Parsed { seen: object.version, good: Some((object.version, spec)) },
-        Err(fault) => {
-            faults.push(fault);
-            Parsed { seen: object.version, good: old.and_then(|it| it.good) }
+        Ok(spec) => {
+            Parsed { parsed_version: object.version, last_valid: Some((object.version, spec)) }
+        }
+        Err(error) => {
+            errors.push(error);
+            Parsed { parsed_version: object.version, last_valid: old.and_then(|it| it.last_valid) }
         }
     }
 }
 
-/// Adds a service unless an older one has its address or number: one packet must have one service.
+/// Adds a service unless an older one has the same address or ID, so that each packet belongs to one service.
 fn add_service(
     snapshot: &mut Snapshot,
     name: &str,
@@ -101,10 +103,10 @@
     spec: &Service,
 ) -> Result<(), SpecError> {
     let id = ServiceId::new(name);
-    let rival = snapshot.services.values().find(|it| it.spec.address == spec.address);
-    let rival = rival.or_else(|| snapshot.services.get(&id));
-    if let Some(rival) = rival {
-        check_services([(rival.name.as_str(), &rival.spec), (name, spec)])?;
+    let conflicting = snapshot.services.values().find(|it| it.spec.address == spec.address);
+    let conflicting = conflicting.or_else(|| snapshot.services.get(&id));
+    if let Some(conflicting) = conflicting {
+        check_services([(conflicting.name.as_str(), &conflicting.spec), (name, spec)])?;
     }
     if let btree_map::Entry::Vacant(entry) = snapshot.services.entry(id) {
         entry.insert(ServiceEntry::new(name, version, spec.clone()));
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -1,40 +1,39 @@
-//! Budget of retries: a share of the requests, so that retries can't multiply an overload.
+//! Retry budget: limits retries to a share of the requests, so that they can't amplify an overload.
 
-/// Retries allowed beyond the share, so that a quiet service may retry at all.
-const RESERVE: f64 = 10.0;
-/// Reserve that comes back per second.
+/// Burst size; lets a service with few requests retry.
+const MAX_TOKENS: f64 = 10.0;
 const REFILL_PER_S: f64 = 1.0;
 
-/// A token bucket: each request puts in the service's share, each retry takes out one.
+/// A token bucket: each request adds `share` tokens, each retry takes one.
 #[derive(Clone, Debug)]
 pub struct Budget {
     tokens: f64,
     share: f64,
-    at: u64,
+    updated_ms: u64,
 }
 
 impl Budget {
-    /// A full budget; `share` is the number of retries allowed per request.
+    /// Creates a full budget; `share` is the number of retries allowed per request.
     pub fn new(share: f64, now: u64) -> Budget {
-        Budget { tokens: RESERVE, share, at: now }
+        Budget { tokens: MAX_TOKENS, share, updated_ms: now }
     }
 
-    /// Changes the share.
+    /// Sets the number of retries allowed per request.
     pub fn set_share(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// Counts a request.
+    /// Adds the share of one request.
     pub fn deposit(&mut self) {
-        self.tokens = (self.tokens + self.share).min(RESERVE);
+        self.tokens = (self.tokens + self.share).min(MAX_TOKENS);
     }
 
-    /// Takes out one retry; false if the budget is spent.
+    /// Takes one retry from the budget; false if it is exhausted.
     pub fn withdraw(&mut self, now: u64) -> bool {
-        let passed = now.saturating_sub(self.at) as f64 / 1_000.0;
-        self.at = self.at.max(now);
+        let elapsed_s = now.saturating_sub(self.updated_ms) as f64 / 1_000.0;
+        self.updated_ms = self.updated_ms.max(now);
         if self.share > 0.0 {
-            self.tokens = (self.tokens + passed * REFILL_PER_S).min(RESERVE);
+            self.tokens = (self.tokens + elapsed_s * REFILL_PER_S).min(MAX_TOKENS);
         }
         if self.share <= 0.0 || self.tokens < 1.0 {
             return false;
--- a/crates/core/src/candidates.rs
+++ b/crates/core/src/candidates.rs
@@ -1,13 +1,13 @@
-//! The few agents that may accept a new flow, in order of preference.
+//! Agents that may accept a new flow, in order of preference.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Most candidates of a new flow.
+/// Maximum number of candidates for a new flow.
 pub const MAX_CANDIDATES: usize = 3;
 
-const NOBODY: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0);
+const UNUSED: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0);
 
-/// Data addresses of the agents that may accept a new flow, best first. Lives on the stack.
+/// Data addresses of the agents that may accept a new flow, best first. Stored inline, without allocation.
 #[derive(Clone, Copy)]
 pub struct Candidates {
     agents: [SocketAddrV4; MAX_CANDIDATES],
@@ -15,10 +15,10 @@
 }
 
 impl Candidates {
-    /// No candidates: the packet belongs to a flow that is already placed.
-    pub const NONE: Candidates = Candidates { agents: [NOBODY; MAX_CANDIDATES], len: 0 };
+    /// No candidates, for a packet of an established flow.
+    pub const NONE: Candidates = Candidates { agents: [UNUSED; MAX_CANDIDATES], len: 0 };
 
-    /// Candidates from the best on; those after the third are left out.
+    /// Creates the list from agents sorted best first; agents after the first [`MAX_CANDIDATES`] are ignored.
     pub fn new(agents: &[SocketAddrV4]) -> Candidates {
         let mut it = Candidates::NONE;
         for &agent in agents {
--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -1,8 +1,8 @@
-//! Claims on idempotency keys: which request runs under a key, and what it was answered.
+//! Claims on idempotency keys: the request that runs under a key, and its stored response.
 //!
-//! Before a keyed request runs, the agents that the [`Roster`](crate::roster::Roster) names must have recorded its
-//! claim; a second request under the key then finds it. Claims live in the agents' memory. An agent that leaves hands
-//! its claims over.
+//! Before a request with a key runs, its claim must be recorded at the agents selected by the
+//! [`Roster`](crate::roster::Roster), so that a second request under the key finds it. Claims are kept in memory only.
+//! A leaving agent transfers its claims to the others.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,19 +17,18 @@
     object::ServiceId,
 };
 
-/// Largest answer kept for a repeat.
+/// Maximum size in bytes of a response that is stored for repeated requests.
 pub const MAX_ANSWER: usize = 64 << 10;
-/// Longest idempotency key.
+/// Maximum length of an idempotency key in bytes.
 pub const MAX_KEY: usize = 255;
 
-/// Most claims that one agent keeps.
 const MAX_CLAIMS: usize = 200_000;
-/// Most bytes of answers that one agent keeps.
-const MAX_BYTES: usize = 64 << 20;
-/// A claim whose request never reported is kept this many times the key's window.
-const UNSETTLED_FACTOR: u64 = 4;
+/// Limit on the total size of stored responses.
+const MAX_STORED_BYTES: usize = 64 << 20;
+/// A claim whose request was never settled expires after this many key windows.
+const UNSETTLED_WINDOWS: u64 = 4;
 
-/// Number of a caller's request; the same on every attempt.
+/// ID of a caller's request; the same for every attempt.
 pub type RequestId = u128;
 
 /// An idempotency key within a service.
@@ -37,12 +36,12 @@
 pub struct ClaimKey {
     /// The service.
     pub service: ServiceId,
-    /// The key as the caller gave it.
+    /// The key sent by the caller.
     pub key: String,
 }
 
 impl ClaimKey {
-    /// The names of `members` by rendezvous, the key's arbiter first.
+    /// Sorts the names of `members` by rendezvous hashing; the first is the key's arbiter.
     pub fn order<'a, I>(&self, members: I) -> Vec<&'a str>
     where
         I: IntoIterator<Item = &'a str>,
@@ -63,10 +62,10 @@
     }
 }
 
-/// A whole answer, kept for repeats.
+/// A complete response, stored for repeated requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Status.
+    /// HTTP status code.
     pub status: u16,
     /// Header fields, in order.
     pub headers: Vec<(String, Vec<u8>)>,
@@ -82,14 +81,14 @@
     }
 }
 
-/// What is known of the request that claimed a key.
+/// State of the request that claimed a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum State {
     /// It may be running.
     Running,
-    /// It may have run, and its answer is lost.
+    /// It may have run; its response is not available.
     Unknown,
-    /// It ran and was answered so.
+    /// It ran and returned this response.
     Done(Arc<Answer>),
 }
 
@@ -108,50 +107,51 @@
 pub struct Claim {
     /// The request that claimed the key.
     pub request: RequestId,
-    /// Digest of what the caller asked for, so that a key used for something else is noticed.
+    /// Digest of the request content, to detect that a key is reused for a different request.
     pub digest: u64,
-    /// Name of the agent that claimed.
+    /// Name of the agent that made the claim.
     pub by: String,
-    /// State.
+    /// State of the request.
     pub state: State,
-    /// For how long the key is remembered, in milliseconds.
+    /// Retention time of the key, in milliseconds.
     pub window: u64,
 }
 
-/// Result of a claim.
+/// Result of an attempt to claim a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Claimed {
-    /// The key was free, or is claimed by this same request: it may run.
+    /// The key was free or is claimed by the same request, which may run.
     Granted,
-    /// Another request has the key.
+    /// Another request has claimed the key.
     Taken(Claim),
-    /// The key was used for a request that asked for something else.
+    /// The key was used for a request with different content.
     Mismatch,
-    /// An earlier claim on the key may have been forgotten; said by whoever asks the roster too.
+    /// An earlier claim on the key may have been lost. Returned by agents that also check the roster.
     Doubtful,
-    /// The members changed lately, or are others by what the asked agent knows; said by whoever asks the roster too.
+    /// The members changed recently or differ from those of the claiming agent. Returned by agents that also check the
+    /// roster.
     Unsettled,
-    /// No room for another claim, or the agent leaves.
+    /// The claim limit is reached, or the agent is leaving.
     Full,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
     claim: Claim,
-    expires: u64,
+    expires_ms: u64,
 }
 
-/// The claims that one agent remembers.
+/// Claims stored by one agent.
 #[derive(Clone, Debug, Default)]
 pub struct Claims {
     entries: BTreeMap<ClaimKey, Entry>,
     expiry: BTreeSet<(u64, ClaimKey)>,
-    bytes: usize,
+    stored_bytes: usize,
     closed: bool,
 }
 
 impl Claims {
-    /// No claims.
+    /// Creates an empty store.
     pub fn new() -> Claims {
         Claims::default()
     }
@@ -161,12 +161,12 @@
         self.entries.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no claims.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Claims `key` for a request that has not run.
+    /// Claims `key` for a request that has not run yet.
     pub fn claim(&mut self, key: &ClaimKey, claim: Claim, now: u64) -> Claimed {
         self.expire(now);
         if let Some(old) = self.entries.get(key) {
@@ -183,7 +183,7 @@
         Claimed::Granted
     }
 
-    /// Records what came of the request that claimed `key`.
+    /// Records the final state of the request that claimed `key`.
     pub fn settle(&mut self, key: &ClaimKey, request: RequestId, state: State, now: u64) {
         self.expire(now);
         let Some(old) = self.entries.get(key) else {
@@ -197,22 +197,22 @@
         self.insert(key, claim, now);
     }
 
-    /// Gives `key` free: the request that claimed it was proven not to have run.
+    /// Releases `key` because the request that claimed it has certainly not run.
     pub fn release(&mut self, key: &ClaimKey, request: RequestId) {
-        let mine = |it: &Entry| it.claim.request == request && it.claim.state == State::Running;
-        if self.entries.get(key).is_some_and(mine) {
+        let is_own = |it: &Entry| it.claim.request == request && it.claim.state == State::Running;
+        if self.entries.get(key).is_some_and(is_own) {
             self.remove(key);
         }
     }
 
-    /// Takes in a claim that a leaving agent hands over. What is known more surely stays.
+    /// Imports a claim transferred by a leaving agent; the more definite state wins.
     pub fn adopt(&mut self, key: &ClaimKey, claim: Claim, now: u64) {
         self.expire(now);
         if let Some(old) = self.entries.get(key) {
-            // Two requests that both ran under one key: their claims did not meet.
-            let both = old.claim.request != claim.request
+            // Both requests ran under one key, so the claims were not checked against each other.
+            let both_ran = old.claim.request != claim.request
                 && matches!((&old.claim.state, &claim.state), (State::Done(_), State::Done(_)));
-            if !invariant::check(Invariant::RunOnce, !both) {
+            if !invariant::check(Invariant::RunOnce, !both_ran) {
                 return;
             }
             if old.claim.state.rank() >= claim.state.rank() {
@@ -222,7 +222,7 @@
         self.insert(key, claim, now);
     }
 
-    /// Drops claims whose time is over.
+    /// Removes expired claims.
     pub fn expire(&mut self, now: u64) {
         while let Some((at, key)) = self.expiry.first() {
             if *at > now {
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Takes no further claims, and returns those it holds, to be handed over.
+    /// Stops accepting claims and returns the stored ones for transfer.
     pub fn close(&mut self) -> Vec<(ClaimKey, Claim)> {
         self.closed = true;
         self.entries.iter().map(|(key, it)| (key.clone(), it.claim.clone())).collect()
@@ -241,30 +241,30 @@
 
     fn insert(&mut self, key: &ClaimKey, mut claim: Claim, now: u64) {
         self.remove(key);
-        let size = answer_size(&claim);
-        if size > 0 && (size > MAX_ANSWER || self.bytes + size > MAX_BYTES) {
+        let size = response_bytes(&claim);
+        if size > 0 && (size > MAX_ANSWER || self.stored_bytes + size > MAX_STORED_BYTES) {
             claim.state = State::Unknown;
         }
-        let kept = match claim.state {
-            State::Running => claim.window.saturating_mul(UNSETTLED_FACTOR),
+        let ttl_ms = match claim.state {
+            State::Running => claim.window.saturating_mul(UNSETTLED_WINDOWS),
             State::Unknown | State::Done(_) => claim.window,
         };
-        let expires = now.saturating_add(kept);
-        self.bytes += answer_size(&claim);
-        self.expiry.insert((expires, key.clone()));
-        self.entries.insert(key.clone(), Entry { claim, expires });
+        let expires_ms = now.saturating_add(ttl_ms);
+        self.stored_bytes += response_bytes(&claim);
+        self.expiry.insert((expires_ms, key.clone()));
+        self.entries.insert(key.clone(), Entry { claim, expires_ms });
     }
 
     fn remove(&mut self, key: &ClaimKey) {
         let Some(entry) = self.entries.remove(key) else {
             return;
         };
-        self.expiry.remove(&(entry.expires, key.clone()));
-        self.bytes -= answer_size(&entry.claim);
+        self.expiry.remove(&(entry.expires_ms, key.clone()));
+        self.stored_bytes -= response_bytes(&entry.claim);
     }
 }
 
-fn answer_size(claim: &Claim) -> usize {
+fn response_bytes(claim: &Claim) -> usize {
     match &claim.state {
         State::Done(answer) => answer.size(),
         State::Running | State::Unknown => 0,
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -1,8 +1,8 @@
-//! Course of one request: run here, wait for a slot, offer to a peer, retry, or give the final answer.
+//! State machine of one request: run locally, wait for a slot, forward to a peer, retry, or return the final outcome.
 //!
-//! Whoever carries out a [`Step`] reports what came of it, and gets the next step. A request that is not idempotent is
-//! sent on only while it is proven that no upstream has begun it; after that its outcome is either the upstream's
-//! answer or unknown.
+//! The caller of this module executes each [`Step`], reports the result and receives the next step. A request that is
+//! not idempotent is sent again only while it is certain that no upstream has started it. After that, its outcome is
+//! either the upstream's response or unknown.
 
 use crate::{
     budget::Budget,
@@ -10,39 +10,40 @@
     object::Policy,
 };
 
-/// Agents that a request may pass through beyond the one that holds its flow.
+/// Maximum number of agents that may forward a request after the one that holds its flow.
 pub const MAX_HOPS: u8 = 2;
-/// Offers that one agent makes for one request.
-const MAX_OFFERS: u8 = 3;
-/// Times an idempotent request is sent.
+/// Maximum number of peers to which one agent forwards a request.
+const MAX_FORWARDS: u8 = 3;
+/// Maximum number of times that an idempotent request is sent.
 const MAX_SENDS: u8 = 3;
-/// Wait for a slot before peers are asked, under the steady policy.
-const FIRST_WAIT_MS: u64 = 10;
-/// Wait for a slot after all peers refused.
-const LAST_WAIT_MS: u64 = 100;
-/// Least time after which a caller may ask again.
-const LEAST_RETRY_MS: u64 = 1_000;
-const LONGEST_RETRY_MS: u64 = 30_000;
+/// Wait for a local slot before the request is forwarded, under the steady policy.
+const INITIAL_SLOT_WAIT_MS: u64 = 10;
+/// Wait for a local slot after all peers refused.
+const FINAL_SLOT_WAIT_MS: u64 = 100;
+/// Shortest retry delay returned to a caller.
+const MIN_RETRY_MS: u64 = 1_000;
+/// Longest retry delay returned to a caller.
+const MAX_RETRY_MS: u64 = 30_000;
 
-/// What is known of a request when it arrives.
+/// Properties of an incoming request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Whether its method is idempotent.
+    /// Whether the method is idempotent.
     pub idempotent: bool,
-    /// Agents that it has passed through before.
+    /// Number of agents that forwarded it before.
     pub hop: u8,
-    /// Time by which the caller wants the answer.
+    /// Deadline of the caller, in milliseconds.
     pub deadline: Option<u64>,
 }
 
-/// The agent's state at a decision.
+/// State of the agent that a decision depends on.
 #[derive(Debug)]
 pub struct View<'a> {
-    /// Time in milliseconds.
+    /// Current time in milliseconds.
     pub now: u64,
-    /// Whether the local upstream may be given the request.
+    /// Whether the request may be sent to the local upstream.
     pub local: bool,
-    /// Peers to offer the request to, best first.
+    /// Peers to forward the request to, best first.
     pub peers: &'a [&'a str],
     /// The service's retry budget.
     pub budget: &'a mut Budget,
@@ -50,159 +51,159 @@
     pub policy: Policy,
 }
 
-/// What is to be done next.
+/// The next action.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Take a slot of the local upstream, waiting at most this long. Reports `Slot` or `Full`.
+    /// Acquire a slot of the local upstream. Results: `Slot` or `Full`.
     Take {
         /// Longest wait in milliseconds.
         wait_ms: u64,
     },
-    /// Send the request to the local upstream, in the slot taken.
+    /// Send the request to the local upstream in the acquired slot.
     Run,
-    /// Offer the request to a peer.
+    /// Forward the request to a peer.
     Offer {
         /// The peer's name.
         to: String,
     },
-    /// Nothing more is to be done but to give the caller this outcome.
+    /// Return this outcome to the caller; the request is finished.
     Answer(Outcome),
 }
 
-/// What came of a step.
+/// Result of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Report {
-    /// A slot was taken.
+    /// A slot was acquired.
     Slot,
-    /// No slot came free in time.
+    /// No slot became free in time.
     Full,
-    /// The upstream or the peer refused, or could not be reached; it is proven that the request was not begun.
+    /// The upstream or the peer refused or was unreachable; the request was certainly not started.
     Refused {
-        /// Time after which it may be asked again; 0 if not told.
+        /// Retry delay that it returned; 0 if none.
         retry_ms: u64,
     },
-    /// Like `Refused`, but the request can't be sent again: its body was read and not kept.
+    /// Like `Refused`, but the request can't be sent again because its body was consumed.
     Consumed {
-        /// Time after which the caller may ask again.
+        /// Retry delay for the caller.
         retry_ms: u64,
     },
-    /// The attempt broke off before an answer; the request may have been begun.
+    /// The connection failed before a response; the request may have been started.
     Lost,
-    /// The answer's head came.
+    /// The response headers arrived.
     Head,
-    /// The caller gave up.
+    /// The caller cancelled the request.
     Cancelled,
 }
 
-/// Outcome of a request for its caller.
+/// Final outcome of a request for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The upstream's answer is passed on.
+    /// The upstream's response is relayed.
     Relay,
-    /// No upstream has begun the request.
+    /// No upstream has started the request.
     NotRun {
-        /// Time after which the caller may ask again.
+        /// Retry delay for the caller.
         retry_ms: u64,
     },
-    /// An upstream may have begun the request, and its answer is lost.
+    /// An upstream may have started the request, and no response arrived.
     Unknown {
-        /// Time after which the caller may ask again.
+        /// Retry delay for the caller.
         retry_ms: u64,
     },
-    /// The caller gave up.
+    /// The caller cancelled the request.
     Cancelled,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     New,
-    Taking,
+    AcquiringSlot,
     Running,
-    Offered,
+    Forwarded,
     Done,
 }
 
-/// The course of one request at one agent.
+/// State of one request at one agent.
 #[derive(Clone, Debug)]
 pub struct Dispatch {
     request: Request,
     stage: Stage,
-    begun: bool,
+    maybe_started: bool,
     sends: u8,
-    offers: u8,
-    offered: Vec<String>,
-    waited: bool,
-    refused_here: bool,
+    forwards: u8,
+    tried_peers: Vec<String>,
+    did_final_wait: bool,
+    refused_locally: bool,
     retry_ms: u64,
 }
 
 impl Dispatch {
-    /// A request that has just arrived.
+    /// Creates the state of a request that has just arrived.
     pub fn new(request: Request) -> Dispatch {
         Dispatch {
             request,
             stage: Stage::New,
-            begun: false,
+            maybe_started: false,
             sends: 0,
-            offers: 0,
-            offered: Vec::new(),
-            waited: false,
-            refused_here: false,
+            forwards: 0,
+            tried_peers: Vec::new(),
+            did_final_wait: false,
+            refused_locally: false,
             retry_ms: 0,
         }
     }
 
-    /// The first step.
+    /// Returns the first step.
     pub fn start(&mut self, view: &mut View<'_>) -> Step {
         if self.request.hop == 0 {
             view.budget.deposit();
         }
         if view.local {
-            let wait_ms = if view.policy == Policy::Steady { FIRST_WAIT_MS } else { 0 };
-            return self.take(view, wait_ms);
+            let wait_ms = if view.policy == Policy::Steady { INITIAL_SLOT_WAIT_MS } else { 0 };
+            return self.acquire_slot(view, wait_ms);
         }
-        self.offer(view)
+        self.forward(view)
     }
 
-    /// The step after `report`.
+    /// Returns the step that follows the result `report`.
     pub fn next(&mut self, report: Report, view: &mut View<'_>) -> Step {
         match report {
             Report::Slot if view.local => self.run(view),
-            Report::Slot | Report::Full => self.offer(view),
+            Report::Slot | Report::Full => self.forward(view),
             Report::Refused { retry_ms } => {
-                self.refused_here |= self.stage == Stage::Running;
+                self.refused_locally |= self.stage == Stage::Running;
                 self.stage = Stage::New;
                 self.sends = self.sends.saturating_sub(1);
                 self.retry_ms = self.retry_ms.max(retry_ms);
-                self.offer(view)
+                self.forward(view)
             }
             Report::Consumed { retry_ms } => {
                 self.stage = Stage::New;
                 self.retry_ms = self.retry_ms.max(retry_ms);
                 self.give_up()
             }
-            Report::Lost => self.lost(view),
-            Report::Head => self.answer(Outcome::Relay),
-            Report::Cancelled => self.answer(Outcome::Cancelled),
+            Report::Lost => self.connection_lost(view),
+            Report::Head => self.finish(Outcome::Relay),
+            Report::Cancelled => self.finish(Outcome::Cancelled),
         }
     }
 
-    /// Whether an upstream may have begun the request.
+    /// Whether an upstream may have started the request.
     pub fn may_have_begun(&self) -> bool {
-        self.begun || matches!(self.stage, Stage::Running | Stage::Offered)
+        self.maybe_started || matches!(self.stage, Stage::Running | Stage::Forwarded)
     }
 
-    fn take(&mut self, view: &View<'_>, wait_ms: u64) -> Step {
+    fn acquire_slot(&mut self, view: &View<'_>, wait_ms: u64) -> Step {
         let left = self.request.deadline.map_or(u64::MAX, |it| it.saturating_sub(view.now));
         if left == 0 {
             return self.give_up();
         }
-        self.stage = Stage::Taking;
+        self.stage = Stage::AcquiringSlot;
         Step::Take { wait_ms: wait_ms.min(left) }
     }
 
     fn run(&mut self, view: &View<'_>) -> Step {
-        if self.late(view) {
+        if self.deadline_passed(view) {
             return self.give_up();
         }
         if !self.may_send() || !invariant::check(Invariant::DrainHolds, view.local) {
@@ -213,49 +214,50 @@
         Step::Run
     }
 
-    fn offer(&mut self, view: &View<'_>) -> Step {
-        if self.late(view) {
+    fn forward(&mut self, view: &View<'_>) -> Step {
+        if self.deadline_passed(view) {
             return self.give_up();
         }
-        let may_offer = self.offers < self.most_offers(view);
-        let fresh = |it: &&&str| !self.offered.iter().any(|old| old == **it);
-        let Some(peer) = view.peers.iter().find(fresh).filter(|_| may_offer) else {
-            return self.last_wait(view);
+        let may_forward = self.forwards < self.max_forwards(view);
+        let untried = |it: &&&str| !self.tried_peers.iter().any(|old| old == **it);
+        let Some(peer) = view.peers.iter().find(untried).filter(|_| may_forward) else {
+            return self.wait_or_give_up(view);
         };
         if !self.may_send() {
             return self.give_up();
         }
         let to = (*peer).to_owned();
-        self.stage = Stage::Offered;
-        self.offers += 1;
+        self.stage = Stage::Forwarded;
+        self.forwards += 1;
         self.sends += 1;
-        self.offered.push(to.clone());
+        self.tried_peers.push(to.clone());
         Step::Offer { to }
     }
 
-    /// An agent that was offered a request passes it on only if it can't run any: else offers would multiply under
-    /// load.
-    fn most_offers(&self, view: &View<'_>) -> u8 {
+    /// An agent forwards a forwarded request only if it can't run requests itself. Otherwise forwarding would multiply
+    /// under load.
+    fn max_forwards(&self, view: &View<'_>) -> u8 {
         match self.request.hop {
-            0 => MAX_OFFERS,
+            0 => MAX_FORWARDS,
             hop if hop < MAX_HOPS && !view.local => 1,
             _ => 0,
         }
     }
 
-    fn last_wait(&mut self, view: &View<'_>) -> Step {
-        // A peer that was offered the request leaves the waiting to the agent that holds the flow.
-        let may_wait = view.local && !self.waited && !self.refused_here && self.request.hop == 0;
+    fn wait_or_give_up(&mut self, view: &View<'_>) -> Step {
+        // Only the agent that holds the flow waits; a peer refuses at once.
+        let may_wait =
+            view.local && !self.did_final_wait && !self.refused_locally && self.request.hop == 0;
         if !may_wait {
             return self.give_up();
         }
-        self.waited = true;
-        self.take(view, LAST_WAIT_MS)
+        self.did_final_wait = true;
+        self.acquire_slot(view, FINAL_SLOT_WAIT_MS)
     }
 
-    fn lost(&mut self, view: &mut View<'_>) -> Step {
-        let was_here = self.stage == Stage::Running;
-        self.begun = true;
+    fn connection_lost(&mut self, view: &mut View<'_>) -> Step {
+        let was_local = self.stage == Stage::Running;
+        self.maybe_started = true;
         self.stage = Stage::New;
         let may_retry = self.request.idempotent
             && self.request.hop == 0
@@ -264,41 +266,44 @@
         if !may_retry {
             return self.give_up();
         }
-        if view.local && !was_here {
-            return self.take(view, LAST_WAIT_MS);
+        if view.local && !was_local {
+            return self.acquire_slot(view, FINAL_SLOT_WAIT_MS);
         }
-        self.offer(view)
+        self.forward(view)
     }
 
-    fn late(&self, view: &View<'_>) -> bool {
+    fn deadline_passed(&self, view: &View<'_>) -> bool {
         self.request.deadline.is_some_and(|it| view.now >= it)
     }
 
     fn may_send(&self) -> bool {
-        let free = !matches!(self.stage, Stage::Running | Stage::Offered | Stage::Done);
-        let first = self.request.idempotent || !self.begun;
-        invariant::check(Invariant::RunOnce, free && first)
+        let idle = !matches!(self.stage, Stage::Running | Stage::Forwarded | Stage::Done);
+        let may_repeat = self.request.idempotent || !self.maybe_started;
+        invariant::check(Invariant::RunOnce, idle && may_repeat)
     }
 
     fn give_up(&mut self) -> Step {
-        let retry_ms = self.retry_ms.clamp(LEAST_RETRY_MS, LONGEST_RETRY_MS);
+        let retry_ms = self.retry_ms.clamp(MIN_RETRY_MS, MAX_RETRY_MS);
         if self.may_have_begun() {
-            return self.answer(Outcome::Unknown { retry_ms });
+            return self.finish(Outcome::Unknown { retry_ms });
         }
-        self.answer(Outcome::NotRun { retry_ms })
+        self.finish(Outcome::NotRun { retry_ms })
     }
 
-    fn answer(&mut self, outcome: Outcome) -> Step {
-        let once = self.stage != Stage::Done;
-        let is_true = !matches!(outcome, Outcome::NotRun { .. }) || !self.may_have_begun();
-        let outcome = if invariant::check(Invariant::NotRunTrue, is_true) {
+    fn finish(&mut self, outcome: Outcome) -> Step {
+        let unanswered = self.stage != Stage::Done;
+        let not_run_holds = !matches!(outcome, Outcome::NotRun { .. }) || !self.may_have_begun();
+        let outcome = if invariant::check(Invariant::NotRunTrue, not_run_holds) {
             outcome
         } else {
-            Outcome::Unknown { retry_ms: LEAST_RETRY_MS }
+            Outcome::Unknown { retry_ms: MIN_RETRY_MS }
         };
-        let outcome =
-            if invariant::check(Invariant::OneAnswer, once) { outcome } else { Outcome::Cancelled };
-        self.begun = self.may_have_begun();
+        let outcome = if invariant::check(Invariant::OneAnswer, unanswered) {
+            outcome
+        } else {
+            Outcome::Cancelled
+        };
+        self.maybe_started = self.may_have_begun();
         self.stage = Stage::Done;
         Step::Answer(outcome)
     }
--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -1,69 +1,68 @@
-//! Back-off towards an upstream that refuses: closed after refusals, tried again by one request at a time.
+//! Backoff for an upstream that refuses requests: the gate closes after a refusal and reopens after a successful probe.
 
-const FIRST_MS: u64 = 20;
-const LONGEST_MS: u64 = 1_000;
-/// A probe that has not reported by then no longer holds others back.
-const PROBE_MS: u64 = 1_000;
+const MIN_BACKOFF_MS: u64 = 20;
+const MAX_BACKOFF_MS: u64 = 1_000;
+/// A probe without a result after this time no longer blocks other requests.
+const PROBE_TIMEOUT_MS: u64 = 1_000;
 
-/// Whether requests are sent to an upstream at all. What counts is how it answered requests, not what it says of
-/// itself.
+/// Decides whether requests are sent to an upstream, based on the results of earlier requests.
 #[derive(Clone, Debug, Default)]
 pub struct Gate {
-    wait: u64,
-    until: u64,
-    probe: Option<u64>,
-    since: Option<u64>,
+    backoff_ms: u64,
+    closed_until: u64,
+    probe_sent: Option<u64>,
+    first_refusal: Option<u64>,
 }
 
 impl Gate {
-    /// An open gate.
+    /// Creates an open gate.
     pub fn new() -> Gate {
         Gate::default()
     }
 
-    /// Whether a request would be let through, without letting one through.
+    /// Whether a request would be admitted; does not count as one.
     pub fn is_open(&self, now: u64) -> bool {
-        self.wait == 0 || (now >= self.until && !self.probing(now))
+        self.backoff_ms == 0 || (now >= self.closed_until && !self.probing(now))
     }
 
-    /// Lets a request through, or not. While the gate opens again only one probes.
+    /// Admits or rejects a request. After a backoff only one request is admitted, as a probe.
     pub fn pass(&mut self, now: u64) -> bool {
         if !self.is_open(now) {
             return false;
         }
-        if self.wait > 0 {
-            self.probe = Some(now);
+        if self.backoff_ms > 0 {
+            self.probe_sent = Some(now);
         }
         true
     }
 
-    /// The upstream took a request.
+    /// Records that the upstream accepted a request; opens the gate.
     pub fn taken(&mut self) {
         *self = Gate::default();
     }
 
-    /// The upstream refused a request, or could not be reached.
+    /// Records that the upstream refused a request or was unreachable.
     pub fn refused(&mut self, now: u64) {
-        self.probe = None;
-        if now < self.until {
+        self.probe_sent = None;
+        if now < self.closed_until {
             return;
         }
-        self.wait = (self.wait * 2).clamp(FIRST_MS, LONGEST_MS);
-        self.until = now + self.wait;
-        self.since.get_or_insert(now);
+        self.backoff_ms = (self.backoff_ms * 2).clamp(MIN_BACKOFF_MS, MAX_BACKOFF_MS);
+        self.closed_until = now + self.backoff_ms;
+        self.first_refusal.get_or_insert(now);
     }
 
-    /// A request that was let through ended without telling anything about the upstream.
+    /// Records that an admitted request ended without a result.
     pub fn dropped(&mut self) {
-        self.probe = None;
+        self.probe_sent = None;
     }
 
-    /// For how long the upstream has refused everything, in milliseconds.
+    /// Time since the first refusal after the last accepted request, in milliseconds.
     pub fn closed_for(&self, now: u64) -> u64 {
-        self.since.map_or(0, |it| now.saturating_sub(it))
+        self.first_refusal.map_or(0, |it| now.saturating_sub(it))
     }
 
     fn probing(&self, now: u64) -> bool {
-        self.probe.is_some_and(|it| now < it + PROBE_MS)
+        self.probe_sent.is_some_and(|it| now < it + PROBE_TIMEOUT_MS)
     }
 }
--- a/crates/core/src/invariant.rs
+++ b/crates/core/src/invariant.rs
@@ -1,7 +1,7 @@
-//! Invariants: conditions that must hold whatever happens, checked in every build.
+//! Invariants that are checked in every build.
 //!
-//! A violated invariant does not stop the process. It is counted here; the daemon exports the counts as a metric and
-//! logs each as an event, and tests fail on any count above zero.
+//! A violation does not stop the process. It is counted; the daemon exports the counts as a metric and logs each
+//! violation as an event, and tests fail on any count above zero.
 
 use std::{
     fmt,
@@ -13,17 +13,17 @@
 pub enum Invariant {
     /// A non-idempotent request is sent to an upstream at most once.
     RunOnce,
-    /// "Not run" is said only of a request that was never sent to an upstream.
+    /// "Not run" is returned only for a request that was never sent to an upstream.
     NotRunTrue,
-    /// A packet goes only to an agent of the service at whose address it arrived.
+    /// A packet goes only to an agent of the service whose address received it.
     SameService,
     /// A lower version never replaces a higher one.
     VersionGrows,
     /// A draining agent accepts no new flow and starts no new request.
     DrainHolds,
-    /// A request gets exactly one final answer.
+    /// A request gets exactly one final response.
     OneAnswer,
-    /// Only the present holder of a lease writes under it.
+    /// Only the current holder of a lease writes to it.
     LeaseHeld,
 }
 
@@ -62,7 +62,7 @@
 static VIOLATIONS: [AtomicU64; Invariant::ALL.len()] =
     [const { AtomicU64::new(0) }; Invariant::ALL.len()];
 
-/// Counts a violation of `invariant` unless `holds`, and returns `holds`.
+/// Counts a violation of `invariant` if `holds` is false. Returns `holds`.
 #[inline]
 #[must_use]
 pub fn check(invariant: Invariant, holds: bool) -> bool {
@@ -72,7 +72,7 @@
     holds
 }
 
-/// Violations of `invariant` in this process so far.
+/// Number of violations of `invariant` in this process.
 pub fn violations(invariant: Invariant) -> u64 {
     VIOLATIONS[invariant as usize].load(Ordering::Relaxed)
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions of the camphorwinch load balancer.
+//! Decision logic of the camphorwinch load balancer, free of I/O.
 //!
-//! Nothing in this crate opens a socket, reads a clock, starts a task or draws from a global random source. Events and
-//! the time come in as arguments, effects go out as return values.
+//! Nothing in this crate opens a socket, reads a clock, starts a task or uses a global random source. Events and the
+//! current time are arguments; effects are return values.
 
 #![warn(clippy::unwrap_used)]
 
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -1,10 +1,10 @@
-//! Members of the fleet as they announce themselves: agents and balancers.
+//! Members of the fleet: agents and balancers.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Where a process runs.
+/// Location of a process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Place {
     /// Name of the VM.
@@ -19,22 +19,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AgentState {
-    /// Started, takes no flows yet.
+    /// Started, does not accept flows yet.
     Starting,
-    /// Takes flows and requests.
+    /// Accepts flows and requests.
     Ready,
-    /// Takes no new work; flows and requests in progress go on.
+    /// Accepts no new work; flows and requests in progress continue.
     Draining,
-    /// About to stop; nothing may be sent to it but packets of its own flows.
+    /// Shutting down; receives only packets of its own flows.
     Leaving,
-    /// Not heard of for some seconds. It may be paused: it gets no new work, but packets of its flows still go to it.
+    /// Unreachable for some seconds and possibly paused; receives only packets of its own flows.
     Silent,
-    /// Found dead by the balancers it announced itself to.
+    /// Declared dead by the balancers it was connected to.
     Down,
 }
 
 impl AgentState {
-    /// Whether new flows and handed-over requests may be sent to the agent.
+    /// Whether new flows and forwarded requests may be sent to the agent.
     pub fn takes_work(self) -> bool {
         match self {
             AgentState::Ready => true,
@@ -46,32 +46,32 @@
         }
     }
 
-    /// Whether the agent still answers packets of its flows.
+    /// Whether packets of its flows are still sent to the agent.
     pub fn answers(self) -> bool {
         self != AgentState::Down
     }
 }
 
-/// An agent as it announced itself.
+/// Announced state of an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Agent {
     /// Name, unique in the fleet.
     pub name: String,
-    /// Where it runs.
+    /// Location of the process.
     pub place: Place,
     /// Pool that its upstream belongs to.
     pub pool: String,
     /// Address for encapsulated packets.
     pub data: SocketAddr,
-    /// Address for requests handed over by other agents.
+    /// Address for requests forwarded by other agents.
     pub control: SocketAddr,
-    /// Share of new flows relative to the others of the pool.
+    /// Weight for new flows relative to other agents of the pool.
     pub weight: f64,
-    /// Requests that the upstream runs at once.
+    /// Number of requests that the upstream runs concurrently.
     pub slots: u32,
-    /// Flows that the upstream takes.
+    /// Maximum number of flows of the upstream.
     pub connections: u32,
-    /// State.
+    /// State of the agent.
     pub state: AgentState,
 }
 
@@ -81,21 +81,21 @@
 pub enum BalancerState {
     /// Places packets.
     Ready,
-    /// Stops soon.
+    /// Shutting down.
     Leaving,
-    /// Found dead by its neighbours.
+    /// Declared dead by its neighbours.
     Down,
 }
 
-/// A balancer as it announced itself.
+/// Announced state of a balancer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Balancer {
     /// Name, unique in the fleet.
     pub name: String,
-    /// Where it runs.
+    /// Location of the process.
     pub place: Place,
     /// Address for other processes of the system.
     pub control: SocketAddr,
-    /// State.
+    /// State of the balancer.
     pub state: BalancerState,
 }
--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -1,54 +1,54 @@
-//! Which processes link to which: the balancers' overlay and the balancers that an agent announces itself to.
+//! Topology of links: the overlay of the balancers, and the balancers that an agent connects to.
 //!
-//! The overlay is a ring, which keeps it connected, with some links across it, which keep it shallow. Each choice hangs
-//! on names alone, so that it is the same after a restart and changes little when members come and go.
+//! The overlay is a ring, which keeps it connected, with additional links that keep its diameter small. Links are
+//! selected by hashing names, so the selection is the same after a restart and changes little with membership.
 
 use std::hash::Hasher;
 
 use siphasher::sip::SipHasher13;
 
-/// Links that a balancer opens; as many again are opened to it on average.
+/// Number of links that a balancer opens; it accepts as many on average.
 pub const DIALS: usize = 4;
-/// Balancers that an agent announces itself to.
+/// Number of balancers that an agent connects to.
 pub const HOMES: usize = 2;
 
-/// A balancer that may be linked to.
+/// A balancer that links may be opened to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Peer<'a> {
-    /// Its name.
+    /// Name of the balancer.
     pub name: &'a str,
-    /// Its availability zone.
+    /// Availability zone of the balancer.
     pub zone: &'a str,
 }
 
-/// Names of the balancers that the balancer `me` opens links to: its successor on the ring, then those that score
-/// highest for it.
+/// Names of the balancers that the balancer `me` opens links to: its successor on the ring, then those with the highest
+/// rendezvous scores.
 pub fn neighbours<'a>(me: &str, peers: &[Peer<'a>]) -> Vec<&'a str> {
     let mut names: Vec<&str> = peers.iter().map(|it| it.name).filter(|it| *it != me).collect();
     names.sort_unstable_by_key(|it| (score("", it), *it));
     names.dedup();
     let own = (score("", me), me);
-    let after = names.iter().position(|it| (score("", it), *it) > own).unwrap_or(0);
+    let successor = names.iter().position(|it| (score("", it), *it) > own).unwrap_or(0);
     let mut chosen = Vec::new();
     if names.is_empty() {
         return chosen;
     }
-    chosen.push(names.remove(after));
+    chosen.push(names.remove(successor));
     names.sort_unstable_by_key(|it| std::cmp::Reverse((score(me, it), *it)));
     chosen.extend(names.into_iter().take(DIALS - 1));
     chosen
 }
 
-/// Names of the balancers that the agent `me` announces itself to: one in its zone if there is one, the others outside
-/// it, so that the loss of a zone leaves one.
+/// Names of the balancers that the agent `me` connects to: one in its zone if possible, the others in other zones, so
+/// that one remains if a zone fails.
 pub fn homes<'a>(me: &str, zone: &str, peers: &[Peer<'a>]) -> Vec<&'a str> {
     let mut ranked: Vec<Peer<'a>> = peers.to_vec();
     ranked.sort_unstable_by_key(|it| std::cmp::Reverse((score(me, it.name), it.name)));
     ranked.dedup();
-    let near = ranked.iter().find(|it| it.zone == zone).map(|it| it.name);
-    let mut chosen: Vec<&str> = near.into_iter().collect();
-    let far = ranked.iter().filter(|it| it.zone != zone);
-    for peer in far.chain(ranked.iter().filter(|it| it.zone == zone)) {
+    let same_zone = ranked.iter().find(|it| it.zone == zone).map(|it| it.name);
+    let mut chosen: Vec<&str> = same_zone.into_iter().collect();
+    let other_zones = ranked.iter().filter(|it| it.zone != zone);
+    for peer in other_zones.chain(ranked.iter().filter(|it| it.zone == zone)) {
         if chosen.len() == HOMES {
             break;
         }
@@ -59,7 +59,7 @@
     chosen
 }
 
-/// Place of `name` among those that may act on `subject`: 0 acts first.
+/// Rank of `name` among the balancers responsible for `subject`; 0 is the first.
 pub fn rank(subject: &str, name: &str, peers: &[Peer<'_>]) -> usize {
     let own = (score(subject, name), name);
     peers.iter().filter(|it| (score(subject, it.name), it.name) > own).count()
--- a/crates/core/src/object.rs
+++ b/crates/core/src/object.rs
@@ -1,4 +1,4 @@
-//! Objects that the platform keeps: their kinds, their specs and the rules a spec must obey.
+//! Objects stored in the platform: kinds, specs and their validation.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,12 +10,12 @@
 use serde_with::{DisplayFromStr, base64::Base64, serde_as};
 use thiserror::Error;
 
-/// Largest size of one object in the platform, in bytes.
+/// Maximum size of an object in bytes.
 pub const MAX_OBJECT: usize = 1 << 20;
 /// Name of the only object of kind `keys`.
 pub const KEYS_NAME: &str = "fleet";
 
-/// Kind of an object that the system reads from the platform.
+/// Kind of an object that the system stores in the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
@@ -27,11 +27,11 @@
     Certificate,
     /// The keys that seal connection IDs and authenticate packets.
     Keys,
-    /// A lease held by a balancer.
+    /// A lease of a zone, held by a balancer.
     Lease,
-    /// State of a zone's upstreams and balancers.
+    /// A report on a zone's upstreams and balancers.
     Report,
-    /// Events of a zone's processes.
+    /// Events of the processes of a zone.
     Timeline,
 }
 
@@ -46,10 +46,10 @@
         Kind::Report,
         Kind::Timeline,
     ];
-    /// Kinds that are configuration: written by operators, in force at every daemon.
+    /// Kinds of configuration: written by operators and applied by every daemon.
     pub const CONFIG: [Kind; 4] = [Kind::Service, Kind::Change, Kind::Certificate, Kind::Keys];
 
-    /// The kind's name in a path or an object.
+    /// Name of the kind in paths and objects.
     pub fn as_str(self) -> &'static str {
         match self {
             Kind::Service => "service",
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Parses a kind's name.
+    /// Parses the name of a kind.
     pub fn parse(s: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|it| it.as_str() == s)
     }
@@ -77,27 +77,27 @@
 /// An object as the platform stores it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Object {
-    /// Kind, as text: the platform may hold kinds that this version does not know.
+    /// Kind, as text because the platform may store kinds unknown to this version.
     pub kind: String,
     /// Name, unique within the kind.
     pub name: String,
-    /// The platform's revision at the last write, with its era ([`crate::revision::Revision::packed`]); 0 before the first.
+    /// Packed platform revision at the last write ([`crate::revision::Revision::packed`]); 0 before the first write.
     #[serde(default)]
     pub version: u64,
-    /// Mark of the last writer.
+    /// Identifier of the last writer.
     #[serde(default)]
     pub writer: String,
-    /// The content, whose shape depends on the kind.
+    /// Content; its schema depends on the kind.
     pub spec: serde_json::Value,
 }
 
-/// A fault in an object, with the path of the field.
+/// Validation error of an object, with the path of the field.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{path}: {reason}")]
 pub struct SpecError {
     /// Path of the field, such as `service/ledger.spec.address`.
     pub path: String,
-    /// What is wrong and what is allowed.
+    /// What is invalid and what is allowed.
     pub reason: String,
 }
 
@@ -110,14 +110,14 @@
     }
 }
 
-/// What a service gives up first when its upstreams differ in load.
+/// Balancing policy of a service when its upstreams differ in load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Policy {
-    /// Keep flows and requests where they are, and within the caller's zone, while there is room.
+    /// Keep flows and requests where they are, and in the caller's zone, while capacity is available.
     #[default]
     Steady,
-    /// Keep upstreams equally loaded, at the price of more hand-overs.
+    /// Keep upstreams equally loaded, at the cost of more forwarded requests.
     Even,
 }
 
@@ -133,25 +133,25 @@
     pub pool: String,
     /// Name of the certificate object.
     pub certificate: String,
-    /// Balance policy.
+    /// Balancing policy.
     #[serde(default)]
     pub policy: Policy,
-    /// Weights of agents by name, over those the agents announce.
+    /// Weights of agents by name; they override the announced weights.
     #[serde(default)]
     pub weights: BTreeMap<String, f64>,
-    /// For how long an idempotency key is remembered, in seconds.
+    /// Retention time of idempotency keys, in seconds.
     #[serde(default = "default_key_window")]
     pub key_window_s: u32,
-    /// Retries allowed as a share of requests.
+    /// Allowed retries as a share of requests, 0 to 1.
     #[serde(default = "default_retry_budget")]
     pub retry_budget: f64,
-    /// Most flows that an agent may hold for this service.
+    /// Maximum number of flows per agent for this service.
     #[serde(default = "default_connections")]
     pub connections: u32,
 }
 
 impl Service {
-    /// A service of `pool` at `address`, with the defaults that a spec may leave out.
+    /// Creates the spec of a service of `pool` at `address`, with defaults for optional fields.
     pub fn new(address: SocketAddr, pool: &str, certificate: &str) -> Service {
         Service {
             address,
@@ -178,7 +178,7 @@
     2_000
 }
 
-/// What a planned change applies to.
+/// Target of a planned change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", deny_unknown_fields)]
 pub enum Target {
@@ -191,7 +191,7 @@
 }
 
 impl Target {
-    /// Whether the target covers the process with this name, VM and zone.
+    /// Whether the target includes the process with this name, VM and zone.
     pub fn covers(&self, name: &str, vm: &str, zone: &str) -> bool {
         match self {
             Target::Upstream(it) => it == name,
@@ -205,7 +205,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Action {
-    /// Gets no new work; what is in progress finishes.
+    /// Send no new work; work in progress finishes.
     Drain,
 }
 
@@ -213,9 +213,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// What is to be done.
+    /// Action to take.
     pub action: Action,
-    /// To what.
+    /// Processes it applies to.
     pub target: Target,
 }
 
@@ -235,11 +235,11 @@
     }
 }
 
-/// How a key may be used.
+/// Permitted use of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum KeyUse {
-    /// Accepted, not used for new flows.
+    /// Accepted, but not used for new flows.
     Open,
     /// Accepted and used for new flows.
     Seal,
@@ -250,12 +250,12 @@
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeySpec {
-    /// Number that a connection ID carries in clear.
+    /// Key epoch, carried in clear text in connection IDs.
     pub epoch: u8,
-    /// The secret from which the working keys are derived.
+    /// Secret from which the cryptographic keys are derived.
     #[serde_as(as = "Base64")]
     pub secret: [u8; 32],
-    /// How it may be used.
+    /// Permitted use of the key.
     #[serde(rename = "use")]
     pub usage: KeyUse,
 }
@@ -274,10 +274,10 @@
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Keys {
-    /// Secret behind stateless reset tokens; the same for the life of the fleet.
+    /// Secret from which stateless reset tokens are derived; never changes for a fleet.
     #[serde_as(as = "Base64")]
     pub reset: [u8; 32],
-    /// The keys, of which exactly one seals.
+    /// The keys; exactly one must seal.
     pub keys: Vec<KeySpec>,
 }
 
@@ -287,7 +287,7 @@
     }
 }
 
-/// A configuration object's spec, parsed and checked.
+/// Parsed and validated spec of a configuration object.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Spec {
     /// A service.
@@ -301,7 +301,7 @@
 }
 
 impl Spec {
-    /// Parses and checks the spec of a configuration object.
+    /// Parses and validates the spec of a configuration object.
     pub fn parse(object: &Object) -> Result<Spec, SpecError> {
         let path = format!("{}/{}", object.kind, object.name);
         check_name(&object.name)
@@ -348,19 +348,21 @@
     T::deserialize(value).map_err(|e| SpecError::new(path, e.to_string()))
 }
 
-/// Checks an object's name.
+/// Validates the name of an object.
 pub fn check_name(name: &str) -> Result<(), String> {
-    let inner = |c: u8| c.is_ascii_lowercase() || c.is_ascii_digit() || c == b'.' || c == b'-';
-    let edge = |c: u8| c.is_ascii_lowercase() || c.is_ascii_digit();
+    let is_inner = |c: u8| c.is_ascii_lowercase() || c.is_ascii_digit() || c == b'.' || c == b'-';
+    let is_edge = |c: u8| c.is_ascii_lowercase() || c.is_ascii_digit();
     let bytes = name.as_bytes();
-    let fits = (1..=63).contains(&bytes.len());
-    let ok =
-        fits && bytes.iter().all(|&c| inner(c)) && edge(bytes[0]) && edge(bytes[bytes.len() - 1]);
+    let valid_len = (1..=63).contains(&bytes.len());
+    let ok = valid_len
+        && bytes.iter().all(|&c| is_inner(c))
+        && is_edge(bytes[0])
+        && is_edge(bytes[bytes.len() - 1]);
     if ok {
         Ok(())
     } else {
         Err(format!(
-            "{name:?} is no name: 1 to 63 of a-z, 0-9, '.', '-', with a letter or digit at both ends"
+            "{name:?} is not a valid name: use 1 to 63 of a-z, 0-9, '.', '-', with a letter or digit at both ends"
         ))
     }
 }
@@ -373,14 +375,20 @@
     check_name(&it.certificate).map_err(|e| SpecError::new(&format!("{at}.certificate"), e))?;
     for (name, &weight) in &it.weights {
         if !weight.is_finite() || !(0.0..=1_000.0).contains(&weight) {
-            return Err(SpecError::new(&format!("{at}.weights.{name}"), "a weight is 0 to 1000"));
+            return Err(SpecError::new(
+                &format!("{at}.weights.{name}"),
+                "the weight must be 0 to 1000",
+            ));
         }
     }
     if !(0.0..=1.0).contains(&it.retry_budget) {
-        return Err(SpecError::new(&format!("{at}.retry_budget"), "a budget is 0 to 1"));
+        return Err(SpecError::new(
+            &format!("{at}.retry_budget"),
+            "the retry budget must be 0 to 1",
+        ));
     }
     if it.connections == 0 {
-        return Err(SpecError::new(&format!("{at}.connections"), "at least 1"));
+        return Err(SpecError::new(&format!("{at}.connections"), "must be at least 1"));
     }
     Ok(())
 }
@@ -396,10 +404,10 @@
 
 fn check_certificate(at: &str, it: &Certificate) -> Result<(), SpecError> {
     if !it.chain_pem.contains("-----BEGIN CERTIFICATE-----") {
-        return Err(SpecError::new(&format!("{at}.chain_pem"), "holds no PEM certificate"));
+        return Err(SpecError::new(&format!("{at}.chain_pem"), "contains no PEM certificate"));
     }
     if !it.key_pem.contains("PRIVATE KEY-----") {
-        return Err(SpecError::new(&format!("{at}.key_pem"), "holds no PEM private key"));
+        return Err(SpecError::new(&format!("{at}.key_pem"), "contains no PEM private key"));
     }
     Ok(())
 }
@@ -416,7 +424,7 @@
         if !epochs.insert(key.epoch) {
             return Err(SpecError::new(
                 &format!("{at}.keys"),
-                format!("epoch {} stands twice", key.epoch),
+                format!("epoch {} is listed twice", key.epoch),
             ));
         }
     }
@@ -430,12 +438,12 @@
     Ok(())
 }
 
-/// Number of a service: the first four bytes of the SHA-256 of its name, as carried in connection IDs and packets.
+/// ID of a service in connection IDs and packets: the first four bytes of the SHA-256 of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServiceId(pub u32);
 
 impl ServiceId {
-    /// The number of the service with this name.
+    /// Returns the ID of the service with this name.
     pub fn new(name: &str) -> ServiceId {
         use sha2::Digest;
         let digest = sha2::Sha256::digest(name.as_bytes());
@@ -443,7 +451,7 @@
     }
 }
 
-/// Finds faults that show only when all services are seen together: two services with one address or one number.
+/// Checks that no two services have the same address or ID.
 pub fn check_services<'a, I>(services: I) -> Result<(), SpecError>
 where
     I: IntoIterator<Item = (&'a str, &'a Service)>,
@@ -461,7 +469,7 @@
         if let Some(other) = ids.insert(ServiceId::new(name), name) {
             return Err(SpecError::new(
                 &format!("{at}.name"),
-                format!("has the same number as {other:?}; choose another name"),
+                format!("has the same service ID as {other:?}; choose another name"),
             ));
         }
     }
--- a/crates/core/src/packet.rs
+++ b/crates/core/src/packet.rs
@@ -1,4 +1,4 @@
-//! Headers of QUIC packets, as far as placing reads them (RFC 8999 and RFC 9000, section 17).
+//! Parser for the parts of QUIC packet headers that placement needs (RFC 8999 and RFC 9000, section 17).
 
 use crate::seal::CID_LEN;
 
@@ -11,7 +11,7 @@
 const VERSION_NEGOTIATION: u32 = 0;
 const MIN_FIRST_CID: usize = 8;
 
-/// What a packet's header tells before anything is decrypted.
+/// Form of a packet, as read from its unencrypted header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Form {
     /// Long header that may start a flow.
@@ -22,7 +22,7 @@
     Short,
 }
 
-/// What placing needs of a QUIC packet.
+/// Header fields of a QUIC packet that placement needs.
 pub(crate) struct Packet<'a> {
     pub(crate) form: Form,
     pub(crate) cid: &'a [u8],
@@ -30,8 +30,8 @@
 }
 
 impl<'a> Packet<'a> {
-    /// Reads the header; none if no caller could have sent it.
-    // The fixed bit is not looked at: callers may grease it (RFC 9287).
+    /// Parses the header; `None` if it is not a valid packet of a caller.
+    // The fixed bit is not checked because callers may grease it (RFC 9287).
     #[inline]
     pub(crate) fn parse(datagram: &'a [u8]) -> Option<Packet<'a>> {
         let len = datagram.len();
@@ -54,14 +54,15 @@
                 Form::First
             }
             (VERSION_1, _) => Form::Long,
-            // The agent answers other versions with the ones it knows.
+            // The agent responds to other versions with version negotiation.
             _ => Form::First,
         };
         Some(Packet { form, cid, len })
     }
 }
 
-/// Whether two datagrams from one caller to one address are surely placed alike: short headers with the same ID.
+/// Whether two datagrams of one caller to one address have short headers with the same connection ID, and therefore the
+/// same placement.
 #[inline]
 pub fn same_flow(first: &[u8], second: &[u8]) -> bool {
     let id = |it: &[u8]| it.get(..1 + CID_LEN).is_some_and(|it| it[0] & LONG_FORM == 0);
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -1,25 +1,26 @@
-//! Which peer agents a request is offered to: two drawn at random, the less busy first.
+//! Selection of the peer agents to which a request is forwarded: a few random ones, the least loaded first.
 //!
-//! How busy a peer is comes from its own replies to earlier offers. That lags, so it is a hint: the peer decides.
+//! The load of a peer is taken from its replies to earlier requests. It may be outdated, so the peer makes the final
+//! decision.
 
 use std::collections::BTreeMap;
 
 use crate::{object::Policy, split_mix};
 
-/// A peer that refused is not asked again for this long, unless it names a longer time.
-const CLOSED_MS: u64 = 50;
-const LONGEST_CLOSED_MS: u64 = 1_000;
-/// Age at which a hint says nothing any more.
-const STALE_MS: u64 = 2_000;
-/// Peers drawn for one request.
-const DRAWN: usize = 3;
+/// Backoff after a refusal, unless the peer returned a longer retry delay.
+const MIN_BACKOFF_MS: u64 = 50;
+const MAX_BACKOFF_MS: u64 = 1_000;
+/// Age after which a hint is ignored.
+const HINT_TTL_MS: u64 = 2_000;
+/// Number of peers selected for one request.
+const MAX_DRAWN: usize = 3;
 
-/// A peer that may take a request.
+/// A peer that may accept a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Peer<'a> {
     /// Name of the agent.
     pub name: &'a str,
-    /// Whether it is in the own zone.
+    /// Whether it is in the local zone.
     pub near: bool,
     /// Weight within the service.
     pub weight: f64,
@@ -29,33 +30,33 @@
 struct Hint {
     load: f64,
     at: u64,
-    closed: u64,
+    closed_until: u64,
 }
 
-/// What peers said of their load.
+/// Last known load of peers.
 #[derive(Clone, Debug, Default)]
 pub struct Hints {
     by_name: BTreeMap<String, Hint>,
 }
 
 impl Hints {
-    /// No hints.
+    /// Creates an empty set of hints.
     pub fn new() -> Hints {
         Hints::default()
     }
 
-    /// A peer took a request and said how busy it is, as a share of its slots.
+    /// Records that a peer accepted a request; `load` is the share of its slots in use.
     pub fn took(&mut self, name: &str, load: f64, now: u64) {
-        self.by_name.insert(name.to_owned(), Hint { load, at: now, closed: 0 });
+        self.by_name.insert(name.to_owned(), Hint { load, at: now, closed_until: 0 });
     }
 
-    /// A peer refused a request, or could not be reached.
+    /// Records that a peer refused a request or was unreachable.
     pub fn refused(&mut self, name: &str, retry_ms: u64, now: u64) {
-        let closed = now + retry_ms.clamp(CLOSED_MS, LONGEST_CLOSED_MS);
-        self.by_name.insert(name.to_owned(), Hint { load: 1.0, at: now, closed });
+        let closed_until = now + retry_ms.clamp(MIN_BACKOFF_MS, MAX_BACKOFF_MS);
+        self.by_name.insert(name.to_owned(), Hint { load: 1.0, at: now, closed_until });
     }
 
-    /// Forgets peers that are gone.
+    /// Removes the hints of peers for which `keep` returns false.
     pub fn retain<F>(&mut self, keep: F)
     where
         F: Fn(&str) -> bool,
@@ -63,7 +64,7 @@
         self.by_name.retain(|name, _| keep(name));
     }
 
-    /// Names to offer a request to, in order.
+    /// Names of the peers to forward a request to, best first.
     pub fn draw<'a>(
         &self,
         peers: &[Peer<'a>],
@@ -71,12 +72,15 @@
         seed: u64,
         now: u64,
     ) -> Vec<&'a str> {
-        let mut open: Vec<Peer<'a>> =
-            peers.iter().copied().filter(|it| it.weight > 0.0 && self.open(it.name, now)).collect();
-        let mut drawn = Vec::with_capacity(DRAWN);
+        let mut open: Vec<Peer<'a>> = peers
+            .iter()
+            .copied()
+            .filter(|it| it.weight > 0.0 && self.is_open(it.name, now))
+            .collect();
+        let mut drawn = Vec::with_capacity(MAX_DRAWN);
         let mut state = seed;
-        while drawn.len() < DRAWN && !open.is_empty() {
-            let at = pick(&open, &mut state);
+        while drawn.len() < MAX_DRAWN && !open.is_empty() {
+            let at = pick_weighted(&open, &mut state);
             drawn.push(open.swap_remove(at));
         }
         let key = |it: &Peer<'_>| {
@@ -90,19 +94,19 @@
         drawn.into_iter().map(|it| it.name).collect()
     }
 
-    fn open(&self, name: &str, now: u64) -> bool {
-        self.by_name.get(name).is_none_or(|it| now >= it.closed)
+    fn is_open(&self, name: &str, now: u64) -> bool {
+        self.by_name.get(name).is_none_or(|it| now >= it.closed_until)
     }
 
     fn load(&self, name: &str, now: u64) -> f64 {
         match self.by_name.get(name) {
-            Some(it) if now < it.at + STALE_MS => it.load,
+            Some(it) if now < it.at + HINT_TTL_MS => it.load,
             _ => 0.5,
         }
     }
 }
 
-fn pick(peers: &[Peer<'_>], state: &mut u64) -> usize {
+fn pick_weighted(peers: &[Peer<'_>], state: &mut u64) -> usize {
     let total: f64 = peers.iter().map(|it| it.weight).sum();
     let unit = (split_mix::next(state) >> 11) as f64 / (1_u64 << 53) as f64;
     let mut left = unit * total;
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -1,8 +1,8 @@
-//! Placing a datagram: which agent it goes to, decided from the datagram and the configuration alone.
+//! Placement of a datagram: selects the agent from the datagram and the configuration alone.
 //!
-//! A packet of an established flow carries a sealed connection ID and goes to the agent named there. The first packets
-//! of a flow carry an ID that the caller chose; for them the service's table gives a few candidates. There is no memory
-//! per flow, so balancers need not agree on anything for an established flow.
+//! A packet of an established flow carries a sealed connection ID and goes to the agent encoded in it. The first
+//! packets of a flow carry an ID chosen by the caller; for these, the service's lookup table gives a few candidates.
+//! Balancers keep no state per flow and need no coordination for established flows.
 
 use std::{
     collections::BTreeMap,
@@ -27,34 +27,34 @@
 
 /// Smallest datagram that may start a flow (RFC 9000, section 14.1).
 pub const MIN_INITIAL: usize = 1_200;
-/// For how long an address goes on serving flows of a service that had it before, in milliseconds.
+/// Time for which an address keeps serving flows of a service that used it before, in milliseconds.
 pub const FORMER_MS: u64 = 24 * 3_600 * 1_000;
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// Not a QUIC packet that a caller could send.
+    /// Not a valid QUIC packet of a caller.
     Garbage,
-    /// Would start a flow, but is smaller than QUIC demands.
+    /// Starts a flow but is smaller than [`MIN_INITIAL`].
     Small,
-    /// The connection ID is of a known key epoch, but was not sealed by us.
+    /// The connection ID has a known key epoch but fails authentication.
     Forged,
-    /// The connection ID is of a key epoch that is not known here.
+    /// The connection ID has an unknown key epoch.
     Epoch,
-    /// The flow belongs to a service that never had this address.
+    /// The flow belongs to a service that does not use this address.
     WrongService,
-    /// No agent of the service is there.
+    /// The service has no agent.
     NoUpstream,
-    /// The flow's agent is dead and the packet is none that can be answered by a reset.
+    /// The flow's agent is dead, and a packet of this form can't be answered with a reset.
     OwnerDown,
-    /// No service has this address any more.
+    /// No service uses this address any more.
     NoService,
-    /// The keys of the fleet are not known yet.
+    /// The fleet's keys are not available yet.
     NoKeys,
 }
 
 impl Refusal {
-    /// All refusals, in the order of their numbers.
+    /// All refusals, in numeric order.
     pub const ALL: [Refusal; 9] = [
         Refusal::Garbage,
         Refusal::Small,
@@ -83,30 +83,30 @@
     }
 }
 
-/// Where a datagram goes.
+/// Destination of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
     /// To the agent that holds the flow.
     Owner {
         /// Agent and service.
         home: Home,
-        /// Whether the agent is among the members known here.
+        /// Whether the agent is a known member.
         known: bool,
     },
-    /// To the first of the candidates, which may accept the flow or pass it on.
+    /// To the first candidate, which accepts the flow or forwards it to the next.
     New {
         /// The service.
         service: ServiceId,
         /// At least one agent.
         candidates: Candidates,
     },
-    /// To a live agent that answers with a stateless reset, as the flow's own agent is dead.
+    /// To a live agent that sends a stateless reset because the flow's agent is dead.
     Reset(Home),
-    /// Nowhere.
+    /// The datagram is dropped.
     Drop(Refusal),
 }
 
-/// An address at which callers' datagrams arrive.
+/// An address that receives datagrams from callers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listener {
     service: Option<ServiceId>,
@@ -114,7 +114,7 @@
 }
 
 impl Listener {
-    /// The service that has the address now; none if only flows of former services are served.
+    /// The current service of the address; `None` if it serves only flows of former services.
     pub fn service(&self) -> Option<ServiceId> {
         self.service
     }
@@ -125,7 +125,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Seat {
+struct TableMember {
     name: String,
     weight: f64,
     data: SocketAddrV4,
@@ -133,35 +133,35 @@
 
 #[derive(Debug)]
 struct Pool {
-    seats: Vec<Seat>,
-    slots: Slots,
+    members: Vec<TableMember>,
+    table: Slots,
 }
 
 impl Pool {
-    fn new(seats: Vec<Seat>) -> Pool {
-        let members: Vec<Member<'_>> =
-            seats.iter().map(|it| Member { name: &it.name, weight: it.weight }).collect();
-        let slots = Slots::new(&members);
-        Pool { seats, slots }
+    fn new(members: Vec<TableMember>) -> Pool {
+        let weighted: Vec<Member<'_>> =
+            members.iter().map(|it| Member { name: &it.name, weight: it.weight }).collect();
+        let table = Slots::new(&weighted);
+        Pool { members, table }
     }
 
     fn candidates(&self, hash: u64) -> Candidates {
         let mut candidates = Candidates::NONE;
-        for &at in self.slots.pick(hash).as_slice() {
-            candidates.push(self.seats[usize::from(at)].data);
+        for &at in self.table.pick(hash).as_slice() {
+            candidates.push(self.members[usize::from(at)].data);
         }
         candidates
     }
 }
 
-/// Whether an agent answers at a data address. A live one goes before a dead one that had the address earlier.
+/// Whether a live agent uses a data address. A live agent takes precedence over a dead one with the same address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Liveness {
     Dead,
     Alive,
 }
 
-/// Everything that placing needs, built from a snapshot and never changed.
+/// Immutable placement state, built from a snapshot.
 #[derive(Debug)]
 pub struct Placer {
     ring: Option<KeyRing>,
@@ -171,8 +171,8 @@
 }
 
 impl Placer {
-    /// Builds the placer for a snapshot. From the one before it takes over tables that still fit, and the services
-    /// that had an address, whose flows the address goes on serving for [`FORMER_MS`].
+    /// Builds the placer for a snapshot. Reuses unchanged tables of the previous placer and keeps the former services
+    /// of an address for [`FORMER_MS`].
     pub fn new(snapshot: &Snapshot, previous: Option<&Placer>, now_ms: u64) -> Placer {
         Placer {
             ring: snapshot.keys.as_ref().and_then(KeyRing::new),
@@ -182,22 +182,22 @@
         }
     }
 
-    /// The keys, once they are known.
+    /// The keys, if available.
     pub fn ring(&self) -> Option<&KeyRing> {
         self.ring.as_ref()
     }
 
-    /// Addresses at which datagrams are taken.
+    /// Addresses that accept datagrams.
     pub fn listeners(&self) -> &BTreeMap<SocketAddr, Listener> {
         &self.listeners
     }
 
-    /// Bytes that the tables take.
+    /// Memory size of the lookup tables in bytes.
     pub fn table_bytes(&self) -> usize {
-        self.pools.values().map(|it| it.slots.bytes()).sum()
+        self.pools.values().map(|it| it.table.bytes()).sum()
     }
 
-    /// Decides where a datagram goes that `caller` sent to the address of `listener`.
+    /// Selects the destination of a datagram sent by `caller` to the address of `listener`.
     #[inline]
     pub fn place(&self, listener: &Listener, caller: SocketAddr, datagram: &[u8]) -> Placement {
         let Some(ring) = &self.ring else {
@@ -207,16 +207,16 @@
             return Placement::Drop(Refusal::Garbage);
         };
         let placement = match ring.open(packet.cid) {
-            Some(home) => self.established(listener, caller, &packet, home),
-            None if packet.form == Form::First => self.first(ring, listener, caller, &packet),
-            None if knows_epoch(ring, packet.cid) => Placement::Drop(Refusal::Forged),
-            // Maybe a key that has not arrived here yet: a reset would end a flow that lives.
+            Some(home) => self.place_established(listener, caller, &packet, home),
+            None if packet.form == Form::First => self.place_new(ring, listener, caller, &packet),
+            None if has_epoch(ring, packet.cid) => Placement::Drop(Refusal::Forged),
+            // The key may not have been synced yet; a reset would end a live flow.
             None => Placement::Drop(Refusal::Epoch),
         };
-        checked(listener, placement)
+        check_service(listener, placement)
     }
 
-    fn established(
+    fn place_established(
         &self,
         listener: &Listener,
         caller: SocketAddr,
@@ -229,12 +229,17 @@
         match self.agents.get(&home.agent) {
             Some(Liveness::Alive) => Placement::Owner { home, known: true },
             None => Placement::Owner { home, known: false },
-            Some(Liveness::Dead) => self.reset(caller, packet, home.service),
+            Some(Liveness::Dead) => self.place_reset(caller, packet, home.service),
         }
     }
 
     #[cold]
-    fn reset(&self, caller: SocketAddr, packet: &Packet<'_>, service: ServiceId) -> Placement {
+    fn place_reset(
+        &self,
+        caller: SocketAddr,
+        packet: &Packet<'_>,
+        service: ServiceId,
+    ) -> Placement {
         if packet.form != Form::Short {
             return Placement::Drop(Refusal::OwnerDown);
         }
@@ -249,7 +254,7 @@
         }
     }
 
-    fn first(
+    fn place_new(
         &self,
         ring: &KeyRing,
         listener: &Listener,
@@ -273,7 +278,7 @@
     }
 }
 
-fn checked(listener: &Listener, placement: Placement) -> Placement {
+fn check_service(listener: &Listener, placement: Placement) -> Placement {
     let service = match placement {
         Placement::Owner { home, .. } | Placement::Reset(home) => home.service,
         Placement::New { service, .. } => service,
@@ -286,7 +291,7 @@
     }
 }
 
-fn knows_epoch(ring: &KeyRing, cid: &[u8]) -> bool {
+fn has_epoch(ring: &KeyRing, cid: &[u8]) -> bool {
     cid.first().is_some_and(|&epoch| ring.packet_key(epoch).is_some())
 }
 
@@ -334,22 +339,26 @@
     let mut pools = FxHashMap::default();
     for (&id, entry) in &snapshot.services {
         let agents = by_pool.get(entry.spec.pool.as_str()).map_or(&[][..], |it| it);
-        let seats = seats(snapshot, entry, agents);
-        let old = previous.and_then(|it| it.pools.get(&id)).filter(|it| it.seats == seats);
-        let pool = old.map_or_else(|| Arc::new(Pool::new(seats)), Arc::clone);
+        let members = members(snapshot, entry, agents);
+        let old = previous.and_then(|it| it.pools.get(&id)).filter(|it| it.members == members);
+        let pool = old.map_or_else(|| Arc::new(Pool::new(members)), Arc::clone);
         pools.insert(id, pool);
     }
     pools
 }
 
-/// Agents that get new flows. If there is none, those that still answer: they refuse, so that callers learn at once.
-fn seats(snapshot: &Snapshot, entry: &ServiceEntry, agents: &[&Agent]) -> Vec<Seat> {
-    let seat = |it: &Agent, weight: f64| {
-        Some(Seat { name: it.name.clone(), weight, data: sealable(it.data)? })
+/// Agents that get new flows. If there are none, all live agents: they refuse, so that callers get an immediate error.
+fn members(snapshot: &Snapshot, entry: &ServiceEntry, agents: &[&Agent]) -> Vec<TableMember> {
+    let member = |it: &Agent, weight: f64| {
+        Some(TableMember { name: it.name.clone(), weight, data: sealable(it.data)? })
     };
     let ready = agents.iter().filter(|it| snapshot.takes_work(it) && entry.weight(it) > 0.0);
-    let seats: Vec<Seat> = ready.filter_map(|it| seat(it, entry.weight(it))).collect();
-    if seats.is_empty() { agents.iter().filter_map(|it| seat(it, 1.0)).collect() } else { seats }
+    let members: Vec<TableMember> = ready.filter_map(|it| member(it, entry.weight(it))).collect();
+    if members.is_empty() {
+        agents.iter().filter_map(|it| member(it, 1.0)).collect()
+    } else {
+        members
+    }
 }
 
 fn agents(snapshot: &Snapshot) -> FxHashMap<SocketAddrV4, Liveness> {
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -1,4 +1,4 @@
-//! Records that processes exchange: configuration objects and members, each with a version that only grows.
+//! Records that processes exchange: configuration objects and members, each with an increasing version.
 
 use crate::{
     member::{Agent, AgentState, Balancer, BalancerState},
@@ -7,8 +7,8 @@
 
 /// Version of a record; a higher one replaces a lower one.
 ///
-/// An object's version is the platform's revision at its last write. A member's version is its incarnation, the wall
-/// clock in milliseconds at the start of its process, with a sequence number that grows with each announcement.
+/// An object's version is the platform's revision at its last write. A member's version is its incarnation, which is
+/// the wall clock in milliseconds at process start, and the sequence number of its announcement.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version {
     /// Revision of the platform, or incarnation of the member.
@@ -34,7 +34,7 @@
     }
 }
 
-/// What a record is about.
+/// Identity of a record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Key {
     /// A configuration object.
@@ -43,21 +43,21 @@
     Member(String),
 }
 
-/// What a member says of itself, or what its peers found out.
+/// State of a member, as announced by itself or declared by its peers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Role {
-    /// An agent, with the names of the balancers that it is linked to.
+    /// An agent and the balancers it is connected to.
     Agent {
         /// The agent.
         agent: Agent,
-        /// The balancers that watch over it.
+        /// Names of the balancers that monitor it.
         homes: Vec<String>,
     },
-    /// A balancer, with the number of the lease that it holds.
+    /// A balancer and the lease it holds.
     Balancer {
         /// The balancer.
         balancer: Balancer,
-        /// The lease of its zone that it holds.
+        /// Number of the zone lease it holds, if any.
         lease: Option<u8>,
     },
 }
@@ -67,9 +67,9 @@
 pub struct Member {
     /// Version of the announcement.
     pub version: Version,
-    /// When the member came into its present state, in milliseconds since 1970.
+    /// When the member entered its current state, in milliseconds since 1970.
     pub since_ms: u64,
-    /// The member.
+    /// Role and state of the member.
     pub role: Role,
 }
 
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Whether the member was found dead.
+    /// Whether the member was declared dead.
     pub fn is_down(&self) -> bool {
         match &self.role {
             Role::Agent { agent, .. } => agent.state == AgentState::Down,
@@ -98,8 +98,8 @@
         }
     }
 
-    /// The announcement, by another process, that this member has not been heard of. A balancer holds no flows that a
-    /// wrong verdict could break, and counts as dead at once.
+    /// Announcement by another process that this member is silent. A balancer is declared dead at once, since it holds
+    /// no flows.
     pub fn silent(&self, wall_ms: u64) -> Member {
         let mut it = self.clone();
         let Role::Agent { agent, .. } = &mut it.role else {
@@ -111,7 +111,7 @@
         it
     }
 
-    /// The announcement, by another process, that this member was found dead.
+    /// Announcement by another process that this member is dead.
     pub fn down(&self, wall_ms: u64) -> Member {
         let mut it = self.clone();
         it.version = self.version.next();
@@ -130,7 +130,7 @@
     }
 }
 
-/// One record.
+/// A record exchanged between processes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     /// A configuration object.
@@ -154,7 +154,7 @@
 }
 
 impl Record {
-    /// What the record is about.
+    /// Identity of the record.
     pub fn key(&self) -> Key {
         match self {
             Record::Object { kind, object } => Key::Object(*kind, object.name.clone()),
@@ -163,7 +163,7 @@
         }
     }
 
-    /// The record's version.
+    /// Version of the record.
     pub fn version(&self) -> Version {
         match self {
             Record::Object { object, .. } => Version::object(object.version),
@@ -184,18 +184,18 @@
     pub revision: u64,
 }
 
-/// A statement that a process holds all configuration up to a revision.
+/// States that a process holds all configuration up to a revision.
 ///
-/// A receiver takes over the revision only if the sum of its own objects is the same: a record lost or late on some
-/// path shows as a difference, and is fetched. The deletions since the last list come with it: the sum can't show that
-/// the receiver never heard of one, and an object that a third process still holds would come back.
+/// A receiver adopts the revision only if its own objects have the same sum; a difference reveals a missing record,
+/// which it then fetches. The mark includes the deletions since the last list, because the sum does not reveal a missed
+/// deletion and a third process could restore the object.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Mark {
-    /// The revision.
+    /// Revision up to which the configuration is complete.
     pub revision: u64,
-    /// Revision that a list of the platform has confirmed.
+    /// Revision confirmed by a list of the platform.
     pub floor: u64,
-    /// Sum over the hashes of all objects that the process holds.
+    /// Wrapping sum of the hashes of all objects that the process holds.
     pub sum: u64,
     /// Deletions after `floor`.
     pub deleted: Vec<Deletion>,
--- a/crates/core/src/report.rs
+++ b/crates/core/src/report.rs
@@ -1,8 +1,8 @@
-//! What the holders of leases report about their zones.
+//! Zone reports, written by the holders of leases.
 //!
-//! A lease and the brief report of its zone are one object, so that a write by a former holder fails on its version.
-//! The lease is written and read often, so what grows with the zone is kept out of it: the whole report, with a line
-//! for each upstream, is an object of its own, which the holder writes more rarely the larger it is.
+//! A lease and the brief report of its zone are one object, so that a write by a former holder fails its version check.
+//! The lease is read and written often, so data that grows with the zone is kept in a separate object. The holder
+//! writes this full report less often the larger it is.
 
 use std::collections::BTreeMap;
 
@@ -11,24 +11,24 @@
 /// Prefix of the names of lease objects.
 pub const LEASE_PREFIX: &str = "seed-";
 
-/// Most names of lagging processes in a brief report.
+/// Maximum number of lagging processes in a brief report.
 pub const BRIEF_BEHIND: usize = 32;
 
-/// Most revisions in a brief report, the newest ones.
+/// Maximum number of revisions in a brief report; the newest are kept.
 pub const BRIEF_CHANGES: usize = 16;
 
 /// Spec of a lease object.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Lease {
-    /// Name of the balancer that holds it.
+    /// Name of the balancer that holds the lease.
     pub holder: String,
     /// Control address of the holder, as `IP:PORT`.
     pub control: String,
-    /// When the holder took it, in milliseconds since 1970.
+    /// When the holder acquired the lease, in milliseconds since 1970.
     #[serde(rename = "taken_at_ms")]
     pub taken_ms: u64,
-    /// The holder's newest report in brief, absent until it has one.
+    /// The holder's latest brief report, if any.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub report: Option<Report>,
 }
@@ -50,15 +50,15 @@
     pub at_ms: u64,
     /// Highest revision that is in force at every process of the zone.
     pub in_force: u64,
-    /// Highest revision that the reporting process knows.
+    /// Highest revision known to the reporting process.
     pub known: u64,
-    /// Number of the zone's processes.
+    /// Number of processes in the zone.
     pub processes: u32,
-    /// Number of processes that lag behind `known`.
+    /// Number of processes whose revision is lower than `known`.
     pub lagging: u32,
-    /// Processes that lag behind `known`; the first ones only in a brief report.
+    /// Processes whose revision is lower than `known`; truncated in a brief report.
     pub behind: Vec<Behind>,
-    /// Newest revisions, with the times that they took.
+    /// Latest revisions with their rollout times.
     pub changes: Vec<Applied>,
     /// Upstreams in the zone.
     pub upstreams: Vec<UpstreamStatus>,
@@ -67,7 +67,7 @@
 }
 
 impl Report {
-    /// The report without what grows with the zone.
+    /// Returns the report without the parts that grow with the zone.
     pub fn brief(&self) -> Report {
         let mut it = Report { upstreams: Vec::new(), balancers: Vec::new(), ..self.clone() };
         it.behind.truncate(BRIEF_BEHIND);
@@ -75,23 +75,23 @@
         it
     }
 
-    /// This brief report with the upstreams and balancers of a whole one.
+    /// Returns this brief report with the upstreams and balancers of a full one.
     pub fn with_members(self, whole: Report) -> Report {
         Report { upstreams: whole.upstreams, balancers: whole.balancers, ..self }
     }
 }
 
-/// A process that lags behind.
+/// A process whose revision is lower than the latest known one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Behind {
     /// Name of the process.
     pub name: String,
-    /// Revision in force there.
+    /// Revision in force at the process.
     pub in_force: u64,
 }
 
-/// How long a revision took to be in force in a zone.
+/// Rollout time of a revision in a zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Applied {
@@ -99,31 +99,31 @@
     pub revision: u64,
     /// When the zone first saw it, in milliseconds since 1970.
     pub seen_ms: u64,
-    /// When it was in force at every process of the zone, in milliseconds since 1970.
+    /// When it became in force at every process of the zone, in milliseconds since 1970.
     #[serde(rename = "in_force_ms")]
     pub done_ms: u64,
 }
 
-/// What an upstream or a balancer is doing.
+/// State of an upstream or a balancer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Takes new work.
+    /// Accepts new work.
     Ready,
-    /// Takes no new work because a planned change says so; what is in progress finishes.
+    /// Accepts no new work because of a planned change; work in progress finishes.
     Draining,
-    /// Stops: takes no new work and ends when what is in progress has finished.
+    /// Shutting down: accepts no new work and exits when work in progress has finished.
     Leaving,
-    /// Not heard of within the timeout.
+    /// Unreachable for longer than the timeout.
     #[default]
     Down,
-    /// A state that this version does not know.
+    /// A state unknown to this version.
     #[serde(other)]
     Other,
 }
 
 impl State {
-    /// The state's name in a report.
+    /// Name of the state in a report.
     pub fn as_str(self) -> &'static str {
         match self {
             State::Ready => "ready",
@@ -149,15 +149,15 @@
     pub zone: String,
     /// What it is doing.
     pub state: State,
-    /// Flows that it holds.
+    /// Number of open flows.
     pub flows: u32,
-    /// Slots in use.
+    /// Number of slots in use.
     pub busy: u32,
-    /// Slots that it has.
+    /// Number of slots.
     pub slots: u32,
-    /// Since when it is in this state, in milliseconds since 1970.
+    /// When it entered this state, in milliseconds since 1970.
     pub since_ms: u64,
-    /// Key epochs that seal the connection IDs of its flows; empty when it has none or does not know.
+    /// Key epochs of the connection IDs of its flows; empty if it has none or they are unknown.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub epochs: Vec<u8>,
 }
@@ -178,7 +178,7 @@
     pub in_force: u64,
 }
 
-/// Keeps the freshest report of each zone.
+/// Returns the latest report of each zone.
 pub fn freshest<I>(reports: I) -> BTreeMap<String, Report>
 where
     I: IntoIterator<Item = Report>,
@@ -193,7 +193,7 @@
     zones
 }
 
-/// Highest revision that is in force in every zone; `None` without a report.
+/// Highest revision that is in force in every zone; `None` without reports.
 pub fn in_force(zones: &BTreeMap<String, Report>) -> Option<u64> {
     zones.values().map(|it| it.in_force).min()
 }
--- a/crates/core/src/revision.rs
+++ b/crates/core/src/revision.rs
@@ -4,16 +4,16 @@
 
 use thiserror::Error;
 
-/// Bits of a packed revision that hold its number: 2^48 changes at 1,000 a second are 8,900 years.
+/// Number of low bits of a packed revision that hold its number.
 const NUMBER_BITS: u32 = 48;
-/// Highest era that a packed revision can hold.
+/// Highest era that fits into a packed revision.
 pub const MAX_ERA: u64 = u64::MAX >> NUMBER_BITS;
 const MAX_NUMBER: u64 = u64::MAX >> (u64::BITS - NUMBER_BITS);
 
-/// Header in which the object API tells its era in each answer.
+/// Response header of the object API that contains its era.
 pub const ERA_HEADER: &str = "store-era";
 
-/// An era that can't be read.
+/// Error of an era header that can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{header} is no number up to {MAX_ERA}: {value:?}")]
 pub struct EraError {
@@ -21,7 +21,7 @@
     value: String,
 }
 
-/// The era that an answer's header tells. A store that never comes back from a copy may leave it out.
+/// Parses the era header of a response. The header may be absent, which means era 0.
 pub fn parse_era(header: &'static str, value: Option<&[u8]>) -> Result<u64, EraError> {
     let Some(value) = value else {
         return Ok(0);
@@ -31,32 +31,32 @@
     era.ok_or_else(|| EraError { header, value: text.into_owned() })
 }
 
-/// Time after the store came back from a copy, in milliseconds, in which its writers write again what it lost. Until then what it
-/// lacks may still be in force by its writers' word.
+/// Time after a restore of the store from a backup in which its writers write lost objects again, in milliseconds.
+/// Until then, an object missing from the store may still be in force.
 pub const WRITTEN_AGAIN_MS: u64 = 10_000;
 
-/// A revision of the store. Numbers grow with each change; a new era begins when the store comes back from an older copy, and
-/// gives out again the numbers that it lost.
+/// A revision of the store. The number increases with each change. A new era begins when the store is restored from an
+/// older backup, since numbers are then reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Revision {
-    /// How often the store came back from a copy. Compared first.
+    /// Number of restores from a backup; compared first.
     pub era: u64,
     /// Number within the era.
     pub number: u64,
 }
 
 impl Revision {
-    /// The revision of this number in an era.
+    /// Creates a revision.
     pub fn new(era: u64, number: u64) -> Revision {
         Revision { era, number }
     }
 
-    /// Era and number in one, of the same order, as versions of objects hold them: in the first era it is the number itself.
+    /// Era and number in one integer with the same order, as used in object versions. In era 0 it equals the number.
     pub fn packed(self) -> u64 {
         self.era.min(MAX_ERA) << NUMBER_BITS | self.number.min(MAX_NUMBER)
     }
 
-    /// The revision of which this is the packed form.
+    /// Inverse of [`Revision::packed`].
     pub fn unpacked(packed: u64) -> Revision {
         Revision { era: packed >> NUMBER_BITS, number: packed & MAX_NUMBER }
     }
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -1,11 +1,11 @@
-//! Members of a service's pool over time, and which of them must record a claim on an idempotency key.
+//! Membership history of a service's pool, and the members that must record a claim on an idempotency key.
 //!
-//! A claim lives in the memory of three or four agents, in three zones if the pool has so many: the key's arbiter,
-//! which is the first member by rendezvous, the agent that claims, and witnesses. Two claims on a key therefore meet at
-//! the arbiter. For a while after the members changed, the arbiter may be another one than before: then all members
-//! must record the claim, so that it meets any earlier one. An agent that has started lately, and so can't know what
-//! was before, demands the same of whoever asks it. Only if members in as many zones lost their memory within that time
-//! can an earlier claim have been forgotten by all; the roster then calls the key doubtful.
+//! A claim is replicated to three or four agents, in three zones if the pool spans that many: the key's arbiter, which
+//! is the first member by rendezvous hashing, the claiming agent, and further members. Two claims on a key therefore
+//! conflict at the arbiter. For one key window after a membership change the arbiter may differ from the earlier one,
+//! so all members must record the claim. An agent that started recently requires the same of agents that send it a
+//! claim. An earlier claim can be lost only if members in that many zones lost their memory within the window; the
+//! roster then reports the key as doubtful.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,32 +16,32 @@
 
 use crate::claims::ClaimKey;
 
-/// Least members that must record a claim while the pool is settled, and zones that they span, if there are so many.
-const HOLDERS: usize = 3;
+/// Minimum number of members that record a claim while the pool is settled, and of zones that they span if available.
+const MIN_HOLDERS: usize = 3;
 
-/// A member as a snapshot shows it.
+/// A member as listed in a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seen<'a> {
     /// Name.
     pub name: &'a str,
-    /// Number that grows each time a process starts under the name.
+    /// Number that increases with each process start under the name.
     pub incarnation: u64,
     /// Availability zone.
     pub zone: &'a str,
-    /// What it is to the service.
+    /// Role of the member for the service.
     pub part: Part,
 }
 
-/// What a process is to a service's claims.
+/// Role of a process for the claims of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part {
     /// Belongs to the service's pool.
     Member,
-    /// Belongs to a pool that the service had before.
+    /// Belongs to a former pool of the service.
     Former,
-    /// Belongs to the service's pool but has not been heard of for some seconds. It may be paused and wake again.
+    /// Belongs to the service's pool but has sent nothing for some seconds. It may be paused and resume.
     Silent,
-    /// Leaves, and has handed its claims over.
+    /// Is leaving and has transferred its claims.
     Leaving,
 }
 
@@ -50,106 +50,106 @@
     incarnation: u64,
     zone: String,
     part: Part,
-    /// When it joined; none if it was there before this process.
-    joined: Option<u64>,
+    /// When it joined; `None` if it was a member before this process started.
+    joined_at: Option<u64>,
 }
 
-/// A member that died, and its memory with it.
+/// A member that died; its claims are lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lost {
     /// Name.
     pub name: String,
-    /// Number of the process under the name.
+    /// Incarnation of the dead process.
     pub incarnation: u64,
     /// Availability zone.
     pub zone: String,
-    /// When it was missed.
+    /// When the loss was detected, in milliseconds.
     pub at: u64,
-    /// Whether it was a member when the members were last settled.
+    /// Whether it was a member when membership was last settled.
     pub old: bool,
 }
 
-/// A member that can't be asked.
+/// A member whose claims can't be queried.
 struct Missing<'a> {
     name: &'a str,
     zone: &'a str,
 }
 
-/// Members of one service's pool, as one process has seen them come and go.
+/// Membership of one service's pool, as observed by one process.
 #[derive(Clone, Debug)]
 pub struct Roster {
     live: BTreeMap<String, Live>,
     lost: Vec<Lost>,
-    /// When the members last changed, or this process started.
-    changed: u64,
-    /// When the members began to change, after they had been settled or this process had started.
-    unsettled: u64,
-    /// When this process last woke from a pause.
-    woke: Option<u64>,
+    /// When membership last changed, or this process started.
+    changed_at: u64,
+    /// When the current series of changes began, or this process started.
+    changes_since: u64,
+    /// When this process last resumed after a pause.
+    resumed_at: Option<u64>,
 }
 
 impl Roster {
-    /// The roster of a process named `me` that starts at `now` and sees these members.
+    /// Creates the roster of the process `me`, which starts at `now` and sees the members `seen`.
     pub fn new(me: &str, now: u64, seen: &[Seen<'_>]) -> Roster {
         let mut live = BTreeMap::new();
         for it in seen {
-            let joined = (it.name == me).then_some(now);
-            live.insert(it.name.to_owned(), Live::new(it, joined));
+            let joined_at = (it.name == me).then_some(now);
+            live.insert(it.name.to_owned(), Live::new(it, joined_at));
         }
-        Roster { live, lost: Vec::new(), changed: now, unsettled: now, woke: None }
+        Roster { live, lost: Vec::new(), changed_at: now, changes_since: now, resumed_at: None }
     }
 
-    /// Takes in the members of a newer snapshot. Lost members are remembered for `window` milliseconds.
+    /// Applies the members of a newer snapshot. Lost members are remembered for `window` milliseconds.
     pub fn update(&mut self, now: u64, window: u64, seen: &[Seen<'_>]) {
         let mut present = BTreeSet::new();
         for it in seen {
             present.insert(it.name);
-            self.see(now, window, it);
+            self.observe(now, window, it);
         }
         let gone: Vec<String> =
             self.live.keys().filter(|it| !present.contains(it.as_str())).cloned().collect();
         for name in gone {
-            self.change(now, window);
+            self.mark_changed(now, window);
             if let Some(old) = self.live.remove(&name) {
-                self.lose(now, &name, &old);
+                self.record_loss(now, &name, &old);
             }
         }
         self.lost.retain(|it| now.saturating_sub(it.at) < window);
     }
 
-    /// Takes note that this process, named `me`, was paused: it does not know what was recorded meanwhile.
+    /// Handles a pause of this process, `me`: claims recorded during the pause are unknown to it.
     pub fn wake(&mut self, me: &str, now: u64) {
-        self.changed = now;
-        self.woke = Some(now);
+        self.changed_at = now;
+        self.resumed_at = Some(now);
         if let Some(own) = self.live.get_mut(me) {
-            own.joined = Some(now);
+            own.joined_at = Some(now);
         }
     }
 
-    fn change(&mut self, now: u64, window: u64) {
+    fn mark_changed(&mut self, now: u64, window: u64) {
         if self.is_settled(now, window) {
-            self.unsettled = now;
+            self.changes_since = now;
         }
-        self.changed = now;
+        self.changed_at = now;
     }
 
-    /// Whether a member was one when the members were last settled. What was recorded since was recorded by all, this
-    /// process included, so only what those recorded can be forgotten.
+    /// Whether a member joined before the current series of changes. Later claims are recorded by all members,
+    /// including this process, so only claims held by old members can be lost.
     fn is_old(&self, it: &Live) -> bool {
-        it.joined.is_none_or(|at| at < self.unsettled)
+        it.joined_at.is_none_or(|at| at < self.changes_since)
     }
 
-    fn see(&mut self, now: u64, window: u64, it: &Seen<'_>) {
+    fn observe(&mut self, now: u64, window: u64, it: &Seen<'_>) {
         let known = self.live.get(it.name);
         if known.is_none_or(|old| old.incarnation != it.incarnation || old.part != it.part) {
-            self.change(now, window);
+            self.mark_changed(now, window);
         }
         let Some(old) = self.live.get_mut(it.name) else {
             let back = self
                 .lost
                 .iter()
                 .position(|lost| lost.name == it.name && lost.incarnation == it.incarnation);
-            // A process that was only taken for dead still has its memory.
+            // The process was wrongly regarded as dead and still has its claims.
             if let Some(at) = back {
                 self.lost.remove(at);
             }
@@ -161,10 +161,10 @@
             return;
         }
         let old = std::mem::replace(old, Live::new(it, Some(now)));
-        self.lose(now, it.name, &old);
+        self.record_loss(now, it.name, &old);
     }
 
-    fn lose(&mut self, now: u64, name: &str, old: &Live) {
+    fn record_loss(&mut self, now: u64, name: &str, old: &Live) {
         if old.part == Part::Leaving {
             return;
         }
@@ -173,19 +173,19 @@
         self.lost.push(Lost { name: name.to_owned(), incarnation, zone, at: now, old });
     }
 
-    /// Names of the members. One that leaves hands its claims to all others: what is recorded while the members change is
-    /// recorded by all.
+    /// Names of the members. A leaving member transfers its claims to all of them, since claims made while membership
+    /// changes are recorded by all.
     pub fn members(&self) -> impl Iterator<Item = &str> {
         let members = self.live.iter().filter(|(_, it)| it.part == Part::Member);
         members.map(|(name, _)| name.as_str())
     }
 
-    /// Members that died lately; an agent that leaves tells the others.
+    /// Members that died recently; a leaving agent sends them to the others.
     pub fn losses(&self) -> &[Lost] {
         &self.lost
     }
 
-    /// Takes in what an agent that leaves knows of members that died.
+    /// Adds the lost members reported by a leaving agent.
     pub fn add_losses(&mut self, losses: &[Lost]) {
         for it in losses {
             let known = |old: &Lost| old.name == it.name && old.incarnation == it.incarnation;
@@ -195,8 +195,8 @@
         }
     }
 
-    /// Whether a claim may be recorded here: `asked` is the digest of the members if all of them are asked, or none if
-    /// only those are asked that suffice in a settled pool.
+    /// Whether a claim may be recorded here. `asked` is the sender's membership digest if the claim goes to all
+    /// members, or `None` if it goes only to the holders of a settled pool.
     pub fn admits(&self, asked: Option<u64>, now: u64, window: u64) -> bool {
         match asked {
             Some(digest) => digest == self.digest(),
@@ -204,25 +204,25 @@
         }
     }
 
-    /// Whether the members have not changed for `window` milliseconds, as far as this process can know.
+    /// Whether this process has observed no membership change for `window` milliseconds.
     pub fn is_settled(&self, now: u64, window: u64) -> bool {
-        now.saturating_sub(self.changed) >= window
+        now.saturating_sub(self.changed_at) >= window
     }
 
-    /// Who must record a claim that `me` makes on `key` while the members are settled, the arbiter first.
+    /// Members that must record a claim by `me` on `key` while membership is settled, the arbiter first.
     pub fn holders(&self, key: &ClaimKey, me: &str) -> Vec<&str> {
-        let order = self.order(key);
+        let order = self.rendezvous_order(key);
         let mut members: Vec<&str> = order.first().copied().into_iter().collect();
         if let Some((name, _)) = self.live.get_key_value(me).filter(|_| !members.contains(&me)) {
             members.push(name);
         }
-        self.add_witnesses(&order, &mut members);
+        self.add_further_holders(&order, &mut members);
         members
     }
 
-    /// Who must record a claim on `key` while the members are not settled, the arbiter first.
+    /// Members that must record a claim on `key` while membership is not settled, the arbiter first.
     pub fn all_holders(&self, key: &ClaimKey) -> Vec<&str> {
-        let mut members = self.order(key);
+        let mut members = self.rendezvous_order(key);
         for (name, it) in &self.live {
             if it.part == Part::Former {
                 members.push(name);
@@ -231,8 +231,8 @@
         members
     }
 
-    /// Digest of the members. Whoever is asked while the members are not settled must see the same ones: else one of
-    /// them may have been lost without the other knowing.
+    /// Digest of the members. While membership is not settled, sender and receiver of a claim must have the same
+    /// digest; otherwise one of them may have missed a loss.
     pub fn digest(&self) -> u64 {
         let mut hasher = SipHasher13::new();
         for (name, it) in &self.live {
@@ -245,31 +245,34 @@
         hasher.finish()
     }
 
-    /// Adds to those that must record a claim, in further zones as far as there are any.
-    fn add_witnesses<'a>(&self, order: &[&'a str], members: &mut Vec<&'a str>) {
+    /// Adds members until enough record the claim, from other zones first.
+    fn add_further_holders<'a>(&self, order: &[&'a str], members: &mut Vec<&'a str>) {
         loop {
             let zones: BTreeSet<&str> = members.iter().map(|it| self.zone(it)).collect();
             let others = || order.iter().copied().filter(|it| !members.contains(it));
             let elsewhere = others().find(|it| !zones.contains(self.zone(it)));
-            let far = elsewhere.filter(|_| zones.len() < HOLDERS);
-            let near = others().next().filter(|_| members.len() < HOLDERS);
-            let Some(witness) = far.or(near) else {
+            let other_zone = elsewhere.filter(|_| zones.len() < MIN_HOLDERS);
+            let any_zone = others().next().filter(|_| members.len() < MIN_HOLDERS);
+            let Some(next) = other_zone.or(any_zone) else {
                 return;
             };
-            members.push(witness);
+            members.push(next);
         }
     }
 
-    /// Whether an earlier claim on `key` may have been forgotten by everyone who had recorded it.
+    /// Whether an earlier claim on `key` may have been lost at all members that recorded it.
     pub fn is_doubtful(&self, key: &ClaimKey, now: u64, window: u64) -> bool {
-        if self.woke.is_some_and(|at| now.saturating_sub(at) < window && self.lost_since(at)) {
+        if self
+            .resumed_at
+            .is_some_and(|at| now.saturating_sub(at) < window && self.holders_lost_since(at))
+        {
             return true;
         }
-        let missing = self.missing(now, window);
-        if !spans(&missing, self.live.values().filter(|it| self.is_old(it))) {
+        let missing = self.unavailable(now, window);
+        if !may_be_all_holders(&missing, self.live.values().filter(|it| self.is_old(it))) {
             return false;
         }
-        // The arbiter at that time was the first of the members then. If it still lives, it remembers.
+        // If the arbiter of that time is still alive, it has the claim.
         let mut names: BTreeSet<&str> = missing.iter().map(|it| it.name).collect();
         let stays = self.live.iter().filter(|(_, it)| it.part != Part::Leaving);
         names.extend(stays.map(|(name, _)| name.as_str()));
@@ -284,8 +287,8 @@
         true
     }
 
-    /// Members that can't tell what they recorded: those that died lately, and those that are silent.
-    fn missing(&self, now: u64, window: u64) -> Vec<Missing<'_>> {
+    /// Members whose claims can't be queried: those that died recently, and those that are silent.
+    fn unavailable(&self, now: u64, window: u64) -> Vec<Missing<'_>> {
         let mut missing = Vec::new();
         for it in &self.lost {
             if it.old && now.saturating_sub(it.at) < window {
@@ -300,20 +303,21 @@
         missing
     }
 
-    /// Whether those that died since `at` could be all that recorded a claim while this process was paused until then.
-    fn lost_since(&self, at: u64) -> bool {
+    /// Whether the members that died since `at`, when this process resumed, could be all holders of a claim made during
+    /// the pause.
+    fn holders_lost_since(&self, at: u64) -> bool {
         let mut missing = Vec::new();
         for it in &self.lost {
             if it.at >= at {
                 missing.push(Missing { name: &it.name, zone: &it.zone });
             }
         }
-        let there = |it: &&Live| it.joined.is_none_or(|joined| joined < at);
-        spans(&missing, self.live.values().filter(there))
+        let there = |it: &&Live| it.joined_at.is_none_or(|joined| joined < at);
+        may_be_all_holders(&missing, self.live.values().filter(there))
     }
 
-    /// Members that take part in new claims, by rendezvous.
-    fn order(&self, key: &ClaimKey) -> Vec<&str> {
+    /// Members that record new claims, in rendezvous order.
+    fn rendezvous_order(&self, key: &ClaimKey) -> Vec<&str> {
         key.order(self.members())
     }
 
@@ -322,8 +326,8 @@
     }
 }
 
-/// Whether the missing members could be all that recorded one claim, given those that stayed of the members at the time.
-fn spans<'a, I>(missing: &[Missing<'_>], stayed: I) -> bool
+/// Whether the missing members could be all holders of one claim; `stayed` are the other members of that time.
+fn may_be_all_holders<'a, I>(missing: &[Missing<'_>], stayed: I) -> bool
 where
     I: Iterator<Item = &'a Live>,
 {
@@ -337,13 +341,13 @@
         zones.insert(&it.zone);
         members += 1;
     }
-    let enough = !missing.is_empty() && missing.len() >= HOLDERS.min(members);
-    enough && gone.len() >= HOLDERS.min(zones.len())
+    let enough = !missing.is_empty() && missing.len() >= MIN_HOLDERS.min(members);
+    enough && gone.len() >= MIN_HOLDERS.min(zones.len())
 }
 
 impl Live {
-    fn new(it: &Seen<'_>, joined: Option<u64>) -> Live {
+    fn new(it: &Seen<'_>, joined_at: Option<u64>) -> Live {
         let Seen { incarnation, part, .. } = *it;
-        Live { incarnation, zone: it.zone.to_owned(), part, joined }
+        Live { incarnation, zone: it.zone.to_owned(), part, joined_at }
     }
 }
--- a/crates/core/src/seal.rs
+++ b/crates/core/src/seal.rs
@@ -1,8 +1,8 @@
-//! Sealed connection IDs: where a flow lives, encrypted into the ID that each of its packets carries.
+//! Sealed connection IDs: the owner of a flow, encrypted into the connection ID of its packets.
 //!
-//! A sealed ID has 20 bytes: the key epoch, a nonce in clear, and one AES-128 block over the agent's address, the
-//! service, the nonce again and zeros. The repeated nonce and the zeros are 48 bits that must match, so a random or
-//! forged ID opens with probability 2^-48. Opening costs one AES operation and needs no memory per flow.
+//! A sealed ID has 20 bytes: the key epoch, a nonce in clear text, and one AES-128 block over the agent's address, the
+//! service ID, the nonce again and zeros. The repeated nonce and the zeros are 48 bits that must match, so a random or
+//! forged ID is accepted with probability 2^-48. Opening takes one AES operation and no state per flow.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
@@ -15,29 +15,29 @@
 
 use crate::object::{KeyUse, Keys, ServiceId};
 
-/// Length of a sealed connection ID.
+/// Length of a sealed connection ID in bytes.
 pub const CID_LEN: usize = 20;
-/// Length of a nonce.
+/// Length of a nonce in bytes.
 pub const NONCE_LEN: usize = 3;
 
-const NONCE_AT: usize = 1;
-const BLOCK_AT: usize = NONCE_AT + NONCE_LEN;
+const NONCE_OFFSET: usize = 1;
+const BLOCK_OFFSET: usize = NONCE_OFFSET + NONCE_LEN;
 const LABEL_CID: &[u8] = b"camphorwinch cid";
 const LABEL_PACKET: &[u8] = b"camphorwinch packet";
 const LABEL_PLACE: &[u8] = b"camphorwinch place";
 const LABEL_RESET: &[u8] = b"camphorwinch reset";
 const LABEL_TOKEN: &[u8] = b"camphorwinch token";
 
-/// Where a flow lives: the content of a sealed connection ID.
+/// Owner of a flow: the content of a sealed connection ID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Home {
-    /// Data address of the agent that ends the flow.
+    /// Data address of the agent that terminates the flow.
     pub agent: SocketAddrV4,
     /// Service of the flow.
     pub service: ServiceId,
 }
 
-/// The agent's address as a connection ID can carry it, or none: an IPv6 address does not fit.
+/// Converts an agent's address to the form stored in a connection ID; `None` for IPv6, which does not fit.
 pub fn sealable(address: SocketAddr) -> Option<SocketAddrV4> {
     match address {
         SocketAddr::V4(it) => Some(it),
@@ -45,21 +45,21 @@
     }
 }
 
-/// Key of the authentication code on encapsulated packets.
+/// Key of the message authentication code of encapsulated packets.
 pub type PacketKey = [u8; 16];
 
-struct WorkingKey {
+struct DerivedKey {
     epoch: u8,
     cid: Aes128,
     packet: PacketKey,
 }
 
-const NO_KEY: u8 = u8::MAX;
+const NO_KEY_INDEX: u8 = u8::MAX;
 
-/// Working keys derived from the fleet's secrets: any listed epoch opens, one seals.
+/// Keys derived from the fleet's secrets: every listed epoch opens connection IDs, one seals them.
 pub struct KeyRing {
-    keys: Vec<WorkingKey>,
-    // Index into `keys` by epoch, so that opening costs the same however many keys are listed.
+    keys: Vec<DerivedKey>,
+    // Index into `keys` by epoch, for constant lookup time.
     index: [u8; 256],
     sealing: usize,
     place: [u8; 16],
@@ -74,25 +74,25 @@
 }
 
 impl KeyRing {
-    /// Derives the working keys. None if no key seals; a checked spec has exactly one that does. The position of an
-    /// index entry is a byte, so of more than 255 keys the rest is left out.
+    /// Derives the keys; `None` if no key seals. A valid spec has exactly one sealing key. Only the first 255 keys are
+    /// used, as the index holds one byte per epoch.
     pub fn new(keys: &Keys) -> Option<KeyRing> {
         let mut ring = KeyRing {
             keys: Vec::new(),
-            index: [NO_KEY; 256],
+            index: [NO_KEY_INDEX; 256],
             sealing: 0,
             place: derive(&keys.reset, LABEL_PLACE),
             reset: derive(&keys.reset, LABEL_RESET),
             token: derive(&keys.reset, LABEL_TOKEN),
         };
         let mut sealing = None;
-        for key in keys.keys.iter().take(usize::from(NO_KEY)) {
+        for key in keys.keys.iter().take(usize::from(NO_KEY_INDEX)) {
             let at = ring.keys.len();
             if key.usage == KeyUse::Seal {
                 sealing = Some(at);
             }
             ring.index[usize::from(key.epoch)] = at as u8;
-            ring.keys.push(WorkingKey {
+            ring.keys.push(DerivedKey {
                 epoch: key.epoch,
                 cid: Aes128::new(&derive::<16>(&key.secret, LABEL_CID).into()),
                 packet: derive(&key.secret, LABEL_PACKET),
@@ -102,12 +102,12 @@
         Some(ring)
     }
 
-    /// Epoch of the key that seals.
+    /// Epoch of the sealing key.
     pub fn epoch(&self) -> u8 {
         self.keys[self.sealing].epoch
     }
 
-    /// Seals `home` into a connection ID under the sealing key.
+    /// Seals `home` into a connection ID with the sealing key.
     pub fn seal(&self, home: Home, nonce: [u8; NONCE_LEN]) -> [u8; CID_LEN] {
         let key = &self.keys[self.sealing];
         let mut block = Block::default();
@@ -118,19 +118,19 @@
         key.cid.encrypt_block(&mut block);
         let mut cid = [0; CID_LEN];
         cid[0] = key.epoch;
-        cid[NONCE_AT..BLOCK_AT].copy_from_slice(&nonce);
-        cid[BLOCK_AT..].copy_from_slice(&block);
+        cid[NONCE_OFFSET..BLOCK_OFFSET].copy_from_slice(&nonce);
+        cid[BLOCK_OFFSET..].copy_from_slice(&block);
         cid
     }
 
-    /// Opens a connection ID; none if it was not sealed by a key of this ring.
+    /// Opens a connection ID; `None` if it was not sealed with a key of this ring.
     #[inline]
     pub fn open(&self, cid: &[u8]) -> Option<Home> {
         let cid: &[u8; CID_LEN] = cid.try_into().ok()?;
         let key = self.key(cid[0])?;
-        let mut block = Block::clone_from_slice(&cid[BLOCK_AT..]);
+        let mut block = Block::clone_from_slice(&cid[BLOCK_OFFSET..]);
         key.cid.decrypt_block(&mut block);
-        if block[10..13] != cid[NONCE_AT..BLOCK_AT] || block[13..] != [0; 3] {
+        if block[10..13] != cid[NONCE_OFFSET..BLOCK_OFFSET] || block[13..] != [0; 3] {
             return None;
         }
         let ip = Ipv4Addr::new(block[0], block[1], block[2], block[3]);
@@ -139,30 +139,30 @@
         Some(Home { agent: SocketAddrV4::new(ip, port), service: ServiceId(service) })
     }
 
-    /// Key for encapsulated packets of an epoch.
+    /// Key for encapsulated packets of `epoch`, if known.
     #[inline]
     pub fn packet_key(&self, epoch: u8) -> Option<&PacketKey> {
         self.key(epoch).map(|it| &it.packet)
     }
 
-    /// Key of the hash that places new flows: the same for the life of the fleet, unknown to callers.
+    /// Secret key of the hash that places new flows; never changes for a fleet.
     #[inline]
     pub fn place_key(&self) -> &[u8; 16] {
         &self.place
     }
 
-    /// Secret behind the stateless reset tokens of all agents.
+    /// Secret from which the stateless reset tokens of all agents are derived.
     pub fn reset_key(&self) -> &[u8; 32] {
         &self.reset
     }
 
-    /// Secret behind the address validation tokens of all agents.
+    /// Secret from which the address validation tokens of all agents are derived.
     pub fn token_key(&self) -> &[u8; 32] {
         &self.token
     }
 
     #[inline]
-    fn key(&self, epoch: u8) -> Option<&WorkingKey> {
+    fn key(&self, epoch: u8) -> Option<&DerivedKey> {
         self.keys.get(usize::from(self.index[usize::from(epoch)]))
     }
 }
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -1,9 +1,8 @@
-//! Lookup table from a hash to a few members of a pool, in constant time whatever the size of the pool.
+//! Maglev lookup table from a hash to a few members of a pool, with constant lookup time.
 //!
-//! The table is filled as Maglev does it (Eisenbud et al., NSDI 2016): every member has a permutation of the slots of
-//! its own and takes its next free slot when it is its turn. Shares are exact to one slot, a change of membership moves
-//! few slots, and equal members and weights give the same table on every machine, as no transcendental function is
-//! used.
+//! The table is filled as in Maglev (Eisenbud et al., NSDI 2016): every member has its own permutation of the slots and
+//! in each turn takes the next free ones. Shares are exact to one slot, and a membership change moves few slots. Equal
+//! members and weights give the same table on every machine, as no transcendental function is used.
 
 use std::hash::Hasher;
 
@@ -14,24 +13,24 @@
 const SLOTS_PER_MEMBER: usize = 128;
 const MIN_SLOTS: usize = 1_024;
 const MAX_SLOTS: usize = 1 << 20;
-/// Most members of one table; further ones get no slot.
+/// Members beyond this number get no slot.
 const MAX_MEMBERS: usize = u16::MAX as usize;
-/// Turns in which members take their shares, so that nobody has all of its slots before others begin.
-const ROUNDS: usize = 64;
-/// Lookups before the search for a further distinct member goes on in order.
-const PROBES: usize = 8;
-const FREE: u16 = u16::MAX;
+/// Number of turns in which members take their shares, so that they fill the table in parallel.
+const FILL_ROUNDS: usize = 64;
+/// Number of hashed lookups before distinct members are searched in order.
+const MAX_LOOKUPS: usize = 8;
+const FREE_SLOT: u16 = u16::MAX;
 
 /// A member of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Member<'a> {
-    /// Name, from which its permutation is derived.
+    /// Name; determines the member's permutation.
     pub name: &'a str,
-    /// Share relative to the other members.
+    /// Weight relative to the other members.
     pub weight: f64,
 }
 
-/// The table. Members are numbered by their position in the list it was built from.
+/// The lookup table. Members are numbered by their position in the input list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Slots {
     slots: Box<[u16]>,
@@ -46,7 +45,7 @@
 }
 
 impl Picks {
-    /// The members' numbers, best first.
+    /// Numbers of the members, best first.
     #[inline]
     pub fn as_slice(&self) -> &[u16] {
         &self.members[..self.len]
@@ -62,7 +61,7 @@
 }
 
 impl Slots {
-    /// Fills a table for `members`. Weights must be finite and not negative; a member without weight gets no slot.
+    /// Builds the table for `members`. Weights must be finite and not negative; a member with weight 0 gets no slot.
     pub fn new(members: &[Member<'_>]) -> Slots {
         let members = &members[..members.len().min(MAX_MEMBERS)];
         let weights: Vec<f64> = members.iter().map(|it| it.weight).collect();
@@ -73,30 +72,31 @@
         let size = (members.len() * SLOTS_PER_MEMBER).clamp(MIN_SLOTS, MAX_SLOTS);
         let size = size.next_power_of_two();
         let shares = shares(&weights, total, size);
-        let mut walks: Vec<Walk> = members.iter().map(|it| Walk::new(it.name, size)).collect();
-        let mut slots = vec![FREE; size].into_boxed_slice();
-        for round in 1..=ROUNDS {
-            for (at, walk) in walks.iter_mut().enumerate() {
-                let due = (shares[at] * round).div_ceil(ROUNDS);
-                while walk.taken < due {
-                    walk.take(at as u16, &mut slots);
+        let mut permutations: Vec<Permutation> =
+            members.iter().map(|it| Permutation::new(it.name, size)).collect();
+        let mut slots = vec![FREE_SLOT; size].into_boxed_slice();
+        for round in 1..=FILL_ROUNDS {
+            for (at, permutation) in permutations.iter_mut().enumerate() {
+                let target = (shares[at] * round).div_ceil(FILL_ROUNDS);
+                while permutation.taken < target {
+                    permutation.take(at as u16, &mut slots);
                 }
             }
         }
         Slots { slots, count: members.len() }
     }
 
-    /// Whether no member can be picked.
+    /// Whether the table has no members.
     pub fn is_empty(&self) -> bool {
         self.slots.is_empty()
     }
 
-    /// Bytes that the table takes.
+    /// Size of the table in bytes.
     pub fn bytes(&self) -> usize {
         size_of_val(&*self.slots)
     }
 
-    /// Slots of each member.
+    /// Number of slots of each member.
     pub fn counts(&self) -> Vec<usize> {
         let mut counts = vec![0; self.count];
         for &member in &self.slots {
@@ -105,21 +105,21 @@
         counts
     }
 
-    /// The member that has slot number `at`, counted round.
+    /// The member at slot `at`, modulo the table size.
     #[inline]
     pub fn member(&self, at: u64) -> Option<u16> {
         let mask = (self.slots.len() as u64).wrapping_sub(1);
         self.slots.get((at & mask) as usize).copied()
     }
 
-    /// Picks up to three distinct members for `hash`. The second and third don't depend on the first, so flows that a
-    /// full member passes on spread over all others.
+    /// Picks up to three distinct members for `hash`. The second and third are independent of the first, so flows that
+    /// a full member forwards spread over all others.
     #[inline]
     pub fn pick(&self, hash: u64) -> Picks {
         let mut picks = Picks::default();
         let want = self.count.min(MAX_CANDIDATES);
         let mut at = hash;
-        for _ in 0..PROBES {
+        for _ in 0..MAX_LOOKUPS {
             let Some(member) = self.member(at) else {
                 return picks;
             };
@@ -133,7 +133,7 @@
         picks
     }
 
-    // For few members or very unequal weights: goes on with the members in order.
+    // Adds members in order if hashed lookups find too few, as with few members or very unequal weights.
     #[cold]
     fn fill(&self, picks: &mut Picks, want: usize) {
         let first = usize::from(picks.members[0]);
@@ -146,39 +146,39 @@
     }
 }
 
-/// Number of slots of each member: in proportion to the weights, rounded by largest remainder.
+/// Number of slots of each member, proportional to its weight; rounded by the largest remainder method.
 fn shares(weights: &[f64], total: f64, size: usize) -> Vec<usize> {
     let exact: Vec<f64> = weights.iter().map(|it| it / total * size as f64).collect();
     let mut shares: Vec<usize> = exact.iter().map(|it| it.floor() as usize).collect();
     let mut order: Vec<usize> = (0..weights.len()).collect();
-    let rest = |at: &usize| exact[*at] - exact[*at].floor();
-    order.sort_by(|a, b| rest(b).total_cmp(&rest(a)));
-    let left = size.saturating_sub(shares.iter().sum());
-    for &at in order.iter().cycle().take(left) {
+    let remainder = |at: &usize| exact[*at] - exact[*at].floor();
+    order.sort_by(|a, b| remainder(b).total_cmp(&remainder(a)));
+    let remaining = size.saturating_sub(shares.iter().sum());
+    for &at in order.iter().cycle().take(remaining) {
         shares[at] += 1;
     }
     shares
 }
 
-/// A member's way through the slots: an odd step visits each slot of a power of two once.
-struct Walk {
+/// A member's permutation of the slots: an odd step visits each slot of a power-of-two table once.
+struct Permutation {
     next: usize,
     step: usize,
     taken: usize,
 }
 
-impl Walk {
-    fn new(name: &str, size: usize) -> Walk {
+impl Permutation {
+    fn new(name: &str, size: usize) -> Permutation {
         let mut hasher = SipHasher13::new();
         hasher.write(name.as_bytes());
         let hash = hasher.finish();
         let step = (mix(hash) as usize) | 1;
-        Walk { next: hash as usize & (size - 1), step: step & (size - 1), taken: 0 }
+        Permutation { next: hash as usize & (size - 1), step: step & (size - 1), taken: 0 }
     }
 
     fn take(&mut self, member: u16, slots: &mut [u16]) {
         let mask = slots.len() - 1;
-        while slots[self.next] != FREE {
+        while slots[self.next] != FREE_SLOT {
             self.next = (self.next + self.step) & mask;
         }
         slots[self.next] = member;
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! One consistent picture of configuration and members, as the data path reads it.
+//! Consistent snapshot of configuration and members for the data path.
 
 use std::collections::BTreeMap;
 
@@ -19,23 +19,23 @@
 }
 
 impl ServiceEntry {
-    /// Version `version` of the service named `name`.
+    /// Creates the entry of version `version` of the service `name`.
     pub fn new(name: &str, version: u64, spec: Service) -> ServiceEntry {
         ServiceEntry { name: name.to_owned(), version, spec }
     }
 
-    /// Weight of `agent` within the service: the service's own setting goes before what the agent announced.
+    /// Weight of `agent` within the service; a weight set in the service overrides the announced one.
     pub fn weight(&self, agent: &Agent) -> f64 {
         self.spec.weights.get(&agent.name).copied().unwrap_or(agent.weight)
     }
 }
 
-/// Configuration and members at one moment. Built by the control plane, read by everyone else, never changed in place.
+/// Configuration and members at one point in time. Built by the control plane and immutable afterwards.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// Highest platform revision whose changes are all contained.
+    /// Highest platform revision up to which the snapshot is complete.
     pub revision: u64,
-    /// Services by number.
+    /// Services by ID.
     pub services: BTreeMap<ServiceId, ServiceEntry>,
     /// Planned changes by name.
     pub changes: BTreeMap<String, Change>,
@@ -43,27 +43,27 @@
     pub certificates: BTreeMap<String, Certificate>,
     /// Keys of the fleet.
     pub keys: Option<Keys>,
-    /// Agents by name, those found dead included until they are forgotten.
+    /// Agents by name, including dead ones until they are removed.
     pub agents: BTreeMap<String, Agent>,
-    /// Numbers that grow each time an agent starts, by name.
+    /// Incarnations of the agents, by name.
     pub incarnations: BTreeMap<String, u64>,
     /// Balancers by name.
     pub balancers: BTreeMap<String, Balancer>,
 }
 
 impl Snapshot {
-    /// Whether a planned drain covers the process with this name, VM and zone.
+    /// Whether a planned drain applies to the process with this name, VM and zone.
     pub fn drains(&self, name: &str, vm: &str, zone: &str) -> bool {
         let covers = |target: &Target| target.covers(name, vm, zone);
         self.changes.values().any(|it| covers(&it.target))
     }
 
-    /// Whether `agent` may be given new flows and handed-over requests.
+    /// Whether new flows and forwarded requests may be sent to `agent`.
     pub fn takes_work(&self, agent: &Agent) -> bool {
         agent.state.takes_work() && !self.drains(&agent.name, &agent.place.vm, &agent.place.zone)
     }
 
-    /// Agents of the service's pool that take new work, in order of name.
+    /// Agents of the service's pool that accept new work, sorted by name.
     pub fn candidates(&self, service: ServiceId) -> Vec<&Agent> {
         let Some(entry) = self.services.get(&service) else {
             return Vec::new();
@@ -72,7 +72,7 @@
         self.agents.values().filter(|it| it.pool == *pool && self.takes_work(it)).collect()
     }
 
-    /// Weight of `agent` within a service; the one it announced if the service is not known.
+    /// Weight of `agent` within a service; the announced weight if the service is unknown.
     pub fn weight(&self, service: ServiceId, agent: &Agent) -> f64 {
         self.services.get(&service).map_or(agent.weight, |it| it.weight(agent))
     }
--- a/crates/core/src/split_mix.rs
+++ b/crates/core/src/split_mix.rs
@@ -1,8 +1,8 @@
-//! SplitMix64 (Steele, Lea and Flood, OOPSLA 2014): a mixing function and the generator made of it.
+//! SplitMix64 (Steele, Lea and Flood, OOPSLA 2014): mixing function and generator.
 
 const INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The generator's output for state `x`.
+/// Returns the output for state `x`.
 #[inline]
 pub(crate) fn mix(x: u64) -> u64 {
     let x = x.wrapping_add(INCREMENT);
@@ -11,7 +11,7 @@
     x ^ (x >> 31)
 }
 
-/// The generator's next output.
+/// Advances the generator and returns its output.
 pub(crate) fn next(state: &mut u64) -> u64 {
     let output = mix(*state);
     *state = state.wrapping_add(INCREMENT);
--- a/crates/core/src/suspect.rs
+++ b/crates/core/src/suspect.rs
@@ -1,29 +1,29 @@
-//! Members whose link was lost: when one counts as silent or dead.
+//! Failure detector: declares members silent or dead after their link was lost.
 //!
-//! A member that lives announces itself again within the grace period, through another link or the same one once it is
-//! back; its version then differs from the one at the loss. One that does not is dead if its process closed the link,
-//! as a kernel does for a process that ended. If the link just fell silent, the process may be paused: its flows would
-//! break for nothing if others reset them, so an agent counts as silent first, and as dead much later.
+//! A live member announces itself again within the grace period, through another link or a new one, and its version
+//! changes. A member that does not is dead if its process closed the link, as the kernel does when a process ends. If
+//! the link timed out instead, the process may be paused, and resetting its flows would break them needlessly. Such an
+//! agent is declared silent first and dead much later.
 
 use std::collections::BTreeMap;
 
 use crate::record::Version;
 
-/// For how long an agent that closed its link may be without one before it counts as dead, in milliseconds.
+/// Time after which an agent that closed its link and has no other is declared dead, in milliseconds.
 pub const AGENT_GRACE_MS: u64 = 2_000;
-/// For how long an agent may be silent before it counts as dead, in milliseconds.
+/// Time after which a silent agent is declared dead, in milliseconds.
 pub const SILENT_GRACE_MS: u64 = 25_000;
-/// For how long a balancer may be without a link before it counts as dead, in milliseconds.
+/// Time after which a balancer without a link is declared dead, in milliseconds.
 pub const BALANCER_GRACE_MS: u64 = 4_000;
-/// The same for an agent all of whose balancers are dead.
+/// Time after which an agent without a live balancer is declared dead, in milliseconds.
 pub const ORPHAN_GRACE_MS: u64 = 8_000;
-/// A gap between two ticks that shows that the process itself was paused, in milliseconds.
+/// Gap between two calls that indicates a pause of this process, in milliseconds.
 pub const PAUSE_MS: u64 = 1_500;
 
-/// What a member counts as once the grace period is over.
+/// State of a member after its grace period.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verdict {
-    /// Not heard of; it may be paused.
+    /// Unreachable; it may be paused.
     Silent,
     /// Dead.
     Dead,
@@ -34,7 +34,7 @@
 pub struct Finding {
     /// Name of the member.
     pub name: String,
-    /// What it counts as.
+    /// Its state.
     pub verdict: Verdict,
 }
 
@@ -45,61 +45,61 @@
     verdict: Verdict,
 }
 
-/// Members under suspicion.
+/// Suspected members.
 #[derive(Clone, Debug, Default)]
 pub struct Suspects {
     entries: BTreeMap<String, Suspect>,
-    ticked: Option<u64>,
-    quiet_ms: u64,
+    last_call_ms: Option<u64>,
+    quiet_until_ms: u64,
 }
 
 impl Suspects {
-    /// No suspicion.
+    /// Creates an empty set.
     pub fn new() -> Suspects {
         Suspects::default()
     }
 
-    /// Suspects a member that was last heard of with `version`. An earlier suspicion of the same version stays.
+    /// Suspects a member last known at `version`. An earlier suspicion of the same version keeps its deadline.
     pub fn suspect(&mut self, name: &str, version: Version, due_ms: u64, verdict: Verdict) {
-        let known = self.entries.get(name).is_some_and(|it| it.version == version);
-        if !known {
+        let already_suspected = self.entries.get(name).is_some_and(|it| it.version == version);
+        if !already_suspected {
             self.entries.insert(name.to_owned(), Suspect { version, due_ms, verdict });
         }
     }
 
-    /// Drops the suspicion: a link to the member is up.
+    /// Removes the suspicion because a link to the member is up.
     pub fn clear(&mut self, name: &str) {
         self.entries.remove(name);
     }
 
-    /// Whether this member is under suspicion.
+    /// Whether the member is suspected.
     pub fn contains(&self, name: &str) -> bool {
         self.entries.contains_key(name)
     }
 
-    /// Number of members under suspicion.
+    /// Number of suspected members.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no member is under suspicion.
+    /// Whether no member is suspected.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Members that count as silent or dead now. `version` gives the version at which a member is known at present.
+    /// Removes and returns the members whose grace period is over. `version` returns the current version of a member.
     ///
-    /// After a pause of this process every suspicion starts anew, and nobody counts as dead for a while: it was this
-    /// process that did not listen, and its links were lost for that. `connected` says whether this process hears of
-    /// the others at all; while it does not, nobody counts as dead.
+    /// After a pause of this process, all grace periods are extended and no member is reported for a while, because the
+    /// links may have been lost due to the pause. While `connected` is false, this process has no link at all and
+    /// reports no member either.
     pub fn due<F>(&mut self, now_ms: u64, connected: bool, version: F) -> Vec<Finding>
     where
         F: Fn(&str) -> Option<Version>,
     {
-        let paused = self.ticked.is_some_and(|it| now_ms.saturating_sub(it) > PAUSE_MS);
-        self.ticked = Some(now_ms);
+        let paused = self.last_call_ms.is_some_and(|it| now_ms.saturating_sub(it) > PAUSE_MS);
+        self.last_call_ms = Some(now_ms);
         if paused {
-            self.quiet_ms = now_ms + BALANCER_GRACE_MS;
+            self.quiet_until_ms = now_ms + BALANCER_GRACE_MS;
         }
         self.entries.retain(|name, it| version(name) == Some(it.version));
         if paused || !connected {
@@ -108,10 +108,10 @@
             }
             return Vec::new();
         }
-        if now_ms < self.quiet_ms {
+        if now_ms < self.quiet_until_ms {
             return Vec::new();
         }
-        let over = self.entries.extract_if(.., |_, it| it.due_ms <= now_ms);
-        over.map(|(name, it)| Finding { name, verdict: it.verdict }).collect()
+        let expired = self.entries.extract_if(.., |_, it| it.due_ms <= now_ms);
+        expired.map(|(name, it)| Finding { name, verdict: it.verdict }).collect()
     }
 }
--- a/crates/core/src/timeline.rs
+++ b/crates/core/src/timeline.rs
@@ -1,25 +1,25 @@
-//! Events of all processes and the hybrid logical clock that orders them.
+//! Events of all processes, ordered by a hybrid logical clock.
 //!
-//! The clock follows Kulkarni et al., "Logical Physical Clocks" (2014): a stamp stays near the wall clock, and an event
-//! that depends on a message has a higher stamp than the sending of that message, however far the wall clocks differ.
+//! The clock follows Kulkarni et al., "Logical Physical Clocks" (2014): a stamp is close to the wall clock, and an
+//! event caused by a message has a higher stamp than the sending of the message, regardless of clock skew.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Furthest that a received stamp may run ahead of the local wall clock, in milliseconds.
+/// Maximum accepted lead of a received stamp over the local wall clock, in milliseconds.
 ///
-/// Without a bound, one process with a broken wall clock would carry every other clock into the future.
+/// Keeps one process with a wrong wall clock from advancing all other clocks.
 pub const MAX_AHEAD_MS: u64 = 60_000;
 
-/// A point in time of the hybrid logical clock.
+/// A timestamp of the hybrid logical clock.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Stamp {
-    /// Milliseconds since 1970, never behind those of any event that this one depends on.
+    /// Milliseconds since 1970; never lower than in an event that this one depends on.
     pub ms: u64,
-    /// Orders events of the same millisecond.
+    /// Orders stamps of the same millisecond.
     pub counter: u32,
 }
 
@@ -39,21 +39,21 @@
 }
 
 impl Hlc {
-    /// A clock that has seen nothing.
+    /// Creates a clock at zero.
     pub const fn new() -> Hlc {
         Hlc { last: Stamp { ms: 0, counter: 0 } }
     }
 
-    /// Stamp for a local event or for a message about to be sent. Each call returns a higher stamp than the one before.
+    /// Returns the stamp of a local event or an outgoing message. Stamps strictly increase.
     pub fn tick(&mut self, now_ms: u64) -> Stamp {
         let wall = Stamp { ms: now_ms, counter: 0 };
         self.last = if wall > self.last { wall } else { self.last.next() };
         self.last
     }
 
-    /// Takes in the stamp of a received message; later ticks are higher than it.
+    /// Merges the stamp of a received message; later ticks are higher than it.
     ///
-    /// A stamp more than [`MAX_AHEAD_MS`] ahead of `now_ms` is not taken in, and the answer is false.
+    /// Returns false and ignores a stamp that is more than [`MAX_AHEAD_MS`] ahead of `now_ms`.
     pub fn observe(&mut self, now_ms: u64, seen: Stamp) -> bool {
         if seen.ms > now_ms.saturating_add(MAX_AHEAD_MS) {
             return false;
@@ -63,7 +63,7 @@
     }
 }
 
-/// One event of one process.
+/// An event of a process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Event {
@@ -72,31 +72,31 @@
     pub stamp: Stamp,
     /// Name of the process.
     pub process: String,
-    /// Number of the event within the process, from 0 at its start.
+    /// Sequence number within the process, starting at 0.
     pub seq: u64,
-    /// Number of the kind of event in the catalogue.
+    /// Number of the event kind in the catalogue.
     pub id: u16,
-    /// Name of the kind of event, such as `drain-started`.
+    /// Name of the event kind, such as `drain-started`.
     pub name: String,
-    /// Service concerned.
+    /// Affected service.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub service: Option<String>,
-    /// Flow concerned, in hexadecimal digits.
+    /// Affected flow, in hexadecimal.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub flow: Option<String>,
-    /// Request concerned, in hexadecimal digits.
+    /// Affected request, in hexadecimal.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request: Option<String>,
-    /// Upstream concerned, by the name of its agent.
+    /// Affected upstream, by the name of its agent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub upstream: Option<String>,
-    /// What happened, for people.
+    /// Human-readable description.
     pub text: String,
 }
 
-/// Identity of an event and its place in causal order.
+/// Identity of an event and its position in causal order.
 ///
-/// The stamp belongs to it because a process that starts again counts from 0 again.
+/// Includes the stamp because a restarted process numbers its events from 0 again.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EventKey {
     stamp: Stamp,
@@ -105,21 +105,21 @@
 }
 
 impl Event {
-    /// The event's identity, ordered so that no event comes before one that it depends on.
+    /// Identity of the event; keys are ordered so that an event follows all events it depends on.
     pub fn key(&self) -> EventKey {
         EventKey { stamp: self.stamp, process: self.process.clone(), seq: self.seq }
     }
 }
 
-/// Spec of a timeline object: the newest events of a zone.
+/// Spec of a timeline object: the latest events of a zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Timeline {
-    /// The events.
+    /// Events of the zone.
     pub events: Vec<Event>,
 }
 
-/// Merges lists of events into causal order; an event that stands in several lists appears once.
+/// Merges lists of events into causal order and removes duplicates.
 pub fn merge<I>(lists: I) -> Vec<Event>
 where
     I: IntoIterator,
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -1,9 +1,9 @@
-//! What a process knows of the fleet: configuration objects and members, merged from the platform and from peers.
+//! Replicated state of the fleet: configuration objects and members, merged from the platform and from peers.
 //!
-//! Merging keeps the record with the higher version, in whatever order and however often records arrive. Two numbers
-//! say how complete the configuration is. `revision` is the highest revision up to which the platform's watch or a peer
-//! says that nothing is missing. `floor` is the highest revision that a whole list of the platform has confirmed: only
-//! at or below it does the absence of an object mean that it was deleted, because a watch may skip an event.
+//! Merging keeps the record with the higher version, so records may arrive in any order and repeatedly. Two numbers
+//! describe how complete the configuration is. `revision` is the highest revision up to which the platform's watch or a
+//! peer reports it as complete. `floor` is the highest revision confirmed by a complete list of the platform. Because a
+//! watch may skip an event, a missing object counts as deleted only at or below `floor`.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,22 +18,22 @@
     revision::Revision,
 };
 
-/// Groups into which records are divided for comparison.
+/// Number of hash buckets into which records are grouped for comparison.
 pub const BUCKETS: usize = 64;
-/// For how long a member that was found dead is remembered, in milliseconds.
+/// Retention time of a member that was declared dead, in milliseconds.
 pub const FORGET_MS: u64 = 3_600_000;
 
-/// Which records a peer is given.
+/// The records that are synced to a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// All of them: the peer is a balancer.
+    /// All records, for a balancer.
     All,
-    /// Configuration, balancers, and the agents of these pools: the peer is an agent.
+    /// Configuration, balancers and the agents of these pools, for an agent.
     Pools(BTreeSet<String>),
 }
 
 impl Scope {
-    /// Whether a member belongs to the scope.
+    /// Whether the scope includes a member.
     pub fn covers(&self, member: &Member) -> bool {
         match (self, &member.role) {
             (Scope::All, _) | (Scope::Pools(_), Role::Balancer { .. }) => true,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Whether a record belongs to the scope.
+    /// Whether the scope includes a record.
     pub fn covers_record(&self, record: &Record) -> bool {
         match record {
             Record::Object { .. } | Record::Deleted { .. } => true,
@@ -50,54 +50,54 @@
     }
 }
 
-/// Key and version of a record that a process holds.
+/// Key and version of a stored record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Key.
+    /// Key of the record.
     pub key: Key,
-    /// Version.
+    /// Version of the record.
     pub version: Version,
 }
 
-/// What a process holds in the buckets in which it differs from a peer.
+/// Entries of the buckets in which a process differs from a peer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// The buckets.
+    /// Numbers of the differing buckets.
     pub buckets: Vec<u8>,
-    /// Everything in these buckets.
+    /// All entries of these buckets.
     pub entries: Vec<Entry>,
-    /// Revision confirmed by a list: an object at or below it that is not among the entries was deleted.
+    /// Revision confirmed by a list: an object at or below it that has no entry was deleted.
     pub floor: u64,
 }
 
-/// Outcome of comparing with a peer's summary.
+/// Result of a comparison with a peer's summary.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Comparison {
     /// Records that the peer lacks.
     pub lacking: Vec<Record>,
-    /// Deletions that followed from the summary, and are in force here now.
+    /// Deletions found by the comparison and applied locally.
     pub deleted: Vec<Record>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Slot {
+enum ObjectState {
     Present(Object),
     Deleted(u64),
 }
 
-impl Slot {
+impl ObjectState {
     fn revision(&self) -> u64 {
         match self {
-            Slot::Present(it) => it.version,
-            Slot::Deleted(revision) => *revision,
+            ObjectState::Present(it) => it.version,
+            ObjectState::Deleted(revision) => *revision,
         }
     }
 }
 
-/// Records by key.
+/// Local copy of the fleet's records.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    objects: BTreeMap<(Kind, String), Slot>,
+    objects: BTreeMap<(Kind, String), ObjectState>,
     members: BTreeMap<String, Member>,
     revision: u64,
     floor: u64,
@@ -105,36 +105,36 @@
 }
 
 impl View {
-    /// A view that knows nothing.
+    /// Creates an empty view.
     pub fn new() -> View {
         View::default()
     }
 
-    /// Whether the configuration was complete up to some revision, by the platform or a peer that was complete.
+    /// Whether the configuration has been complete at least once, as reported by the platform or a synced peer.
     pub fn synced(&self) -> bool {
         self.synced
     }
 
-    /// Highest revision up to which nothing is known to be missing.
+    /// Highest revision up to which the configuration is complete.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Highest revision that a list of the platform has confirmed.
+    /// Highest revision confirmed by a list of the platform.
     pub fn floor(&self) -> u64 {
         self.floor
     }
 
-    /// The objects of a kind, in order of name.
+    /// The objects of a kind, sorted by name.
     pub fn objects(&self, kind: Kind) -> impl Iterator<Item = &Object> {
-        let slots = self.objects.iter().filter(move |((it, _), _)| *it == kind);
-        slots.filter_map(|(_, slot)| match slot {
-            Slot::Present(it) => Some(it),
-            Slot::Deleted(_) => None,
+        let states = self.objects.iter().filter(move |((it, _), _)| *it == kind);
+        states.filter_map(|(_, state)| match state {
+            ObjectState::Present(it) => Some(it),
+            ObjectState::Deleted(_) => None,
         })
     }
 
-    /// The members, in order of name.
+    /// The members, sorted by name.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
@@ -144,32 +144,32 @@
         self.members.get(name)
     }
 
-    /// Takes in a record; true if it is news. `wall_ms` is the time since 1970.
+    /// Merges a record; true if it changed the view. `wall_ms` is the time since 1970 in milliseconds.
     pub fn merge(&mut self, record: &Record, wall_ms: u64) -> bool {
         match record {
             Record::Object { kind, object } => {
-                self.merge_slot(*kind, &object.name, Slot::Present(object.clone()))
+                self.merge_object(*kind, &object.name, ObjectState::Present(object.clone()))
             }
             Record::Deleted { kind, name, revision } => {
-                self.merge_slot(*kind, name, Slot::Deleted(*revision))
+                self.merge_object(*kind, name, ObjectState::Deleted(*revision))
             }
             Record::Member(it) => self.merge_member(it, wall_ms),
         }
     }
 
-    fn merge_slot(&mut self, kind: Kind, name: &str, slot: Slot) -> bool {
+    fn merge_object(&mut self, kind: Kind, name: &str, state: ObjectState) -> bool {
         let key = (kind, name.to_owned());
         match self.objects.get(&key) {
-            Some(old) if old.revision() >= slot.revision() => return false,
-            None if slot.revision() <= self.floor => return false,
+            Some(old) if old.revision() >= state.revision() => return false,
+            None if state.revision() <= self.floor => return false,
             Some(_) | None => {}
         }
-        self.objects.insert(key, slot);
+        self.objects.insert(key, state);
         true
     }
 
     fn merge_member(&mut self, member: &Member, wall_ms: u64) -> bool {
-        if forgotten(member, wall_ms) {
+        if is_expired(member, wall_ms) {
             return false;
         }
         if self.members.get(member.name()).is_some_and(|it| it.version >= member.version) {
@@ -179,73 +179,73 @@
         true
     }
 
-    /// Takes in the whole list of a kind as of `revision`; returns what changed.
+    /// Applies the complete list of a kind as of `revision`; returns the changes.
     ///
-    /// An object that is held at or below `revision` but is not in the list was deleted. The list goes before anything
-    /// that was concluded from peers: an object in it is held, even one that was believed deleted.
+    /// A stored object at or below `revision` that is not in the list was deleted.
     pub fn take_list(&mut self, kind: Kind, objects: &[Object], revision: u64) -> Vec<Record> {
-        let mut changed = self.take_newer(kind, objects);
+        let mut changed = self.store_newer(kind, objects);
         let listed: BTreeSet<&str> = objects.iter().map(|it| it.name.as_str()).collect();
-        for ((it, name), slot) in &mut self.objects {
-            let held = matches!(slot, Slot::Present(object) if object.version <= revision);
+        for ((it, name), state) in &mut self.objects {
+            let held = matches!(state, ObjectState::Present(object) if object.version <= revision);
             if *it != kind || !held || listed.contains(name.as_str()) {
                 continue;
             }
-            *slot = Slot::Deleted(revision);
+            *state = ObjectState::Deleted(revision);
             changed.push(Record::Deleted { kind, name: name.clone(), revision });
         }
         changed
     }
 
-    /// Takes in a list of a platform that may have just come back from a copy; returns what changed. Its objects count as of the
-    /// former era: one that the copy holds in an older state does not replace the newer one, and one that it lacks stays. Their
-    /// writers write them again; after that whole lists count.
+    /// Applies a list of a platform that may just have been restored from a backup; returns the changes.
+    ///
+    /// Its objects get versions of the former era, so older versions replace nothing, and objects missing from the list
+    /// stay. After the writers have written them again, complete lists apply.
     pub fn take_copy(&mut self, kind: Kind, objects: &[Object], former_era: u64) -> Vec<Record> {
-        let of_before = |it: &Object| {
+        let in_former_era = |it: &Object| {
             let number = Revision::unpacked(it.version).number;
             Object { version: Revision::new(former_era, number).packed(), ..it.clone() }
         };
-        let objects: Vec<Object> = objects.iter().map(of_before).collect();
-        self.take_newer(kind, &objects)
+        let objects: Vec<Object> = objects.iter().map(in_former_era).collect();
+        self.store_newer(kind, &objects)
     }
 
-    /// Takes in the objects that are newer than what is held; returns them.
-    fn take_newer(&mut self, kind: Kind, objects: &[Object]) -> Vec<Record> {
+    /// Stores the objects that are newer than the stored ones; returns them.
+    fn store_newer(&mut self, kind: Kind, objects: &[Object]) -> Vec<Record> {
         let mut changed = Vec::new();
         for object in objects {
             let key = (kind, object.name.clone());
-            let old = self.objects.get(&key).map_or(0, Slot::revision);
+            let old = self.objects.get(&key).map_or(0, ObjectState::revision);
             if old >= object.version {
                 continue;
             }
-            self.objects.insert(key, Slot::Present(object.clone()));
+            self.objects.insert(key, ObjectState::Present(object.clone()));
             changed.push(Record::Object { kind, object: object.clone() });
         }
         changed
     }
 
-    /// States that everything up to `revision` is held, because a watch of the platform has delivered it.
+    /// Marks the view as complete up to `revision`, as delivered by a watch; true if that is new.
     pub fn advance(&mut self, revision: u64) -> bool {
-        let news = revision > self.revision || !self.synced;
+        let is_new = revision > self.revision || !self.synced;
         self.revision = self.revision.max(revision);
         self.synced = true;
-        news
+        is_new
     }
 
-    /// States that everything up to `revision` is held, because lists of all kinds have confirmed it.
+    /// Marks the view as complete up to `revision`, as confirmed by lists of all kinds; true if that is new.
     pub fn confirm(&mut self, revision: u64) -> bool {
-        let news = self.advance(revision);
+        let is_new = self.advance(revision);
         self.raise_floor(revision);
-        news
+        is_new
     }
 
     fn raise_floor(&mut self, floor: u64) {
         self.floor = self.floor.max(floor);
         let floor = self.floor;
-        self.objects.retain(|_, it| !matches!(it, Slot::Deleted(at) if *at <= floor));
+        self.objects.retain(|_, it| !matches!(it, ObjectState::Deleted(at) if *at <= floor));
     }
 
-    /// The statement for peers of how complete this view is; none before it is complete.
+    /// The completeness mark to send to peers; `None` before the first sync.
     pub fn mark(&self) -> Option<Mark> {
         if !self.synced {
             return None;
@@ -255,47 +255,47 @@
         Some(Mark { revision: self.revision, floor: self.floor, sum, deleted })
     }
 
-    /// Deletions that no list has confirmed yet.
+    /// Deletions that are not yet confirmed by a list.
     fn deletions(&self) -> Vec<Deletion> {
         let mut deleted = Vec::new();
-        for ((kind, name), slot) in &self.objects {
-            if let Slot::Deleted(revision) = slot {
+        for ((kind, name), state) in &self.objects {
+            if let ObjectState::Deleted(revision) = state {
                 deleted.push(Deletion { kind: *kind, name: name.clone(), revision: *revision });
             }
         }
         deleted
     }
 
-    /// Takes over a peer's mark if this view holds just the same objects.
+    /// Adopts a peer's mark if this view holds the same objects.
     pub fn adopt(&mut self, mark: &Mark) -> Adoption {
         for it in &mark.deleted {
-            self.merge_slot(it.kind, &it.name, Slot::Deleted(it.revision));
+            self.merge_object(it.kind, &it.name, ObjectState::Deleted(it.revision));
         }
-        let known = self.synced && mark.revision < self.revision;
-        if known {
+        let already_complete = self.synced && mark.revision < self.revision;
+        if already_complete {
             return Adoption::Known;
         }
         if self.sum() != mark.sum {
             return Adoption::Differs;
         }
-        let news = self.advance(mark.revision);
+        let is_new = self.advance(mark.revision);
         self.raise_floor(mark.floor);
-        if news { Adoption::Taken } else { Adoption::Known }
+        if is_new { Adoption::Taken } else { Adoption::Known }
     }
 
-    /// Sum over all objects, newer ones included: one of them may stand in for an older version that another process
-    /// lacks altogether.
+    /// Sum over all objects, including those newer than `revision`: the peer may lack the older version of such an
+    /// object.
     fn sum(&self) -> u64 {
         let mut sum = 0u64;
-        for ((kind, name), slot) in &self.objects {
-            if let Slot::Present(object) = slot {
+        for ((kind, name), state) in &self.objects {
+            if let ObjectState::Present(object) = state {
                 sum = sum.wrapping_add(hash_object(*kind, name, object.version));
             }
         }
         sum
     }
 
-    /// Hash of each bucket, over the records in scope.
+    /// Hash of each bucket over the records in scope.
     pub fn digest(&self, scope: &Scope) -> [u64; BUCKETS] {
         let mut buckets = [0u64; BUCKETS];
         for entry in self.entries(scope) {
@@ -307,9 +307,9 @@
     }
 
     fn entries(&self, scope: &Scope) -> impl Iterator<Item = Entry> {
-        let objects = self.objects.iter().map(|((kind, name), slot)| Entry {
+        let objects = self.objects.iter().map(|((kind, name), state)| Entry {
             key: Key::Object(*kind, name.clone()),
-            version: Version::object(slot.revision()),
+            version: Version::object(state.revision()),
         });
         let members = self.members.values().filter(|it| scope.covers(it));
         let members =
@@ -317,7 +317,7 @@
         objects.chain(members)
     }
 
-    /// What this view holds in the buckets in which `theirs`, a peer's digest, differs.
+    /// Entries of the buckets that differ from `theirs`, the digest of a peer.
     pub fn summary(&self, scope: &Scope, theirs: &[u64; BUCKETS]) -> Summary {
         let ours = self.digest(scope);
         let differs = |bucket: usize| ours[bucket] != theirs[bucket];
@@ -330,7 +330,7 @@
         Summary { buckets, entries, floor }
     }
 
-    /// Compares with a peer's summary: deletes what the peer knows to be deleted, and finds what the peer lacks.
+    /// Compares with a peer's summary: applies the deletions it implies and collects the records that the peer lacks.
     pub fn compare(&mut self, scope: &Scope, theirs: &Summary) -> Comparison {
         let mut has: BTreeMap<&Key, Version> = BTreeMap::new();
         for entry in &theirs.entries {
@@ -344,7 +344,7 @@
             match has.get(&entry.key) {
                 Some(version) if *version >= entry.version => continue,
                 Some(_) => outcome.lacking.extend(self.record(&entry.key)),
-                None => self.settle_absence(&entry, theirs.floor, &mut outcome),
+                None => self.resolve_missing(&entry, theirs.floor, &mut outcome),
             }
         }
         for (key, version) in has {
@@ -354,7 +354,7 @@
         outcome
     }
 
-    fn settle_absence(&mut self, entry: &Entry, floor: u64, outcome: &mut Comparison) {
+    fn resolve_missing(&mut self, entry: &Entry, floor: u64, outcome: &mut Comparison) {
         let Key::Object(kind, name) = &entry.key else {
             outcome.lacking.extend(self.record(&entry.key));
             return;
@@ -362,8 +362,8 @@
         let key = (*kind, name.clone());
         if entry.version.major > floor {
             outcome.lacking.extend(self.record(&entry.key));
-        } else if matches!(self.objects.get(&key), Some(Slot::Present(_))) {
-            self.objects.insert(key, Slot::Deleted(floor));
+        } else if matches!(self.objects.get(&key), Some(ObjectState::Present(_))) {
+            self.objects.insert(key, ObjectState::Deleted(floor));
             let deleted = Record::Deleted { kind: *kind, name: name.clone(), revision: floor };
             outcome.deleted.push(deleted);
         }
@@ -373,10 +373,12 @@
     pub fn record(&self, key: &Key) -> Option<Record> {
         match key {
             Key::Object(kind, name) => {
-                let slot = self.objects.get(&(*kind, name.clone()))?;
-                Some(match slot {
-                    Slot::Present(object) => Record::Object { kind: *kind, object: object.clone() },
-                    Slot::Deleted(revision) => {
+                let state = self.objects.get(&(*kind, name.clone()))?;
+                Some(match state {
+                    ObjectState::Present(object) => {
+                        Record::Object { kind: *kind, object: object.clone() }
+                    }
+                    ObjectState::Deleted(revision) => {
                         Record::Deleted { kind: *kind, name: name.clone(), revision: *revision }
                     }
                 })
@@ -385,26 +387,26 @@
         }
     }
 
-    /// Drops members that were found dead long ago; returns how many.
+    /// Removes members declared dead more than [`FORGET_MS`] ago; returns their number.
     pub fn forget(&mut self, wall_ms: u64) -> usize {
         let before = self.members.len();
-        self.members.retain(|_, it| !forgotten(it, wall_ms));
+        self.members.retain(|_, it| !is_expired(it, wall_ms));
         before - self.members.len()
     }
 }
 
-/// Outcome of offering a peer's mark to a view.
+/// Result of adopting a peer's mark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Adoption {
-    /// The view is complete up to the mark's revision now.
+    /// The view is now complete up to the mark's revision.
     Taken,
-    /// The view was already.
+    /// The view was already complete up to it.
     Known,
-    /// The objects differ: compare with the peer.
+    /// The objects differ; compare with the peer.
     Differs,
 }
 
-fn forgotten(member: &Member, wall_ms: u64) -> bool {
+fn is_expired(member: &Member, wall_ms: u64) -> bool {
     member.is_down() && member.since_ms.saturating_add(FORGET_MS) < wall_ms
 }
 
@@ -427,7 +429,7 @@
     (hasher.finish() % BUCKETS as u64) as usize
 }
 
-/// Writes bytes in a fixed order, so that the hash is the same in every process and build.
+/// Hashes the key in a fixed byte order, so that all processes and builds compute the same value.
 fn write_key(hasher: &mut SipHasher13, key: &Key) {
     let (class, name) = match key {
         Key::Object(kind, name) => (kind.as_str(), name),
