--- a/crates/core/benches/place.rs
+++ b/crates/core/benches/place.rs
@@ -1,4 +1,4 @@
-//! Cost of placing a datagram, by number of flows and of upstreams, and of building the tables.
+//! Benchmarks of datagram placement by number of flows and upstreams, and of building the tables.
 
 #![allow(missing_docs, reason = "criterion's macros make public functions")]
 
@@ -22,9 +22,9 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 const SERVICE: &str = "ledger";
-const UPSTREAMS: [usize; 5] = [10, 100, 1_000, 3_000, 5_900];
-const FLOWS: [usize; 4] = [1_000, 10_000, 100_000, 1_000_000];
-const PACKET: usize = 100;
+const UPSTREAM_COUNTS: [usize; 5] = [10, 100, 1_000, 3_000, 5_900];
+const FLOW_COUNTS: [usize; 4] = [1_000, 10_000, 100_000, 1_000_000];
+const PACKET_BYTES: usize = 100;
 
 fn keys() -> Keys {
     let key = KeySpec { epoch: 1, secret: [1; 32], usage: KeyUse::Seal };
@@ -56,7 +56,7 @@
     snapshot
 }
 
-/// A connection ID for each flow, at random agents.
+/// Connection IDs of flows at random agents.
 fn established(flows: usize, upstreams: usize) -> Vec<[u8; CID_LEN]> {
     let ring = KeyRing::new(&keys()).expect("a key seals");
     let mut rng = StdRng::seed_from_u64(7);
@@ -70,14 +70,14 @@
 fn place_established(c: &mut Criterion) {
     let mut group = c.benchmark_group("established");
     group.throughput(Throughput::Elements(1));
-    let by_flows = FLOWS.map(|flows| (flows, 5_900));
-    let by_upstreams = UPSTREAMS[..4].iter().map(|&upstreams| (1_000_000, upstreams));
+    let by_flows = FLOW_COUNTS.map(|flows| (flows, 5_900));
+    let by_upstreams = UPSTREAM_COUNTS[..4].iter().map(|&upstreams| (1_000_000, upstreams));
     for (flows, upstreams) in by_flows.into_iter().chain(by_upstreams) {
         let placer = Placer::new(&snapshot(upstreams), None, 0);
         let listener = &placer.listeners()[&address()];
         let caller = SocketAddr::from(([192, 0, 2, 1], 4_000));
         let cids = established(flows, upstreams);
-        let mut packet = vec![0x40; PACKET];
+        let mut packet = vec![0x40; PACKET_BYTES];
         let mut next = cids.iter().cycle();
         let id = BenchmarkId::new(format!("{flows} flows"), upstreams);
         group.bench_function(id, |b| {
@@ -94,7 +94,7 @@
 fn place_new(c: &mut Criterion) {
     let mut group = c.benchmark_group("new");
     group.throughput(Throughput::Elements(1));
-    for upstreams in UPSTREAMS {
+    for upstreams in UPSTREAM_COUNTS {
         let placer = Placer::new(&snapshot(upstreams), None, 0);
         let listener = &placer.listeners()[&address()];
         let mut packet = vec![0; MIN_INITIAL];
@@ -116,7 +116,7 @@
 fn build(c: &mut Criterion) {
     let mut group = c.benchmark_group("table");
     group.sample_size(10);
-    for upstreams in UPSTREAMS {
+    for upstreams in UPSTREAM_COUNTS {
         let names: Vec<String> = (0..upstreams).map(|it| format!("ledger-{it}")).collect();
         let members: Vec<Member<'_>> =
             names.iter().map(|name| Member { name, weight: 1.0 }).collect();
@@ -127,7 +127,7 @@
     group.finish();
 }
 
-/// A snapshot of today's sizes times many: one agent changes, all other tables are kept.
+/// Rebuilds the placer of a large fleet after one agent changed; all other tables are reused.
 fn rebuild(c: &mut Criterion) {
     let mut snapshot = snapshot(0);
     for number in 0..5_900 {
--- a/crates/core/tests/admit.rs
+++ b/crates/core/tests/admit.rs
@@ -1,4 +1,4 @@
-//! Admission of new flows, back-off towards an upstream, the retry budget and the choice of peers.
+//! Tests of flow admission, upstream backoff, the retry budget and peer selection.
 
 use camphorwinch_core::{
     admit::{Admission, Intake, Room, admit},
@@ -11,14 +11,14 @@
 use quickcheck::quickcheck;
 
 quickcheck! {
-    fn draining_agent_accepts_nothing(flows: u32, limit: u32, busy: u32, slots: u32, even: bool, last: bool) -> bool {
+    fn draining_agent_accepts_no_flow(flows: u32, limit: u32, busy: u32, slots: u32, even: bool, last: bool) -> bool {
         let room = Room { flows, flow_limit: limit, all_flows: flows, all_limit: limit, busy, slots };
         let policy = if even { Policy::Even } else { Policy::Steady };
         admit(policy, Intake::Draining, &room, last) != Admission::Accept
             && invariant::violations(Invariant::DrainHolds) == 0
     }
 
-    fn last_candidate_decides(flows: u32, limit: u32, busy: u32, slots: u32, even: bool) -> bool {
+    fn last_candidate_accepts_or_refuses(flows: u32, limit: u32, busy: u32, slots: u32, even: bool) -> bool {
         let room = Room { flows, flow_limit: limit, all_flows: 0, all_limit: 1, busy, slots };
         let policy = if even { Policy::Even } else { Policy::Steady };
         [Intake::Open, Intake::Closed, Intake::Draining]
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn room_is_judged_by_policy() {
+fn admission_depends_on_policy_and_load() {
     let room = Room { flow_limit: 10, all_limit: 10, busy: 3, slots: 3, ..Room::default() };
     assert_eq!(admit(Policy::Steady, Intake::Open, &room, false), Admission::Accept);
     assert_eq!(admit(Policy::Even, Intake::Open, &room, false), Admission::Pass);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn gate_lets_one_probe_through() {
+fn gate_admits_one_probe_after_a_backoff() {
     let mut gate = Gate::new();
     assert!(gate.pass(0));
     gate.refused(0);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn peers_that_refused_are_left_out_for_a_while() {
+fn peers_that_refused_are_skipped_during_the_backoff() {
     let peer = |name| Peer { name, near: true, weight: 1.0 };
     let peers = [peer("a"), peer("b")];
     let mut hints = Hints::new();
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on idempotency keys, as one agent remembers them.
+//! Tests of the claims on idempotency keys stored by one agent.
 
 use std::sync::Arc;
 
@@ -26,23 +26,23 @@
 }
 
 #[test]
-fn repeat_finds_the_first() {
+fn repeated_request_finds_the_first_claim() {
     let mut claims = Claims::new();
     assert_eq!(claims.claim(&key(1), claim(1), 0), Claimed::Granted);
     assert_eq!(claims.claim(&key(1), claim(1), 0), Claimed::Granted);
     assert_eq!(claims.claim(&key(1), claim(2), 0), Claimed::Taken(claim(1)));
     claims.settle(&key(1), 1, done("ok"), 10);
     let Claimed::Taken(found) = claims.claim(&key(1), claim(2), 20) else {
-        panic!("the key is taken");
+        panic!("expected the key to be claimed");
     };
     assert_eq!(found.state, done("ok"));
-    // The request itself does not run again either.
+    // The request itself must not run again either.
     assert!(matches!(claims.claim(&key(1), claim(1), 20), Claimed::Taken(_)));
     assert_eq!(claims.claim(&key(1), claim(3), 10 + WINDOW), Claimed::Granted);
 }
 
 #[test]
-fn release_is_for_the_holder_alone() {
+fn only_the_claiming_request_can_release_a_key() {
     let mut claims = Claims::new();
     claims.claim(&key(1), claim(1), 0);
     claims.release(&key(1), 2);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn other_content_under_a_key_is_told() {
+fn key_reused_for_other_content_is_a_mismatch() {
     let mut claims = Claims::new();
     claims.claim(&key(1), claim(1), 0);
     let other = Claim { digest: 2, ..claim(2) };
@@ -60,18 +60,18 @@
 }
 
 #[test]
-fn large_answer_is_kept_as_unknown() {
+fn response_over_the_size_limit_is_stored_as_unknown() {
     let mut claims = Claims::new();
     claims.claim(&key(1), claim(1), 0);
     claims.settle(&key(1), 1, done(&"x".repeat(100_000)), 0);
     let Claimed::Taken(found) = claims.claim(&key(1), claim(2), 1) else {
-        panic!("the key is taken");
+        panic!("expected the key to be claimed");
     };
     assert_eq!(found.state, State::Unknown);
 }
 
 #[test]
-fn closed_claims_are_handed_over_and_take_no_more() {
+fn closing_returns_all_claims_and_rejects_new_ones() {
     let mut claims = Claims::new();
     claims.claim(&key(1), claim(1), 0);
     assert_eq!(claims.close(), vec![(key(1), claim(1))]);
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Random courses of requests: whatever reports come, the promises on requests hold.
+//! Property tests of the request state machine: its guarantees hold for any sequence of results.
 
 use camphorwinch_core::{
     budget::Budget,
@@ -8,131 +8,133 @@
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
-const MOST_STEPS: usize = 40;
+const MAX_STEPS: usize = 40;
 
-/// What the world does at one step.
+/// Environment and result of one step.
 #[derive(Clone, Copy, Debug)]
-struct Fate {
+struct StepInput {
     local: bool,
     peers: u8,
     slot: bool,
-    /// 0 refuses, 1 refuses after reading the body, 2 lost before it was begun, 3 lost after, 4 answers, 5 cancelled.
+    /// 0 refused, 1 refused after the body was consumed, 2 lost before the start, 3 lost after it, 4 response, 5
+    /// cancelled.
     attempt: u8,
-    passed: u16,
+    elapsed_ms: u16,
 }
 
-impl Arbitrary for Fate {
-    fn arbitrary(g: &mut Gen) -> Fate {
-        Fate {
+impl Arbitrary for StepInput {
+    fn arbitrary(g: &mut Gen) -> StepInput {
+        StepInput {
             local: bool::arbitrary(g),
             peers: u8::arbitrary(g) % 5,
             slot: bool::arbitrary(g),
             attempt: u8::arbitrary(g) % 6,
-            passed: u16::arbitrary(g) % 100,
+            elapsed_ms: u16::arbitrary(g) % 100,
         }
     }
 }
 
 #[derive(Clone, Debug)]
-struct Course {
+struct Scenario {
     idempotent: bool,
     hop: u8,
     deadline: Option<u64>,
     even: bool,
-    fates: Vec<Fate>,
+    inputs: Vec<StepInput>,
 }
 
-impl Arbitrary for Course {
-    fn arbitrary(g: &mut Gen) -> Course {
-        Course {
+impl Arbitrary for Scenario {
+    fn arbitrary(g: &mut Gen) -> Scenario {
+        Scenario {
             idempotent: bool::arbitrary(g),
             hop: u8::arbitrary(g) % 4,
             deadline: Option::<u16>::arbitrary(g).map(u64::from),
             even: bool::arbitrary(g),
-            fates: Vec::arbitrary(g),
+            inputs: Vec::arbitrary(g),
         }
     }
 }
 
-struct Seen {
+struct Observed {
     begun: u32,
     sent: u32,
     outcome: Option<Outcome>,
 }
 
-fn run(course: &Course) -> Seen {
+fn run(scenario: &Scenario) -> Observed {
     let names = ["a", "b", "c", "d", "e"];
     let mut budget = Budget::new(0.1, 0);
     let request =
-        Request { idempotent: course.idempotent, hop: course.hop, deadline: course.deadline };
+        Request { idempotent: scenario.idempotent, hop: scenario.hop, deadline: scenario.deadline };
     let mut dispatch = Dispatch::new(request);
-    let mut seen = Seen { begun: 0, sent: 0, outcome: None };
+    let mut observed = Observed { begun: 0, sent: 0, outcome: None };
     let mut now = 0;
-    let calm = Fate { local: true, peers: 2, slot: true, attempt: 4, passed: 1 };
+    let default_input = StepInput { local: true, peers: 2, slot: true, attempt: 4, elapsed_ms: 1 };
     let mut report = None;
-    for at in 0..MOST_STEPS {
-        let fate = course.fates.get(at).copied().unwrap_or(calm);
-        now += u64::from(fate.passed);
-        let policy = if course.even { Policy::Even } else { Policy::Steady };
-        let peers = &names[..usize::from(fate.peers)];
-        let mut view = View { now, local: fate.local, peers, budget: &mut budget, policy };
+    for at in 0..MAX_STEPS {
+        let input = scenario.inputs.get(at).copied().unwrap_or(default_input);
+        now += u64::from(input.elapsed_ms);
+        let policy = if scenario.even { Policy::Even } else { Policy::Steady };
+        let peers = &names[..usize::from(input.peers)];
+        let mut view = View { now, local: input.local, peers, budget: &mut budget, policy };
         let step = match report {
             None => dispatch.start(&mut view),
             Some(it) => dispatch.next(it, &mut view),
         };
         report = Some(match step {
-            Step::Take { .. } if fate.slot => Report::Slot,
+            Step::Take { .. } if input.slot => Report::Slot,
             Step::Take { .. } => Report::Full,
             Step::Run => {
-                assert!(fate.local, "sent to an upstream that takes no work");
-                attempt(fate, &mut seen)
+                assert!(input.local, "sent to an upstream that takes no work");
+                attempt(input, &mut observed)
             }
             Step::Offer { to } => {
                 assert!(peers.contains(&to.as_str()));
-                attempt(fate, &mut seen)
+                attempt(input, &mut observed)
             }
             Step::Answer(outcome) => {
-                seen.outcome = Some(outcome);
-                return seen;
+                observed.outcome = Some(outcome);
+                return observed;
             }
         });
     }
-    panic!("no answer after {MOST_STEPS} steps");
+    panic!("no answer after {MAX_STEPS} steps");
 }
 
-fn attempt(fate: Fate, seen: &mut Seen) -> Report {
-    seen.sent += 1;
-    match fate.attempt {
+fn attempt(input: StepInput, observed: &mut Observed) -> Report {
+    observed.sent += 1;
+    match input.attempt {
         0 => Report::Refused { retry_ms: 10 },
         1 => Report::Consumed { retry_ms: 10 },
         2 => Report::Lost,
         3 => {
-            seen.begun += 1;
+            observed.begun += 1;
             Report::Lost
         }
         4 => {
-            seen.begun += 1;
+            observed.begun += 1;
             Report::Head
         }
         _ => {
-            seen.begun += 1;
+            observed.begun += 1;
             Report::Cancelled
         }
     }
 }
 
 #[test]
-fn every_course_keeps_the_promises() {
-    fn holds(course: Course) -> bool {
-        let seen = run(&course);
-        let once = course.idempotent || seen.begun <= 1;
-        let is_true = !matches!(seen.outcome, Some(Outcome::NotRun { .. })) || seen.begun == 0;
-        let relayed = seen.outcome != Some(Outcome::Relay) || seen.begun >= 1;
-        let kept = [Invariant::RunOnce, Invariant::NotRunTrue, Invariant::OneAnswer];
-        let clean = kept.iter().all(|&it| invariant::violations(it) == 0);
-        once && is_true && relayed && clean && seen.sent <= 9
+fn guarantees_hold_for_random_scenarios() {
+    fn holds(scenario: Scenario) -> bool {
+        let observed = run(&scenario);
+        let at_most_once = scenario.idempotent || observed.begun <= 1;
+        let not_run_is_true =
+            !matches!(observed.outcome, Some(Outcome::NotRun { .. })) || observed.begun == 0;
+        let relay_has_started = observed.outcome != Some(Outcome::Relay) || observed.begun >= 1;
+        let checked = [Invariant::RunOnce, Invariant::NotRunTrue, Invariant::OneAnswer];
+        let no_violations = checked.iter().all(|&it| invariant::violations(it) == 0);
+        at_most_once && not_run_is_true && relay_has_started && no_violations && observed.sent <= 9
     }
-    QuickCheck::new().tests(20_000).quickcheck(holds as fn(Course) -> bool);
+    QuickCheck::new().tests(20_000).quickcheck(holds as fn(Scenario) -> bool);
 }
 
 fn view<'a>(budget: &'a mut Budget, peers: &'a [&'a str]) -> View<'a> {
@@ -140,7 +142,7 @@
 }
 
 #[test]
-fn lost_transfer_is_unknown() {
+fn lost_non_idempotent_request_is_unknown() {
     let mut budget = Budget::new(1.0, 0);
     let request = Request { idempotent: false, hop: 0, deadline: None };
     let mut dispatch = Dispatch::new(request);
@@ -151,7 +153,7 @@
 }
 
 #[test]
-fn lost_read_is_sent_to_a_peer() {
+fn lost_idempotent_request_is_forwarded_to_a_peer() {
     let mut budget = Budget::new(1.0, 0);
     let request = Request { idempotent: true, hop: 0, deadline: None };
     let mut dispatch = Dispatch::new(request);
@@ -163,12 +165,12 @@
     let step = dispatch.next(refused, &mut view(&mut budget, &[]));
     assert_eq!(step, Step::Take { wait_ms: 100 });
     let step = dispatch.next(Report::Full, &mut view(&mut budget, &[]));
-    // It may have run at its first upstream, so it is not refused as not run.
+    // It may have run at the first upstream, so the outcome must not be `NotRun`.
     assert!(matches!(step, Step::Answer(Outcome::Unknown { .. })));
 }
 
 #[test]
-fn spent_budget_stops_retries() {
+fn exhausted_budget_stops_retries() {
     let mut budget = Budget::new(0.0, 0);
     let request = Request { idempotent: true, hop: 0, deadline: None };
     let mut dispatch = Dispatch::new(request);
--- a/crates/core/tests/lease.rs
+++ b/crates/core/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Keepers against a platform that delays, loses answers and lets its callers pause.
+//! Property tests of lease keepers with delayed writes, lost responses and paused processes.
 
 use camphorwinch_core::{
     lease::{Attempt, EXPIRE_MS, Keeper, LEASES, Term},
@@ -9,40 +9,40 @@
 const KEEPERS: usize = 3;
 
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    /// The call takes effect and its answer arrives.
-    Answered,
-    /// The call takes effect, the answer is lost.
-    AnswerLost,
-    /// The call never arrives.
-    CallLost,
+enum WriteFate {
+    /// The write takes effect and its response arrives.
+    Delivered,
+    /// The write takes effect, but its response is lost.
+    ResponseLost,
+    /// The write never arrives.
+    WriteLost,
 }
 
-/// What a keeper does next, after a time in which it did nothing.
+/// One action of a keeper after an idle time.
 #[derive(Clone, Copy, Debug)]
-struct Turn {
+struct KeeperAction {
     keeper: u8,
     pause_ms: u16,
-    /// Between the decision to write and its effect: a pause of the process, or a slow network.
+    /// Delay between the decision to write and its effect, from a process pause or a slow network.
     delay_ms: u16,
-    /// Between the effect and the arrival of the answer.
-    answer_ms: u16,
-    fate: Fate,
+    /// Delay between the effect and the arrival of the response.
+    response_ms: u16,
+    fate: WriteFate,
 }
 
-impl Arbitrary for Turn {
-    fn arbitrary(g: &mut Gen) -> Turn {
+impl Arbitrary for KeeperAction {
+    fn arbitrary(g: &mut Gen) -> KeeperAction {
         let long = u8::arbitrary(g) % 8 == 0;
         let fate = match u8::arbitrary(g) % 6 {
-            0 => Fate::AnswerLost,
-            1 => Fate::CallLost,
-            _ => Fate::Answered,
+            0 => WriteFate::ResponseLost,
+            1 => WriteFate::WriteLost,
+            _ => WriteFate::Delivered,
         };
-        Turn {
+        KeeperAction {
             keeper: u8::arbitrary(g) % KEEPERS as u8,
             pause_ms: u16::arbitrary(g) % if long { 15_000 } else { 1_000 },
             delay_ms: u16::arbitrary(g) % if long { 15_000 } else { 200 },
-            answer_ms: u16::arbitrary(g) % if long { 15_000 } else { 200 },
+            response_ms: u16::arbitrary(g) % if long { 15_000 } else { 200 },
             fate,
         }
     }
@@ -54,16 +54,16 @@
     term: Term,
 }
 
-/// A write on its way.
+/// A write in flight.
 #[derive(Clone, Debug)]
-struct Flight {
+struct PendingWrite {
     keeper: usize,
     attempt: Attempt,
     due_ms: u64,
-    answer_ms: u64,
-    fate: Fate,
-    /// Set once it took effect or failed: whether it was accepted, and what is stored then.
-    answer: Option<(bool, Stored)>,
+    response_ms: u64,
+    fate: WriteFate,
+    /// Set once the write is processed: whether it was accepted, and the stored state afterwards.
+    response: Option<(bool, Stored)>,
 }
 
 struct World {
@@ -71,8 +71,8 @@
     revision: u64,
     stored: Vec<Stored>,
     keepers: Vec<Keeper>,
-    flights: Vec<Flight>,
-    checked: bool,
+    pending_writes: Vec<PendingWrite>,
+    conditional: bool,
 }
 
 impl World {
@@ -82,58 +82,58 @@
             revision: 0,
             stored: vec![Stored::default(); usize::from(LEASES)],
             keepers: (0..KEEPERS).map(|it| Keeper::new(&format!("b{it}"))).collect(),
-            flights: Vec::new(),
-            checked: true,
+            pending_writes: Vec::new(),
+            conditional: true,
         }
     }
 
-    /// Lets time pass; what is due on the way happens at its time.
-    fn pass(&mut self, until_ms: u64) {
-        while let Some(index) = self.next_flight(until_ms) {
-            let flight = self.flights.remove(index);
-            self.now_ms = self.now_ms.max(flight.due_ms);
-            self.land(flight);
-            self.exclusive();
+    /// Advances the time and processes the writes that become due.
+    fn advance(&mut self, until_ms: u64) {
+        while let Some(index) = self.next_due(until_ms) {
+            let pending = self.pending_writes.remove(index);
+            self.now_ms = self.now_ms.max(pending.due_ms);
+            self.process(pending);
+            self.assert_exclusive();
         }
         self.now_ms = until_ms;
-        self.exclusive();
+        self.assert_exclusive();
     }
 
-    fn next_flight(&self, until_ms: u64) -> Option<usize> {
-        let due = self.flights.iter().enumerate().filter(|(_, it)| it.due_ms <= until_ms);
+    fn next_due(&self, until_ms: u64) -> Option<usize> {
+        let due = self.pending_writes.iter().enumerate().filter(|(_, it)| it.due_ms <= until_ms);
         due.min_by_key(|(_, it)| it.due_ms).map(|(index, _)| index)
     }
 
-    fn land(&mut self, mut flight: Flight) {
-        let number = flight.attempt.number;
-        if let Some((accepted, stored)) = flight.answer {
-            let keeper = &mut self.keepers[flight.keeper];
+    fn process(&mut self, mut pending: PendingWrite) {
+        let number = pending.attempt.number;
+        if let Some((accepted, stored)) = pending.response {
+            let keeper = &mut self.keepers[pending.keeper];
             let intact = if accepted {
-                keeper.written(self.now_ms, &flight.attempt, stored.version)
+                keeper.written(self.now_ms, &pending.attempt, stored.version)
             } else {
                 keeper.observe(self.now_ms, number, stored.version, stored.term)
             };
-            assert!(intact || !self.checked, "a former holder wrote");
+            assert!(intact || !self.conditional, "a former holder wrote");
             return;
         }
-        if matches!(flight.fate, Fate::CallLost) {
+        if matches!(pending.fate, WriteFate::WriteLost) {
             return;
         }
         let stored = &mut self.stored[usize::from(number)];
-        let accepted = !self.checked || stored.version == flight.attempt.base;
+        let accepted = !self.conditional || stored.version == pending.attempt.base;
         if accepted {
             self.revision += 1;
-            *stored = Stored { version: self.revision, term: flight.attempt.term.clone() };
+            *stored = Stored { version: self.revision, term: pending.attempt.term.clone() };
         }
-        if matches!(flight.fate, Fate::Answered) {
-            flight.answer = Some((accepted, stored.clone()));
-            flight.due_ms += flight.answer_ms;
-            self.flights.push(flight);
+        if matches!(pending.fate, WriteFate::Delivered) {
+            pending.response = Some((accepted, stored.clone()));
+            pending.due_ms += pending.response_ms;
+            self.pending_writes.push(pending);
         }
     }
 
-    /// No two keepers count one lease as held.
-    fn exclusive(&self) {
+    /// Asserts that no two keepers hold the same lease.
+    fn assert_exclusive(&self) {
         for number in 0..LEASES {
             let holds = |it: &&Keeper| it.holds(self.now_ms) == Some(number);
             let holders = self.keepers.iter().filter(holds).count();
@@ -141,10 +141,10 @@
         }
     }
 
-    fn turn(&mut self, turn: Turn) {
-        self.pass(self.now_ms + u64::from(turn.pause_ms));
-        let index = usize::from(turn.keeper);
-        let busy = self.flights.iter().any(|it| it.keeper == index);
+    fn apply(&mut self, action: KeeperAction) {
+        self.advance(self.now_ms + u64::from(action.pause_ms));
+        let index = usize::from(action.keeper);
+        let busy = self.pending_writes.iter().any(|it| it.keeper == index);
         if busy {
             return;
         }
@@ -153,11 +153,12 @@
             self.keepers[index].take(self.now_ms, self.now_ms)
         });
         if let Some(attempt) = attempt {
-            let due_ms = self.now_ms + u64::from(turn.delay_ms);
-            let answer_ms = u64::from(turn.answer_ms);
-            let fate = turn.fate;
-            let flight = Flight { keeper: index, attempt, due_ms, answer_ms, fate, answer: None };
-            self.flights.push(flight);
+            let due_ms = self.now_ms + u64::from(action.delay_ms);
+            let response_ms = u64::from(action.response_ms);
+            let fate = action.fate;
+            let pending =
+                PendingWrite { keeper: index, attempt, due_ms, response_ms, fate, response: None };
+            self.pending_writes.push(pending);
         }
     }
 
@@ -170,24 +171,24 @@
 }
 
 quickcheck! {
-    /// However processes pause and answers are lost, one lease has one holder, and one is found again once all is calm.
-    fn one_holder(turns: Vec<Turn>) -> bool {
+    /// A lease never has two holders, and all leases are held again once faults have stopped.
+    fn each_lease_has_at_most_one_holder(actions: Vec<KeeperAction>) -> bool {
         let mut world = World::new();
-        for turn in turns {
-            world.turn(turn);
+        for action in actions {
+            world.apply(action);
         }
-        world.pass(world.now_ms + 60_000);
+        world.advance(world.now_ms + 60_000);
         for _ in 0..60 {
             for keeper in 0..KEEPERS as u8 {
-                let calm = Turn { keeper, pause_ms: 100, delay_ms: 5, answer_ms: 0, fate: Fate::Answered };
-                world.turn(calm);
+                let no_faults = KeeperAction { keeper, pause_ms: 100, delay_ms: 5, response_ms: 0, fate: WriteFate::Delivered };
+                world.apply(no_faults);
             }
         }
         world.keepers.iter().filter(|it| it.holds(world.now_ms).is_some()).count() == usize::from(LEASES)
     }
 }
 
-fn held(keeper: &mut Keeper, now_ms: u64, base: u64, version: u64) {
+fn acquire_first(keeper: &mut Keeper, now_ms: u64, base: u64, version: u64) {
     keeper.observe(now_ms, 0, base, Term::default());
     keeper.observe(now_ms, 1, 90, Term { holder: "else".to_owned(), taken_ms: 1 });
     let attempt = keeper.take(now_ms, now_ms).unwrap();
@@ -195,61 +196,66 @@
 }
 
 #[test]
-fn a_paused_holder_has_nothing_to_write_when_it_wakes() {
+fn a_paused_holder_does_not_renew_an_expired_lease() {
     let mut keeper = Keeper::new("b0");
-    held(&mut keeper, 1_000, 0, 1);
+    acquire_first(&mut keeper, 1_000, 0, 1);
     assert!(keeper.renew(2_000).is_some());
     assert!(keeper.renew(1_000 + EXPIRE_MS).is_none());
     assert_eq!(keeper.holds(1_000 + EXPIRE_MS), None);
-    assert_eq!(keeper.last(), Some(0), "nobody else is known to hold it");
+    assert_eq!(keeper.last(), Some(0), "no other holder is known");
     keeper.observe(1_000 + EXPIRE_MS, 0, 9, Term { holder: "b1".to_owned(), taken_ms: 7 });
     assert_eq!(keeper.last(), None);
     let next = keeper.take(1_001 + EXPIRE_MS, 0);
-    assert_eq!(next.map(|it| it.number), Some(1), "the new holder of the other has just begun");
+    assert_eq!(next.map(|it| it.number), Some(1), "the other lease has a new holder");
 }
 
-/// A holder decides to write, is paused, is replaced, and its write arrives. Returns whether the platform took the write
-/// and whether an observer finds the history intact.
-fn late_write(checked: bool) -> (bool, bool) {
+/// Delays a holder's write until after it was replaced. Returns whether the platform accepted the write and whether an
+/// observer finds the history intact.
+fn late_write(conditional: bool) -> (bool, bool) {
     let mut world = World::new();
-    world.checked = checked;
+    world.conditional = conditional;
     let mut observer = Keeper::new("observer");
-    let mut look = |world: &World| {
+    let mut observe_intact = |world: &World| {
         let stored = &world.stored[0];
         observer.observe(world.now_ms, 0, stored.version, stored.term.clone())
     };
-    let first = Turn { keeper: 0, pause_ms: 0, delay_ms: 5, answer_ms: 0, fate: Fate::Answered };
-    world.turn(first);
-    world.pass(1_000);
-    assert!(look(&world));
-    world.turn(Turn { delay_ms: 30_000, ..first });
-    world.pass(2_000);
-    // The second lease goes to another, so that the next one wants the first.
-    world.turn(Turn { keeper: 1, ..first });
-    world.pass(2_100);
-    world.turn(Turn { keeper: 2, ..first });
-    world.pass(8_000);
-    world.turn(Turn { keeper: 1, ..first });
-    world.pass(13_000);
-    world.turn(Turn { keeper: 2, ..first });
-    world.pass(20_000);
+    let first = KeeperAction {
+        keeper: 0,
+        pause_ms: 0,
+        delay_ms: 5,
+        response_ms: 0,
+        fate: WriteFate::Delivered,
+    };
+    world.apply(first);
+    world.advance(1_000);
+    assert!(observe_intact(&world));
+    world.apply(KeeperAction { delay_ms: 30_000, ..first });
+    world.advance(2_000);
+    // Another keeper acquires the second lease, so that the next one needs the first.
+    world.apply(KeeperAction { keeper: 1, ..first });
+    world.advance(2_100);
+    world.apply(KeeperAction { keeper: 2, ..first });
+    world.advance(8_000);
+    world.apply(KeeperAction { keeper: 1, ..first });
+    world.advance(13_000);
+    world.apply(KeeperAction { keeper: 2, ..first });
+    world.advance(20_000);
     assert_eq!(world.stored[0].term.holder, "b2");
-    assert!(look(&world));
+    assert!(observe_intact(&world));
     let version = world.stored[0].version;
-    world.pass(40_000);
-    (world.stored[0].version != version, look(&world))
+    world.advance(40_000);
+    (world.stored[0].version != version, observe_intact(&world))
 }
 
-/// The test that would catch a write of a former holder: on a platform that does not compare versions the write gets
-/// through, and an observer says so.
+/// On a platform that does not compare versions, a former holder's write succeeds and an observer detects it.
 #[test]
-fn a_late_write_fails_or_is_seen() {
+fn a_late_write_fails_or_is_detected() {
     assert_eq!(late_write(true), (false, true));
     assert_eq!(late_write(false), (true, false));
 }
 
 #[test]
-fn a_lease_that_was_given_back_or_deleted_is_free_at_once() {
+fn a_released_or_deleted_lease_is_free_immediately() {
     let mut keeper = Keeper::new("b0");
     let other = Term { holder: "b1".to_owned(), taken_ms: 1 };
     keeper.observe(0, 0, 5, other.clone());
@@ -259,13 +265,13 @@
     assert_eq!(keeper.take(2, 2).map(|it| it.number), Some(0));
     keeper.observe(3, 1, 0, Term::default());
     assert!(keeper.take(3, 3).is_some());
-    held(&mut keeper, 4, 0, 8);
+    acquire_first(&mut keeper, 4, 0, 8);
     assert!(keeper.release(5).is_some_and(|it| it.term.holder.is_empty()));
 }
 
-// The platform came back from a copy made before the lease was taken. Its holder goes on for what it counts on.
+// Guards against two holders after a restore from a backup made before the lease was acquired.
 #[test]
-fn a_lease_is_not_free_at_once_when_the_platform_came_back_from_a_copy() {
+fn a_lease_is_not_free_immediately_after_a_restore_from_a_backup() {
     let mut keeper = Keeper::new("b0");
     let holder = Term { holder: "b1".to_owned(), taken_ms: 1 };
     let other = Term { holder: "b2".to_owned(), taken_ms: 2 };
@@ -277,7 +283,7 @@
     keeper.observe(1_000, 1, at(1, 20), other.clone());
     assert!(keeper.take(1_000 + EXPIRE_MS - 1, 0).is_none());
     assert_eq!(keeper.take(1_000 + EXPIRE_MS, 0).map(|it| it.number), Some(0));
-    // A holder of before that stands there again wrote nothing late.
+    // A former holder restored by the backup is not a late write.
     assert!(keeper.observe(2_000, 0, at(1, 22), other));
     keeper.reset(3_000);
     assert!(keeper.observe(3_000, 0, at(2, 21), holder));
--- a/crates/core/tests/mesh.rs
+++ b/crates/core/tests/mesh.rs
@@ -1,4 +1,4 @@
-//! The overlay stays connected and shallow, and choices change little.
+//! Tests that the overlay is connected with a small diameter, and that link selection is stable.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -29,7 +29,7 @@
     links
 }
 
-/// Largest number of links from one member to any other; `None` if some can't be reached.
+/// Maximum distance from the first member to any other; `None` if one is unreachable.
 fn depth(links: &BTreeMap<&str, BTreeSet<&str>>) -> Option<usize> {
     let first = links.keys().next()?;
     let mut seen = BTreeMap::from([(*first, 0)]);
@@ -54,11 +54,11 @@
         let names = names(count, salt);
         let peers = peers(&names);
         let links = graph(&peers);
-        let dialled = peers.iter().all(|it| mesh::neighbours(it.name, &peers).len() <= DIALS);
-        TestResult::from_bool(depth(&links).is_some() && dialled)
+        let within_limit = peers.iter().all(|it| mesh::neighbours(it.name, &peers).len() <= DIALS);
+        TestResult::from_bool(depth(&links).is_some() && within_limit)
     }
 
-    fn a_loss_changes_only_choices_of_the_lost(count: u8, salt: u16) -> TestResult {
+    fn losing_a_balancer_does_not_change_other_homes(count: u8, salt: u16) -> TestResult {
         let count = usize::from(count);
         if count < 8 {
             return TestResult::discard();
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn five_hundred_and_twenty_are_few_links_apart() {
+fn overlay_of_520_balancers_has_a_small_diameter() {
     let names = names(520, 0);
     let links = graph(&peers(&names));
     let most = links.values().map(BTreeSet::len).max().unwrap();
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn homes_in_one_zone_and_alone() {
+fn homes_and_neighbours_with_one_or_no_balancer() {
     let names = names(1, 0);
     let one = peers(&names);
     assert_eq!(mesh::homes("a", "elsewhere", &one), ["bal-0-0"]);
--- a/crates/core/tests/place.rs
+++ b/crates/core/tests/place.rs
@@ -1,4 +1,4 @@
-//! Placing of datagrams: established flows, new flows, forged and stale IDs, changes of the configuration.
+//! Tests of datagram placement: established and new flows, forged and stale IDs, configuration changes.
 
 mod support;
 
@@ -27,8 +27,8 @@
     support::agent(name, pool, data)
 }
 
-fn service(address_: &str, pool: &str) -> Service {
-    Service::new(address(address_), pool, "cert")
+fn service(address_text: &str, pool: &str) -> Service {
+    Service::new(address(address_text), pool, "cert")
 }
 
 fn keys(epochs: &[(u8, KeyUse)]) -> Keys {
@@ -36,15 +36,15 @@
     Keys { reset: [3; 32], keys: keys.collect() }
 }
 
-fn with_service(snapshot: &mut Snapshot, name: &str, spec: Service) {
+fn insert_service(snapshot: &mut Snapshot, name: &str, spec: Service) {
     let entry = ServiceEntry::new(name, 1, spec);
     snapshot.services.insert(ServiceId::new(name), entry);
 }
 
 fn snapshot() -> Snapshot {
     let mut it = Snapshot { keys: Some(keys(&[(1, KeyUse::Seal)])), ..Snapshot::default() };
-    with_service(&mut it, "ledger", service(LEDGER, "ledger"));
-    with_service(&mut it, "intake", service(INTAKE, "intake"));
+    insert_service(&mut it, "ledger", service(LEDGER, "ledger"));
+    insert_service(&mut it, "intake", service(INTAKE, "intake"));
     for number in 1..=7 {
         let name = format!("ledger-{number}");
         it.agents.insert(name.clone(), agent(&name, "ledger", number));
@@ -87,7 +87,7 @@
 }
 
 quickcheck! {
-    fn no_datagram_panics_or_goes_elsewhere_than_to_the_service(datagram: Vec<u8>, long: bool, size: usize) -> bool {
+    fn any_datagram_is_dropped_or_goes_to_its_service(datagram: Vec<u8>, long: bool, size: usize) -> bool {
         let mut datagram = datagram;
         if let (true, Some(first)) = (long, datagram.first_mut()) {
             *first |= 0x80;
@@ -102,11 +102,11 @@
         }
     }
 
-    fn an_established_flow_has_one_owner_whatever_the_members(gone: Vec<u8>, number: u8) -> bool {
+    fn an_established_flow_keeps_its_owner_when_members_change(removed: Vec<u8>, number: u8) -> bool {
         let number = number % 7 + 1;
         let mut snapshot = snapshot();
         let cid = sealed(snapshot.keys.as_ref().expect("keys"), home("ledger", number));
-        for it in gone {
+        for it in removed {
             snapshot.agents.remove(&format!("ledger-{}", it % 9));
         }
         let placed = place(&placer(&snapshot), LEDGER, &short(&cid));
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn headers_decide_between_owner_new_and_drop() {
+fn headers_select_owner_new_or_drop() {
     let snapshot = snapshot();
     let placer = placer(&snapshot);
     let cid = sealed(snapshot.keys.as_ref().expect("keys"), home("ledger", 2));
@@ -160,12 +160,12 @@
 }
 
 #[test]
-fn flows_go_on_when_two_services_swap_their_addresses() {
+fn flows_continue_when_two_services_swap_addresses() {
     let before = snapshot();
     let old = placer(&before);
     let mut after = before.clone();
-    with_service(&mut after, "ledger", service(INTAKE, "ledger"));
-    with_service(&mut after, "intake", service(LEDGER, "intake"));
+    insert_service(&mut after, "ledger", service(INTAKE, "ledger"));
+    insert_service(&mut after, "intake", service(LEDGER, "intake"));
     let swapped = Placer::new(&after, Some(&old), 1_000);
     let cid = sealed(before.keys.as_ref().expect("keys"), home("ledger", 2));
     let owner = Placement::Owner { home: home("ledger", 2), known: true };
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn draining_agents_get_no_new_flows_unless_nobody_else_is_there() {
+fn draining_agents_get_new_flows_only_if_no_other_agent_is_left() {
     let mut snapshot = snapshot();
     let drain =
         |name: &str| Change { action: Action::Drain, target: Target::Upstream(name.to_owned()) };
@@ -228,11 +228,14 @@
         agent.state = AgentState::Draining;
     }
     let placed = place(&placer(&snapshot), LEDGER, &long(0xc0, &[1; 8]));
-    assert!(matches!(placed, Placement::New { .. }), "they refuse it, so that the caller learns");
+    assert!(
+        matches!(placed, Placement::New { .. }),
+        "draining agents refuse it, so the caller gets an error"
+    );
 }
 
 #[test]
-fn weights_change_where_new_flows_go() {
+fn weights_change_the_placement_of_new_flows() {
     let mut snapshot = snapshot();
     snapshot.agents.get_mut("ledger-1").expect("the agent").weight = 3.0;
     let first = placer(&snapshot);
--- a/crates/core/tests/report.rs
+++ b/crates/core/tests/report.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn freshest_report_of_each_zone_counts() {
+fn latest_report_of_each_zone_is_used() {
     let zones = freshest([report("a", 5, 9), report("a", 4, 2), report("b", 1, 7)]);
     assert_eq!(zones["a"].in_force, 9);
     assert_eq!(in_force(&zones), Some(7));
--- a/crates/core/tests/roster.rs
+++ b/crates/core/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Claims on idempotency keys in a pool whose members crash, restart, leave and join, each with a view of its own.
+//! Property tests of claims in a pool whose members crash, restart, leave and join with different views.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,26 +14,26 @@
 
 #[derive(Clone, Debug)]
 enum Op {
-    /// A request under a key comes to a member.
-    Ask { key: u8, member: u8 },
-    /// A member dies. Deaths of several at once are those of a zone.
+    /// A member receives a request with a key.
+    Request { key: u8, member: u8 },
+    /// A member dies.
     Crash { member: u8 },
     /// All members in a zone die.
     CrashZone { zone: u8 },
-    /// A member pauses, and the others find it silent after a while.
+    /// A member pauses; the others see it as silent.
     Pause { member: u8 },
-    /// A member that paused wakes; it learns of the others like any other.
-    Wake { member: u8 },
-    /// A member dies, and a new process starts under its name.
+    /// A paused member resumes.
+    Resume { member: u8 },
+    /// A member dies and a new process starts under its name.
     Restart { member: u8 },
-    /// A member leaves after handing its claims over.
+    /// A member transfers its claims and leaves.
     Leave { member: u8 },
     /// A new member joins.
     Join { zone: u8 },
-    /// A member learns who the members are.
-    Learn { member: u8 },
-    /// All members learn, and time passes.
-    Pass { ms: u16 },
+    /// A member updates its roster.
+    Update { member: u8 },
+    /// All members update their rosters, and time passes.
+    Advance { ms: u16 },
 }
 
 impl Arbitrary for Op {
@@ -46,25 +46,25 @@
             3 | 4 => Op::Join { zone: member },
             5 if member < 64 => Op::CrashZone { zone: member },
             5 => Op::Pause { member },
-            6 => Op::Wake { member },
-            7 | 8 => Op::Learn { member },
-            9..12 => Op::Pass { ms: u16::arbitrary(g) % 4_000 },
-            n => Op::Ask { key: n % 4, member },
+            6 => Op::Resume { member },
+            7 | 8 => Op::Update { member },
+            9..12 => Op::Advance { ms: u16::arbitrary(g) % 4_000 },
+            n => Op::Request { key: n % 4, member },
         }
     }
 }
 
-/// Rules that the check must find broken when they are left out.
+/// A rule that is disabled to verify that the test detects its absence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Without {
+enum DisabledRule {
     #[default]
     Nothing,
-    /// Claims are recorded at the arbiter and the claimant even while the members change.
-    Everyone,
-    /// Nobody minds that claims may have been forgotten.
-    Doubt,
-    /// Members leave without handing their claims over.
-    HandOver,
+    /// Claims go only to the holders of a settled pool, even while membership changes.
+    RecordAtAll,
+    /// Claims are granted although an earlier one may have been lost.
+    CheckLost,
+    /// Members leave without transferring their claims.
+    TransferClaims,
 }
 
 struct Member {
@@ -79,33 +79,33 @@
     members: BTreeMap<String, Member>,
     now: u64,
     next: u64,
-    ran: BTreeMap<u8, u64>,
-    twice: bool,
-    without: Without,
+    last_runs: BTreeMap<u8, u64>,
+    ran_twice: bool,
+    disabled: DisabledRule,
 }
 
 impl Pool {
-    /// A pool that has been settled for long.
-    fn new(without: Without) -> Pool {
-        let mut pool = Pool::young(without);
+    /// A pool whose membership has been settled for a long time.
+    fn new(disabled: DisabledRule) -> Pool {
+        let mut pool = Pool::new_unsettled(disabled);
         pool.now = 4 * WINDOW;
         pool
     }
 
     /// A pool that has just started.
-    fn young(without: Without) -> Pool {
+    fn new_unsettled(disabled: DisabledRule) -> Pool {
         let mut pool = Pool {
             members: BTreeMap::new(),
             now: 0,
             next: 0,
-            ran: BTreeMap::new(),
-            twice: false,
-            without,
+            last_runs: BTreeMap::new(),
+            ran_twice: false,
+            disabled,
         };
         for n in 0..6 {
             pool.join(n);
         }
-        pool.learn_all();
+        pool.update_all();
         pool
     }
 
@@ -122,9 +122,9 @@
     fn start(&mut self, name: &str, zone: &'static str) {
         self.next += 1;
         let incarnation = self.next;
-        let mut seen = self.shown();
+        let mut seen = self.announced();
         seen.retain(|it| it.name != name);
-        seen.push(Shown { name: name.to_owned(), incarnation, zone, paused: false });
+        seen.push(Announced { name: name.to_owned(), incarnation, zone, paused: false });
         let roster = Roster::new(name, self.now, &as_seen(&seen, ""));
         let member = Member { incarnation, zone, claims: Claims::new(), roster, paused: false };
         self.members.insert(name.to_owned(), member);
@@ -135,66 +135,66 @@
         self.start(&name, ZONES[usize::from(zone) % ZONES.len()]);
     }
 
-    fn shown(&self) -> Vec<Shown> {
-        let mut shown = Vec::new();
+    fn announced(&self) -> Vec<Announced> {
+        let mut announced = Vec::new();
         for (name, it) in &self.members {
             let Member { incarnation, zone, paused, .. } = *it;
-            shown.push(Shown { name: name.clone(), incarnation, zone, paused });
+            announced.push(Announced { name: name.clone(), incarnation, zone, paused });
         }
-        shown
+        announced
     }
 
-    fn learn(&mut self, name: &str) {
-        let seen = self.shown();
+    fn update_roster(&mut self, name: &str) {
+        let seen = self.announced();
         let now = self.now;
         if let Some(member) = self.members.get_mut(name).filter(|it| !it.paused) {
             member.roster.update(now, WINDOW, &as_seen(&seen, ""));
         }
     }
 
-    fn awake(&self) -> usize {
+    fn running(&self) -> usize {
         self.members.values().filter(|it| !it.paused).count()
     }
 
-    fn learn_all(&mut self) {
+    fn update_all(&mut self) {
         for name in self.names() {
-            self.learn(&name);
+            self.update_roster(&name);
         }
     }
 
-    /// Carries out a request as the daemon does; a member that does not answer refuses it.
-    fn ask(&mut self, number: u8, me: &str) {
+    /// Executes a request as the daemon does; an unreachable member counts as a refusal.
+    fn request(&mut self, number: u8, me: &str) {
         let key = key(number);
         self.next += 1;
         let request = u128::from(self.next);
         let claim =
             Claim { request, digest: 0, by: me.to_owned(), state: State::Running, window: WINDOW };
         let settled = self.members[me].roster.is_settled(self.now, WINDOW);
-        let mut said = settled.then(|| self.claim_at(&key, me, &claim, false));
-        if said.is_none() || said == Some(Claimed::Unsettled) {
-            said = Some(self.claim_at(&key, me, &claim, true));
+        let mut result = settled.then(|| self.claim_at(&key, me, &claim, false));
+        if result.is_none() || result == Some(Claimed::Unsettled) {
+            result = Some(self.claim_at(&key, me, &claim, true));
         }
-        if said != Some(Claimed::Granted) {
+        if result != Some(Claimed::Granted) {
             return;
         }
-        let last = self.ran.insert(number, self.now);
-        self.twice |= last.is_some_and(|at| self.now - at < WINDOW);
+        let last = self.last_runs.insert(number, self.now);
+        self.ran_twice |= last.is_some_and(|at| self.now - at < WINDOW);
     }
 
     fn claim_at(&mut self, key: &ClaimKey, me: &str, claim: &Claim, all: bool) -> Claimed {
         let roster = &self.members[me].roster;
-        let all = all && self.without != Without::Everyone;
-        let asked = if all { roster.all_holders(key) } else { roster.holders(key, me) };
-        let names: Vec<String> = asked.into_iter().map(str::to_owned).collect();
+        let all = all && self.disabled != DisabledRule::RecordAtAll;
+        let holders = if all { roster.all_holders(key) } else { roster.holders(key, me) };
+        let names: Vec<String> = holders.into_iter().map(str::to_owned).collect();
         let members = all.then(|| roster.digest());
         let mut granted: Vec<String> = Vec::new();
         for name in &names {
-            let said = self.record(name, key, claim.clone(), members).unwrap_or(Claimed::Full);
-            if said != Claimed::Granted {
+            let result = self.record(name, key, claim.clone(), members).unwrap_or(Claimed::Full);
+            if result != Claimed::Granted {
                 for name in granted {
                     self.member(&name).claims.release(key, claim.request);
                 }
-                return said;
+                return result;
             }
             granted.push(name.clone());
         }
@@ -202,7 +202,7 @@
     }
 
     fn member(&mut self, name: &str) -> &mut Member {
-        self.members.get_mut(name).expect("only members that answer are asked again")
+        self.members.get_mut(name).expect("only reachable members are used")
     }
 
     fn record(
@@ -213,10 +213,12 @@
         members: Option<u64>,
     ) -> Option<Claimed> {
         let now = self.now;
-        let without = self.without;
+        let disabled = self.disabled;
         let member = self.members.get_mut(name).filter(|it| !it.paused)?;
-        let doubtful = without != Without::Doubt && member.roster.is_doubtful(key, now, WINDOW);
-        let admitted = without == Without::Everyone || member.roster.admits(members, now, WINDOW);
+        let doubtful =
+            disabled != DisabledRule::CheckLost && member.roster.is_doubtful(key, now, WINDOW);
+        let admitted =
+            disabled == DisabledRule::RecordAtAll || member.roster.admits(members, now, WINDOW);
         match member.claims.claim(key, claim.clone(), now) {
             Claimed::Granted if doubtful => {
                 member.claims.release(key, claim.request);
@@ -231,20 +233,20 @@
     }
 
     fn leave(&mut self, name: &str) {
-        let leaver = self.member(name);
-        let mut handed = leaver.claims.close();
-        let others = leaver.roster.members().filter(|it| *it != name);
-        let heirs: Vec<String> = others.map(str::to_owned).collect();
-        if self.without == Without::HandOver {
-            handed.clear();
+        let leaving = self.member(name);
+        let mut transferred = leaving.claims.close();
+        let others = leaving.roster.members().filter(|it| *it != name);
+        let receivers: Vec<String> = others.map(str::to_owned).collect();
+        if self.disabled == DisabledRule::TransferClaims {
+            transferred.clear();
         }
         let losses = self.member(name).roster.losses().to_vec();
         for member in self.members.values_mut() {
             member.roster.add_losses(&losses);
         }
-        for (key, claim) in handed {
-            for heir in &heirs {
-                if let Some(member) = self.members.get_mut(heir).filter(|it| !it.paused) {
+        for (key, claim) in transferred {
+            for receiver in &receivers {
+                if let Some(member) = self.members.get_mut(receiver).filter(|it| !it.paused) {
                     member.claims.adopt(&key, claim.clone(), self.now);
                 }
             }
@@ -253,9 +255,9 @@
         self.members.remove(name);
     }
 
-    /// All learn that a member leaves, before it is gone.
+    /// Announces a leaving member to all others.
     fn announce_leaving(&mut self, leaving: &str) {
-        let seen = self.shown();
+        let seen = self.announced();
         for member in self.members.values_mut().filter(|it| !it.paused) {
             member.roster.update(self.now, WINDOW, &as_seen(&seen, leaving));
         }
@@ -263,20 +265,20 @@
 
     fn step(&mut self, op: &Op) {
         match op {
-            Op::Ask { key, member } => {
-                let awake = |it: &String| !self.members[it].paused;
-                if let Some(me) = self.pick(*member).filter(awake) {
-                    self.ask(*key, &me);
+            Op::Request { key, member } => {
+                let running = |it: &String| !self.members[it].paused;
+                if let Some(me) = self.pick(*member).filter(running) {
+                    self.request(*key, &me);
                 }
             }
             Op::Crash { member } => {
-                self.learn_all();
+                self.update_all();
                 if let Some(name) = self.pick(*member) {
                     self.members.remove(&name);
                 }
             }
             Op::CrashZone { zone } => {
-                self.learn_all();
+                self.update_all();
                 let zone = ZONES[usize::from(*zone) % ZONES.len()];
                 self.members.retain(|_, it| it.zone != zone);
             }
@@ -285,7 +287,7 @@
                     self.member(&name).paused = true;
                 }
             }
-            Op::Wake { member } => {
+            Op::Resume { member } => {
                 if let Some(name) = self.pick(*member) {
                     let now = self.now;
                     let member = self.member(&name);
@@ -295,44 +297,44 @@
                 }
             }
             Op::Restart { member } => {
-                self.learn_all();
+                self.update_all();
                 if let Some(name) = self.pick(*member) {
                     let zone = self.members[&name].zone;
                     self.start(&name, zone);
                 }
             }
             Op::Leave { member } => {
-                // Once it is known who is there: an heir that died unnoticed takes nothing over.
-                self.learn_all();
-                let may = |it: &String| !self.members[it].paused && self.awake() > 2;
+                // Rosters must be current, since a dead receiver can't import claims.
+                self.update_all();
+                let may = |it: &String| !self.members[it].paused && self.running() > 2;
                 if let Some(name) = self.pick(*member).filter(may) {
                     self.leave(&name);
                 }
             }
             Op::Join { zone } => self.join(*zone),
-            Op::Learn { member } => {
+            Op::Update { member } => {
                 if let Some(name) = self.pick(*member) {
-                    self.learn(&name);
+                    self.update_roster(&name);
                 }
             }
-            Op::Pass { ms } => {
-                self.learn_all();
+            Op::Advance { ms } => {
+                self.update_all();
                 self.now += u64::from(*ms);
             }
         }
     }
 }
 
-/// A member as the others hear of it.
-struct Shown {
+/// A member as announced to the others.
+struct Announced {
     name: String,
     incarnation: u64,
     zone: &'static str,
     paused: bool,
 }
 
-fn as_seen<'a>(shown: &'a [Shown], leaving: &str) -> Vec<Seen<'a>> {
-    let seen = |it: &'a Shown| {
+fn as_seen<'a>(announced: &'a [Announced], leaving: &str) -> Vec<Seen<'a>> {
+    let seen = |it: &'a Announced| {
         let part = match it.paused {
             _ if it.name == leaving => Part::Leaving,
             true => Part::Silent,
@@ -340,137 +342,143 @@
         };
         Seen { name: &it.name, incarnation: it.incarnation, zone: it.zone, part }
     };
-    shown.iter().map(seen).collect()
+    announced.iter().map(seen).collect()
 }
 
 fn key(n: u8) -> ClaimKey {
     ClaimKey { service: ServiceId(7), key: format!("key-{n}") }
 }
 
-fn runs_once(ops: &[Op], without: Without) -> bool {
-    let mut pool = Pool::new(without);
+fn runs_once(ops: &[Op], disabled: DisabledRule) -> bool {
+    let mut pool = Pool::new(disabled);
     for op in ops {
-        // When the last member that is awake dies, nobody is left who could remember.
+        // Stop before the last running member dies, since all claims would be lost.
         let dies = matches!(op, Op::Crash { .. } | Op::Restart { .. } | Op::Pause { .. });
-        if dies && pool.awake() <= 1 {
+        if dies && pool.running() <= 1 {
             break;
         }
         pool.step(op);
-        if pool.awake() == 0 {
+        if pool.running() == 0 {
             break;
         }
     }
-    !pool.twice
+    !pool.ran_twice
 }
 
 #[test]
-fn a_key_runs_once_whatever_the_members_do() {
+fn a_key_runs_once_under_any_membership_changes() {
     fn holds(ops: Vec<Op>) -> bool {
-        runs_once(&ops, Without::Nothing)
+        runs_once(&ops, DisabledRule::Nothing)
     }
     QuickCheck::new().tests(3_000).quickcheck(holds as fn(Vec<Op>) -> bool);
 }
 
 #[test]
-fn the_check_finds_each_missing_rule() {
-    for without in [Without::Everyone, Without::Doubt, Without::HandOver] {
-        let mut found = false;
+fn the_property_test_detects_each_disabled_rule() {
+    for disabled in
+        [DisabledRule::RecordAtAll, DisabledRule::CheckLost, DisabledRule::TransferClaims]
+    {
+        let mut detected = false;
         let mut gen_ops = Gen::new(100);
         for _ in 0..20_000 {
             let ops: Vec<Op> = Vec::arbitrary(&mut gen_ops);
-            if !runs_once(&ops, without) {
-                found = true;
+            if !runs_once(&ops, disabled) {
+                detected = true;
                 break;
             }
         }
-        assert!(found, "without {without:?} nothing ran twice");
+        assert!(detected, "no key ran twice with {disabled:?} disabled");
     }
 }
 
 #[test]
-fn settled_claims_cost_few_messages_and_span_zones() {
-    let pool = Pool::new(Without::Nothing);
+fn claims_in_a_settled_pool_go_to_few_members_in_all_zones() {
+    let pool = Pool::new(DisabledRule::Nothing);
     let zones: BTreeMap<&str, &str> =
         pool.members.iter().map(|(name, it)| (name.as_str(), it.zone)).collect();
     for number in 0..50 {
         for (me, member) in &pool.members {
-            let asked = member.roster.holders(&key(number), me);
-            let reached: BTreeSet<&str> = asked.iter().map(|it| zones[it]).collect();
-            assert!((3..=4).contains(&asked.len()), "{asked:?}");
-            assert!(asked.contains(&me.as_str()) && reached.len() == 3, "{asked:?}");
+            let holders = member.roster.holders(&key(number), me);
+            let reached: BTreeSet<&str> = holders.iter().map(|it| zones[it]).collect();
+            assert!((3..=4).contains(&holders.len()), "{holders:?}");
+            assert!(holders.contains(&me.as_str()) && reached.len() == 3, "{holders:?}");
         }
     }
 }
 
-/// Orders of events that an earlier version got wrong.
+/// Regression: event sequences that made a key run twice in earlier versions.
 #[test]
-fn found_before() {
-    use Op::{Ask, Crash, CrashZone, Join, Leave, Pass, Pause, Restart, Wake};
-    let found: [&[Op]; 7] = [
-        // The arbiter starts anew, and the others have not heard.
-        &[Ask { key: 1, member: 201 }, Restart { member: 241 }, Ask { key: 1, member: 212 }],
-        // A new member knows of deaths that those it asks have not heard of.
+fn known_event_sequences_run_a_key_once() {
+    use Op::{Advance, Crash, CrashZone, Join, Leave, Pause, Request, Restart, Resume};
+    let sequences: [&[Op]; 7] = [
+        // The arbiter restarts, and the others have not noticed.
         &[
-            Ask { key: 2, member: 157 },
+            Request { key: 1, member: 201 },
+            Restart { member: 241 },
+            Request { key: 1, member: 212 },
+        ],
+        // A new member knows of deaths that the members it queries do not.
+        &[
+            Request { key: 2, member: 157 },
             Crash { member: 191 },
             Crash { member: 255 },
             Crash { member: 216 },
             Restart { member: 175 },
-            Ask { key: 2, member: 70 },
+            Request { key: 2, member: 70 },
         ],
-        // Whoever knew of the deaths has left.
+        // The members that knew of the deaths have left.
         &[
-            Ask { key: 1, member: 0 },
+            Request { key: 1, member: 0 },
             Crash { member: 207 },
             Crash { member: 161 },
             Restart { member: 149 },
             Leave { member: 235 },
             Restart { member: 210 },
             Leave { member: 143 },
-            Ask { key: 1, member: 125 },
+            Request { key: 1, member: 125 },
         ],
-        // A member that leaves hid one that had died.
+        // A leaving member hides a death.
         &[
             Crash { member: 91 },
             Leave { member: 106 },
-            Ask { key: 1, member: 175 },
+            Request { key: 1, member: 175 },
             Crash { member: 217 },
             Leave { member: 95 },
             Join { zone: 28 },
             Restart { member: 24 },
             Restart { member: 254 },
             Leave { member: 1 },
-            Ask { key: 1, member: 1 },
+            Request { key: 1, member: 1 },
         ],
-        // A member that paused, woke and paused again was taken for one that knows nothing.
+        // A member that paused, resumed and paused again was treated as having no claims.
         &[
-            Ask { key: 0, member: 1 },
+            Request { key: 0, member: 1 },
             Leave { member: 201 },
             Pause { member: 69 },
             CrashZone { zone: 24 },
             Crash { member: 42 },
-            Wake { member: 140 },
-            Pass { ms: 1301 },
+            Resume { member: 140 },
+            Advance { ms: 1301 },
             Pause { member: 231 },
             Pause { member: 80 },
-            Ask { key: 0, member: 13 },
+            Request { key: 0, member: 13 },
         ],
-        // What a member handed over on leaving died with a member that had joined late.
+        // Transferred claims were lost with a member that had joined late.
         &[
-            Ask { key: 1, member: 188 },
+            Request { key: 1, member: 188 },
             Join { zone: 155 },
             Leave { member: 44 },
             Restart { member: 239 },
             Join { zone: 8 },
             Restart { member: 1 },
             Pause { member: 94 },
-            Pass { ms: 372 },
-            Ask { key: 1, member: 253 },
+            Advance { ms: 372 },
+            Request { key: 1, member: 253 },
         ],
-        // A member that woke forgot who had joined late.
+        // A resumed member forgot which members had joined late.
         &[
             Crash { member: 101 },
-            Ask { key: 3, member: 75 },
+            Request { key: 3, member: 75 },
             Crash { member: 70 },
             Crash { member: 27 },
             Crash { member: 71 },
@@ -479,17 +487,17 @@
             Join { zone: 90 },
             Join { zone: 153 },
             Pause { member: 136 },
-            Wake { member: 156 },
-            Ask { key: 3, member: 220 },
+            Resume { member: 156 },
+            Request { key: 3, member: 220 },
         ],
     ];
-    for ops in found {
-        assert!(runs_once(ops, Without::Nothing), "{ops:?}");
+    for ops in sequences {
+        assert!(runs_once(ops, DisabledRule::Nothing), "{ops:?}");
     }
 }
 
 #[test]
-fn pool_that_has_just_started_is_not_doubtful() {
+fn a_newly_started_pool_is_not_doubtful() {
     let key = ClaimKey { service: ServiceId(7), key: "k".to_owned() };
     let seen = |name| Seen { name, incarnation: 1, zone: "a", part: Part::Member };
     let mut roster = Roster::new("one", 0, &[]);
@@ -499,12 +507,12 @@
 }
 
 #[test]
-fn one_death_in_a_young_pool_makes_no_key_doubtful() {
-    // The first two members may have been the only ones that recorded a claim.
-    let mut pool = Pool::young(Without::Nothing);
+fn one_death_in_a_new_pool_makes_no_key_doubtful() {
+    // A single death can't have removed all holders of a claim.
+    let mut pool = Pool::new_unsettled(DisabledRule::Nothing);
     let names = pool.names();
     pool.members.remove(&names[2]);
-    pool.learn_all();
+    pool.update_all();
     for number in 0..50 {
         for member in pool.members.values() {
             assert!(!member.roster.is_doubtful(&key(number), pool.now, WINDOW));
--- a/crates/core/tests/seal.rs
+++ b/crates/core/tests/seal.rs
@@ -1,4 +1,4 @@
-//! Sealed connection IDs: what opens, and that nothing else does.
+//! Tests that only valid sealed connection IDs open.
 
 use std::net::SocketAddrV4;
 
@@ -50,10 +50,10 @@
     let cid = before.seal(home, [5; NONCE_LEN]);
 
     let announced = ring(vec![key(1, KeyUse::Seal), key(2, KeyUse::Open)]);
-    let turned = ring(vec![key(1, KeyUse::Open), key(2, KeyUse::Seal)]);
+    let rotated = ring(vec![key(1, KeyUse::Open), key(2, KeyUse::Seal)]);
     assert_eq!(announced.open(&cid), Some(home));
-    assert_eq!(turned.open(&cid), Some(home));
-    assert_eq!(announced.open(&turned.seal(home, [6; NONCE_LEN])), Some(home));
+    assert_eq!(rotated.open(&cid), Some(home));
+    assert_eq!(announced.open(&rotated.seal(home, [6; NONCE_LEN])), Some(home));
 
     let removed = ring(vec![key(2, KeyUse::Seal)]);
     assert_eq!(removed.open(&cid), None);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn keys_without_a_sealing_one_make_no_ring() {
+fn keys_without_a_sealing_key_give_no_ring() {
     let keys = Keys { reset: [0; 32], keys: vec![key(1, KeyUse::Open)] };
     assert!(KeyRing::new(&keys).is_none());
 }
--- a/crates/core/tests/slots.rs
+++ b/crates/core/tests/slots.rs
@@ -1,4 +1,4 @@
-//! The table of a pool: shares, determinism and how little a change moves.
+//! Tests of the lookup table: shares, distinct picks and stability under membership changes.
 
 use camphorwinch_core::slots::{Member, Slots};
 use quickcheck::quickcheck;
@@ -32,7 +32,7 @@
         sorted.len() == usize::from(count).min(3) && sorted.iter().all(|&it| it < count.into())
     }
 
-    fn strange_weights_do_no_harm(weights: Vec<f64>, hash: u64) -> bool {
+    fn arbitrary_weights_pick_only_existing_members(weights: Vec<f64>, hash: u64) -> bool {
         let names = names(weights.len());
         let members: Vec<_> = names.iter().zip(&weights).map(|(name, &weight)| Member { name, weight: weight.abs() }).collect();
         Slots::new(&members).pick(hash).as_slice().iter().all(|&it| usize::from(it) < members.len())
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_member_that_leaves_moves_few_slots_of_others() {
+fn removing_a_member_moves_few_slots_of_others() {
     for count in [4, 7, 30, 300] {
         let names = names(count);
         let all = equal(&names);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn flows_that_a_full_member_passes_on_spread_over_the_others() {
+fn flows_forwarded_by_a_full_member_spread_over_the_others() {
     let names = names(7);
     let slots = Slots::new(&equal(&names));
     let mut second = [0; 7];
--- a/crates/core/tests/support/mod.rs
+++ b/crates/core/tests/support/mod.rs
@@ -1,10 +1,10 @@
-//! A member for tests and benchmarks.
+//! Fixtures for tests and benchmarks.
 
 use std::net::SocketAddr;
 
 use camphorwinch_core::member::{Agent, AgentState, Place};
 
-/// An agent that takes work, reached at `data`.
+/// A ready agent with the data address `data`.
 pub(crate) fn agent(name: &str, pool: &str, data: SocketAddr) -> Agent {
     Agent {
         name: name.to_owned(),
--- a/crates/core/tests/suspect.rs
+++ b/crates/core/tests/suspect.rs
@@ -1,4 +1,4 @@
-//! Who counts as dead, and who does not.
+//! Tests of the failure detector.
 
 use camphorwinch_core::{
     record::Version,
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_member_is_dead_after_the_grace_period() {
+fn a_member_is_declared_dead_after_the_grace_period() {
     let mut suspects = Suspects::new();
     suspects.suspect("a", OLD, AGENT_GRACE_MS, Verdict::Dead);
     assert!(tick_until(&mut suspects, 0, AGENT_GRACE_MS - 1, OLD).is_empty());
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_process_that_was_paused_or_is_alone_declares_nobody_dead() {
+fn a_paused_or_disconnected_process_declares_no_member_dead() {
     let mut suspects = Suspects::new();
     assert!(suspects.due(0, true, |_| Some(OLD)).is_empty());
     suspects.suspect("a", OLD, 2_000, Verdict::Dead);
@@ -55,12 +55,12 @@
 }
 
 #[test]
-fn a_link_lost_by_the_own_pause_makes_nobody_dead() {
+fn links_lost_by_a_local_pause_make_no_member_dead() {
     let mut suspects = Suspects::new();
     assert!(suspects.due(0, true, |_| Some(OLD)).is_empty());
     let resumed = 5_000 + PAUSE_MS;
     assert!(suspects.due(resumed, true, |_| Some(OLD)).is_empty());
-    // Only now does the process notice that its peers closed their links meanwhile.
+    // The process detects only now that its peers closed their links during the pause.
     suspects.suspect("a", OLD, resumed + AGENT_GRACE_MS, Verdict::Dead);
     let quiet = resumed + BALANCER_GRACE_MS;
     assert!(tick_until(&mut suspects, resumed + 250, quiet - 250, OLD).is_empty());
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn asking_again_does_not_prolong() {
+fn repeated_suspicion_does_not_extend_the_deadline() {
     let mut suspects = Suspects::new();
     suspects.suspect("a", OLD, 1_000, Verdict::Dead);
     suspects.suspect("a", OLD, 9_000, Verdict::Dead);
--- a/crates/core/tests/timeline.rs
+++ b/crates/core/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! Tests of the hybrid logical clock and of merging events.
+//! Tests of the hybrid logical clock and of merging event lists.
 
 use camphorwinch_core::timeline::{Event, Hlc, MAX_AHEAD_MS, Stamp, merge};
 use quickcheck::quickcheck;
@@ -8,13 +8,13 @@
 }
 
 quickcheck! {
-    fn ticks_grow_whatever_the_wall_clock_does(walls: Vec<u64>) -> bool {
+    fn ticks_increase_for_any_wall_clock(walls: Vec<u64>) -> bool {
         let mut clock = Hlc::new();
         let stamps: Vec<Stamp> = walls.into_iter().map(|ms| clock.tick(ms)).collect();
         stamps.windows(2).all(|pair| pair[0] < pair[1])
     }
 
-    fn receiving_is_after_sending(sender_ms: u32, receiver_ms: u32, before: Vec<u32>) -> bool {
+    fn receive_stamp_is_after_send_stamp(sender_ms: u32, receiver_ms: u32, before: Vec<u32>) -> bool {
         let (mut a, mut b) = (Hlc::new(), Hlc::new());
         for ms in before {
             b.tick(ms.into());
--- a/crates/core/tests/view.rs
+++ b/crates/core/tests/view.rs
@@ -1,4 +1,4 @@
-//! A fleet of views against a platform: records arrive late, twice, out of order or never.
+//! Property tests of views that sync with a platform and with each other over an unreliable network.
 
 use std::collections::BTreeMap;
 
@@ -18,20 +18,20 @@
 const NAMES: u8 = 6;
 const CASES: u64 = 4_000;
 
-/// One thing that happens.
+/// One step of a scenario.
 #[derive(Clone, Debug)]
 enum Step {
     /// An operator writes or deletes an object.
     Write { name: u8, delete: bool },
-    /// A view gets the platform's event number so many from the newest, complete up to it or not.
+    /// A view receives the watch events up to the one `back` before the newest; `skipped` drops some.
     Watch { view: u8, back: u8, skipped: bool },
-    /// A view lists the platform.
+    /// A view applies a list of the platform.
     List { view: u8 },
-    /// A view gets a record of another, without a mark.
+    /// A view receives a record of another, without a mark.
     Gossip { from: u8, to: u8, name: u8 },
-    /// Two views compare; the second may lose what the first sends.
+    /// Two views compare; `lost` drops all but one of the sent records.
     Compare { from: u8, to: u8, lost: bool },
-    /// A view is replaced by one that knows nothing.
+    /// A view is replaced by an empty one.
     Restart { view: u8 },
 }
 
@@ -94,7 +94,7 @@
     view.confirm(platform.revision);
 }
 
-/// What two processes say to each other after a difference: digest, summary, what is lacking, mark.
+/// Sync exchange after a difference: digest, summary, missing records and mark.
 fn compare(from: &mut View, to: &mut View, lost: bool) -> Adoption {
     let scope = Scope::All;
     let summary = to.summary(&scope, &from.digest(&scope));
@@ -111,7 +111,7 @@
     view.objects(Kind::Change).map(|it| (it.name.clone(), it.version)).collect()
 }
 
-fn truth(platform: &Platform) -> BTreeMap<String, u64> {
+fn stored_versions(platform: &Platform) -> BTreeMap<String, u64> {
     platform.objects.values().map(|it| (it.name.clone(), it.version)).collect()
 }
 
@@ -171,9 +171,9 @@
     }
 }
 
-/// Whatever was lost on the way, one list and one comparison with its reader make every view whole; nothing that was
-/// in force ever goes back to an older version.
-fn converge(steps: Vec<Step>) -> bool {
+/// After any losses, a list and a comparison with the view that read it complete every view. No version in force is
+/// ever replaced by an older one.
+fn complete_after_list_and_compare(steps: Vec<Step>) -> bool {
     let mut run = Run::new();
     let mut floors = [0; VIEWS];
     for step in &steps {
@@ -183,7 +183,7 @@
             if matches!(step, Step::Restart { view } if usize::from(*view) == index) {
                 *floor = 0;
             }
-            assert!(run.views[index].floor() >= *floor, "the floor sinks");
+            assert!(run.views[index].floor() >= *floor, "the floor decreased");
             *floor = run.views[index].floor();
         }
     }
@@ -193,13 +193,13 @@
         compare(&mut seed, view, false);
         let adoption = compare(&mut seed, view, false);
         assert_ne!(adoption, Adoption::Differs);
-        assert_eq!(versions(view), truth(&run.platform));
+        assert_eq!(versions(view), stored_versions(&run.platform));
     }
-    versions(&seed) == truth(&run.platform) && violations(Invariant::VersionGrows) == 0
+    versions(&seed) == stored_versions(&run.platform) && violations(Invariant::VersionGrows) == 0
 }
 
-/// A view that skipped no event and takes over a mark holds just what the platform held at that revision.
-fn true_marks(steps: Vec<Step>) -> bool {
+/// Without skipped events, a view that adopted a mark holds what the platform stored at that revision.
+fn marks_match_platform(steps: Vec<Step>) -> bool {
     let mut run = Run::new();
     let mut history = vec![(0, BTreeMap::new())];
     for step in &steps {
@@ -208,7 +208,7 @@
             other => other,
         };
         run.step(&step);
-        history.push((run.platform.revision, truth(&run.platform)));
+        history.push((run.platform.revision, stored_versions(&run.platform)));
         for view in run.views.iter().filter(|it| it.synced()) {
             let newest = history.iter().rev().find(|(at, _)| *at <= view.revision());
             let (_, expected) = newest.unwrap();
@@ -218,27 +218,27 @@
             }
             for (name, version) in expected {
                 let held = view.record(&Key::Object(Kind::Change, name.clone()));
-                assert!(held.is_some_and(|it| it.version().major >= *version), "lacks {name}");
+                assert!(held.is_some_and(|it| it.version().major >= *version), "{name} is missing");
             }
         }
     }
     true
 }
 
-/// Rare orders of events show their faults only in thousands of cases; `QUICKCHECK_TESTS` asks for more.
+/// Some failures occur only in thousands of cases; `QUICKCHECK_TESTS` overrides the number.
 fn check(property: fn(Vec<Step>) -> bool) {
-    let asked = std::env::var("QUICKCHECK_TESTS").ok().and_then(|it| it.parse().ok());
-    QuickCheck::new().tests(asked.unwrap_or(CASES)).quickcheck(property);
+    let cases = std::env::var("QUICKCHECK_TESTS").ok().and_then(|it| it.parse().ok());
+    QuickCheck::new().tests(cases.unwrap_or(CASES)).quickcheck(property);
 }
 
 #[test]
 fn views_converge() {
-    check(converge);
+    check(complete_after_list_and_compare);
 }
 
 #[test]
-fn marks_are_true() {
-    check(true_marks);
+fn adopted_marks_match_the_platform() {
+    check(marks_match_platform);
 }
 
 fn place(zone: &str) -> Place {
@@ -260,10 +260,9 @@
     Member { version, since_ms: 0, role: Role::Agent { agent, homes: Vec::new() } }
 }
 
-/// Found by `marks_are_true` with 20,000 cases: a view took over a mark without having heard of a deletion, and a third
-/// view brought the object back.
+/// Regression: a view adopted a mark without having received a deletion, and a third view restored the object.
 #[test]
-fn a_deletion_that_was_never_heard_of_comes_with_the_mark() {
+fn a_mark_includes_deletions_that_the_receiver_missed() {
     let mut run = Run::new();
     let write = |name, delete| Step::Write { name, delete };
     let steps = [
@@ -279,13 +278,12 @@
         run.step(step);
     }
     assert_eq!(run.views[3].revision(), 3);
-    assert_eq!(versions(&run.views[3]), truth(&run.platform));
+    assert_eq!(versions(&run.views[3]), stored_versions(&run.platform));
 }
 
-/// Found by `marks_are_true` with 30,000 cases: the newer version of an object, which was not counted, hid that the
-/// receiver lacked the object.
+/// Regression: an object newer than the mark was left out of the sum, which hid that the receiver lacked it.
 #[test]
-fn a_newer_version_does_not_hide_a_lack() {
+fn a_newer_version_does_not_hide_a_missing_object() {
     let mut run = Run::new();
     let write = |name| Step::Write { name, delete: false };
     let steps = [
@@ -301,33 +299,36 @@
     for step in &steps {
         run.step(step);
     }
-    assert!(!run.views[0].synced(), "it has one object of two");
+    assert!(!run.views[0].synced(), "it has one of two objects");
 }
 
 #[test]
-fn members_go_by_incarnation_then_sequence() {
+fn member_versions_order_by_incarnation_then_sequence() {
     let mut view = View::new();
     let alive = agent("a", "p", Version::member(5, 3));
     assert!(view.merge(&Record::Member(alive.clone()), 0));
     assert!(!view.merge(&Record::Member(agent("a", "p", Version::member(4, 9))), 0));
     let down = alive.down(1_000);
     assert!(view.merge(&Record::Member(down.clone()), 1_000));
-    assert!(!view.merge(&Record::Member(alive), 1_000), "an old announcement does not revive");
+    assert!(
+        !view.merge(&Record::Member(alive), 1_000),
+        "an old announcement does not replace a death"
+    );
     assert!(view.merge(&Record::Member(agent("a", "p", down.version.next())), 1_000));
 }
 
 #[test]
-fn the_dead_are_forgotten_and_stay_so() {
+fn dead_members_expire_and_are_not_restored() {
     let mut view = View::new();
     let down = agent("a", "p", Version::member(1, 0)).down(1_000);
     view.merge(&Record::Member(down.clone()), 1_000);
     let later = 1_001 + FORGET_MS;
     assert_eq!(view.forget(later), 1);
-    assert!(!view.merge(&Record::Member(down), later), "a slower peer does not bring it back");
+    assert!(!view.merge(&Record::Member(down), later), "a late record does not restore it");
 }
 
 #[test]
-fn an_agent_learns_of_its_pools_and_of_balancers() {
+fn an_agent_receives_its_pools_and_all_balancers() {
     let mut home = View::new();
     let balancer = Balancer {
         name: "b".to_owned(),
@@ -348,7 +349,7 @@
 }
 
 #[test]
-fn a_malformed_object_leaves_the_last_good_one_in_force() {
+fn an_invalid_object_leaves_the_last_valid_one_in_force() {
     let mut view = View::new();
     let mut assembler = Assembler::new();
     let object = |version, spec| Object {
@@ -363,10 +364,10 @@
     view.merge(&Record::Object { kind, object: object(1, good) }, 0);
     assert!(assembler.snapshot(&view).1.is_empty());
     view.merge(&Record::Object { kind, object: object(2, json!({ "pool": 7 })) }, 0);
-    let (snapshot, faults) = assembler.snapshot(&view);
-    assert_eq!(faults.len(), 1);
+    let (snapshot, errors) = assembler.snapshot(&view);
+    assert_eq!(errors.len(), 1);
     assert_eq!(snapshot.services.values().next().map(|it| it.version), Some(1));
-    assert!(assembler.snapshot(&view).1.is_empty(), "a fault is reported once");
+    assert!(assembler.snapshot(&view).1.is_empty(), "an error is reported once");
 }
 
 fn object_at(era: u64, number: u64, name: &str) -> Object {
@@ -379,25 +380,24 @@
     }
 }
 
-// Processes held a confirmed change for past, as the platform had come back from an older copy, and would have gone back to what
-// the copy held had they taken its word at once.
+// Guards against reverting confirmed changes after the platform was restored from an older backup.
 #[test]
-fn what_a_copy_holds_or_lacks_does_not_undo_what_was_confirmed() {
+fn a_restored_backup_does_not_revert_confirmed_changes() {
     let mut view = View::new();
     let at = |era, number| Revision::new(era, number).packed();
     let known = [object_at(0, 25, "changed"), object_at(0, 26, "lost"), object_at(0, 20, "same")];
     view.take_list(Kind::Change, &known, at(0, 26));
     view.confirm(at(0, 26));
-    let copy = [object_at(1, 18, "changed"), object_at(1, 20, "same")];
-    assert!(view.take_copy(Kind::Change, &copy, 0).is_empty());
+    let backup = [object_at(1, 18, "changed"), object_at(1, 20, "same")];
+    assert!(view.take_copy(Kind::Change, &backup, 0).is_empty());
     view.advance(at(1, 21));
     let kept = [("changed", at(0, 25)), ("lost", at(0, 26)), ("same", at(0, 20))];
     assert_eq!(versions(&view), kept.map(|(name, it)| (name.to_owned(), it)).into());
-    assert_eq!(view.floor(), at(0, 26), "nothing counts as deleted");
-    // A change after the reset is in force though its number is below the one that is known.
+    assert_eq!(view.floor(), at(0, 26), "no object counts as deleted");
+    // A change after the reset applies although its number is lower than the known one.
     let news = Record::Object { kind: Kind::Change, object: object_at(1, 22, "changed") };
     assert!(view.merge(&news, 0));
-    // Whole lists count once writers had time to write again.
+    // Complete lists apply after the writers had time to write again.
     let list = [object_at(1, 22, "changed"), object_at(1, 20, "same")];
     view.take_list(Kind::Change, &list, at(1, 23));
     assert_eq!(
@@ -406,9 +406,9 @@
     );
 }
 
-// A process that starts after the reset knows nothing but the copy. Its peers know more.
+// Guards against a process started after the reset, which has only the backup, reverting its peers.
 #[test]
-fn a_view_that_knows_only_the_copy_does_not_undo_what_its_peers_know() {
+fn a_view_of_only_the_backup_does_not_revert_its_peers() {
     let at = |era, number| Revision::new(era, number).packed();
     let (mut old, mut new) = (View::new(), View::new());
     old.take_list(
