--- a/crates/core/tests/system/flows.rs
+++ b/crates/core/tests/system/flows.rs
@@ -1,4 +1,4 @@
-//! Flows: placed as new by some balancer, admitted by an agent, then placed by their sealed connection ID.
+//! Simulation of flows: placed as new by a balancer, admitted by an agent, then placed by sealed connection ID.
 
 use std::net::{SocketAddr, SocketAddrV4};
 
@@ -31,15 +31,15 @@
 }
 
 impl World {
-    fn some_balancer(&mut self) -> Option<usize> {
+    fn random_balancer(&mut self) -> Option<usize> {
         let index = self.rng.random_range(0..BALANCERS);
         let it = &self.processes[index];
-        (it.up && it.frozen_until <= self.now && it.placer.is_some()).then_some(index)
+        (it.up && it.paused_until <= self.now && it.placer.is_some()).then_some(index)
     }
 
-    /// Opens a flow to some service; returns the agent that holds it.
+    /// Opens a flow to a random service; returns the agent that holds it.
     pub(crate) fn open_flow(&mut self) -> Option<usize> {
-        let balancer = self.some_balancer()?;
+        let balancer = self.random_balancer()?;
         let caller = SocketAddr::from(([192, 0, 2, 1], self.rng.random_range(1_024..60_000)));
         let mut packet = vec![0; MIN_INITIAL];
         packet[..6].copy_from_slice(&[0xc3, 0, 0, 0, 1, 8]);
@@ -53,14 +53,14 @@
             return None;
         };
         if listener.service() != Some(service) {
-            self.broke("wrong-service");
+            self.report_violation("wrong-service");
             return None;
         }
         let count = candidates.as_slice().len();
         for (at, candidate) in candidates.as_slice().iter().enumerate() {
             let agent = agent_at(candidate);
             let reached =
-                self.processes[agent].up && self.processes[agent].frozen_until <= self.now;
+                self.processes[agent].up && self.processes[agent].paused_until <= self.now;
             if !reached {
                 return None;
             }
@@ -73,9 +73,9 @@
         None
     }
 
-    /// The agent of some flow that is open.
-    pub(crate) fn held_flow(&mut self) -> Option<usize> {
-        self.forget_flows();
+    /// Returns the agent of a random open flow.
+    pub(crate) fn random_open_flow(&mut self) -> Option<usize> {
+        self.remove_stale_flows();
         let at = self.rng.random_range(0..self.flows.len().max(1));
         self.flows.get(at).map(|it| it.agent)
     }
@@ -98,7 +98,7 @@
         admit(Policy::Steady, intake, &room, last)
     }
 
-    /// Whether the agent knows that it is to be drained.
+    /// Whether the agent's snapshot contains a drain of the agent.
     pub(crate) fn drains(&self, agent: usize) -> bool {
         let it = &self.processes[agent];
         let place = format!("vm-{agent}");
@@ -126,30 +126,31 @@
         Some(agent)
     }
 
-    /// An agent that has been draining for long gets no new work.
+    /// Reports a violation if an agent gets work after the drain limit.
     pub(crate) fn check_drained(&mut self, agent: usize) {
         let Some(&accepted) = self.platform.drains.get(&name(agent)) else {
             return;
         };
         let limit = super::world::DRAIN_LIMIT_MS;
-        let since = |at: u64| at + limit < self.now;
+        let past_limit = |at: u64| at + limit < self.now;
         let balancers = &self.processes[..BALANCERS];
-        let quiet = balancers.iter().filter(|it| since(it.disturbed)).count();
-        let told = since(self.platform.disturbed) && since(self.processes[agent].disturbed);
-        if since(accepted) && told && quiet >= BALANCERS - 1 {
-            self.broke("late-work");
+        let undisturbed = balancers.iter().filter(|it| past_limit(it.disturbed_until)).count();
+        let agent_undisturbed = past_limit(self.platform.disturbed_until)
+            && past_limit(self.processes[agent].disturbed_until);
+        if past_limit(accepted) && agent_undisturbed && undisturbed >= BALANCERS - 1 {
+            self.report_violation("late-work");
         }
     }
 
-    /// Drops flows that a death or a pause of their agent may have ended. Balancers may take an agent for dead until some
-    /// time after its pause.
-    fn forget_flows(&mut self) {
+    /// Removes flows that a death or a pause of their agent may have ended. Balancers may regard an agent as dead for
+    /// some time after its pause.
+    fn remove_stale_flows(&mut self) {
         let processes = &self.processes;
         self.flows.retain(|it| {
             let agent = &processes[it.agent];
             agent.up
                 && agent.incarnation == it.incarnation
-                && agent.disturbed + SETTLE_MS <= it.opened
+                && agent.disturbed_until + SETTLE_MS <= it.opened
         });
         if self.flows.len() > 150 {
             let at = self.rng.random_range(0..self.flows.len());
@@ -157,14 +158,14 @@
         }
     }
 
-    /// A packet of some flow arrives at some balancer.
-    pub(crate) fn packet(&mut self) {
-        self.forget_flows();
+    /// Sends a packet of a random flow to a random balancer.
+    pub(crate) fn send_random_packet(&mut self) {
+        self.remove_stale_flows();
         if self.flows.is_empty() {
             return;
         }
         let at = self.rng.random_range(0..self.flows.len());
-        let Some(balancer) = self.some_balancer() else {
+        let Some(balancer) = self.random_balancer() else {
             return;
         };
         self.seen.packets += 1;
@@ -188,26 +189,26 @@
         match placement {
             Placement::Owner { home, .. } => {
                 if agent_at(&home.agent) != flow.agent || home.service != flow.service {
-                    self.broke("wrong-agent");
+                    self.report_violation("wrong-agent");
                 }
                 self.seen.placed += 1;
                 true
             }
             Placement::New { .. } => {
-                self.broke("wrong-agent");
+                self.report_violation("wrong-agent");
                 false
             }
             Placement::Reset(_) => {
-                self.broke("live-flow-reset");
+                self.report_violation("live-flow-reset");
                 false
             }
             Placement::Drop(_) => false,
         }
     }
 
-    /// A packet of a flow is sent to an address that its service never had.
-    pub(crate) fn stray(&mut self) {
-        let Some(balancer) = self.some_balancer() else {
+    /// Sends a packet of a flow to addresses that its service never used.
+    pub(crate) fn send_to_wrong_address(&mut self) {
+        let Some(balancer) = self.random_balancer() else {
             return;
         };
         let ignores = self.mutant(Mutant::IgnoresService);
@@ -232,24 +233,24 @@
             };
         }
         if reached {
-            self.broke("wrong-service");
+            self.report_violation("wrong-service");
         }
     }
 
-    /// Whether the balancer never saw the flow's service at its address, because it started later or was cut off. Such a
-    /// balancer does not place flows from before the move: not proved, see `docs/PROOFS.md`.
-    fn is_moved(&self, balancer: usize, at: usize) -> bool {
+    /// Whether the balancer never saw the flow's service at its address, because it started later or was isolated. It
+    /// does not place flows from before the move; see `docs/PROOFS.md`.
+    fn missed_address(&self, balancer: usize, at: usize) -> bool {
         let flow = &self.flows[at];
-        !self.processes[balancer].had.contains(&(flow.address, flow.service))
+        !self.processes[balancer].served_addresses.contains(&(flow.address, flow.service))
     }
 
-    /// Every balancer places every flow that nothing but planned changes has met.
-    pub(crate) fn judge_flows(&mut self) {
-        self.forget_flows();
+    /// Checks that every balancer places every flow that was affected only by planned changes.
+    pub(crate) fn check_flows(&mut self) {
+        self.remove_stale_flows();
         for balancer in 0..BALANCERS {
             for at in 0..self.flows.len() {
-                if !self.place(balancer, at) && !self.is_moved(balancer, at) {
-                    self.broke("flow-unplaced");
+                if !self.place(balancer, at) && !self.missed_address(balancer, at) {
+                    self.report_violation("flow-unplaced");
                 }
             }
         }
--- a/crates/core/tests/system/keys.rs
+++ b/crates/core/tests/system/keys.rs
@@ -1,5 +1,5 @@
-//! Claims on idempotency keys: who is asked, what is told, what is forgotten. Follows the order in which the daemon's
-//! agents ask, over the decisions of `claims` and `roster`.
+//! Simulation of claims on idempotency keys, with the decisions of `claims` and `roster` and the daemon's message
+//! order.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -13,25 +13,25 @@
 };
 
 use super::{
-    work::{Back, Job, Told},
+    work::{CallerResult, Job, TransactionRef},
     world::{BALANCERS, Event, Mutant, SERVICE, World, name},
 };
 
-/// For how long a key is remembered.
+/// Retention time of a key.
 pub(crate) const WINDOW_MS: u64 = 40_000;
-const CALL_MS: u64 = 500;
-const TELL_WAITS_MS: [u64; 8] = [0, 100, 500, 2_000, 5_000, 10_000, 20_000, 20_000];
+const CALL_TIMEOUT_MS: u64 = 500;
+const UPDATE_RETRY_DELAYS_MS: [u64; 8] = [0, 100, 500, 2_000, 5_000, 10_000, 20_000, 20_000];
 
-/// What an agent remembers of keys.
+/// Claim state of an agent.
 #[derive(Debug, Default)]
 pub(crate) struct Keys {
     claims: Claims,
     roster: Option<Roster>,
-    /// Requests in hand.
+    /// Requests in progress.
     open: BTreeSet<u128>,
 }
 
-/// A claim that is being made.
+/// A claim in progress.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Claiming {
     all: bool,
@@ -42,29 +42,50 @@
     refusal: Option<Claimed>,
 }
 
-/// What is told about a claim.
+/// Final state of a claim, sent to its holders.
 #[derive(Clone, Debug)]
-pub(crate) enum Record {
+pub(crate) enum ClaimUpdate {
     Settle(u128, State),
     Release(u128),
 }
 
-/// A call between agents about a key.
+/// A message between agents about a key.
 #[derive(Clone, Debug)]
 pub(crate) enum Call {
-    Ask { at: usize, back: Back, key: ClaimKey, claim: Claim, digest: Option<u64> },
-    Word { back: Back, from: usize, claimed: Option<Claimed> },
-    Tell { from: usize, incarnation: u64, to: usize, key: ClaimKey, record: Record, tries: usize },
-    Told { at: usize, key: ClaimKey, record: Record },
+    Claim {
+        at: usize,
+        back: TransactionRef,
+        key: ClaimKey,
+        claim: Claim,
+        digest: Option<u64>,
+    },
+    Reply {
+        back: TransactionRef,
+        from: usize,
+        claimed: Option<Claimed>,
+    },
+    SendUpdate {
+        from: usize,
+        incarnation: u64,
+        to: usize,
+        key: ClaimKey,
+        record: ClaimUpdate,
+        tries: usize,
+    },
+    Update {
+        at: usize,
+        key: ClaimKey,
+        record: ClaimUpdate,
+    },
 }
 
 impl Call {
-    /// The process that is needed for it.
+    /// Index of the process that handles the message.
     pub(crate) fn at(&self) -> usize {
         match self {
-            Call::Ask { at, .. } | Call::Told { at, .. } => *at,
-            Call::Word { back, .. } => back.agent,
-            Call::Tell { from, .. } => *from,
+            Call::Claim { at, .. } | Call::Update { at, .. } => *at,
+            Call::Reply { back, .. } => back.agent,
+            Call::SendUpdate { from, .. } => *from,
         }
     }
 }
@@ -88,8 +109,8 @@
     seen
 }
 
-/// Which of two words counts: the one that says most of what became of an earlier request.
-fn weight(it: &Claimed) -> u8 {
+/// Precedence of a result: the one with the most information on an earlier request wins.
+fn precedence(it: &Claimed) -> u8 {
     match it {
         Claimed::Granted => 0,
         Claimed::Full => 1,
@@ -105,7 +126,7 @@
         ClaimKey { service: ServiceId::new(SERVICE), key: key.to_owned() }
     }
 
-    /// Takes in the members that the agent sees now.
+    /// Updates the roster with the members that the agent sees.
     pub(crate) fn update_roster(&mut self, index: usize) {
         let now = self.now;
         let ignores = self.mutant(Mutant::IgnoresRestarts);
@@ -120,71 +141,80 @@
         }
     }
 
-    pub(crate) fn claim(&mut self, at: Back) {
+    pub(crate) fn claim(&mut self, at: TransactionRef) {
         let now = self.now;
         let keys = &self.processes[at.agent].work.keys;
         let settled = keys.roster.as_ref().is_some_and(|it| it.is_settled(now, WINDOW_MS));
-        let request = self.course(at).ask.request;
+        let request = self.transaction(at).req.request;
         self.processes[at.agent].work.keys.open.insert(request);
         self.claim_at(at, !settled);
     }
 
-    /// Asks the arbiter; the others follow once it has granted.
-    fn claim_at(&mut self, at: Back, all: bool) {
-        let key = Self::claim_key(self.course(at).ask.key.as_deref().unwrap_or_default());
+    /// Sends the claim to the arbiter, and to the others after it has granted the claim.
+    fn claim_at(&mut self, at: TransactionRef, all: bool) {
+        let key = Self::claim_key(self.transaction(at).req.key.as_deref().unwrap_or_default());
         let me = name(at.agent);
-        let alone = self.mutant(Mutant::AsksNobody);
+        let local_only = self.mutant(Mutant::AsksNobody);
         let Some(roster) = &self.processes[at.agent].work.keys.roster else {
-            return self.refuse(at, Told::NotRun);
+            return self.refuse(at, CallerResult::NotRun);
         };
         let names = if all { roster.all_holders(&key) } else { roster.holders(&key, &me) };
         let mut names: Vec<usize> = names.into_iter().map(index_of).collect();
         let digest = all.then(|| roster.digest());
-        if alone {
+        if local_only {
             names = vec![at.agent];
         }
         let first: Vec<usize> = names.iter().copied().take(1).collect();
         let claiming = Claiming { all, digest, names, ..Claiming::default() };
-        self.course(at).claiming = claiming;
+        self.transaction(at).claiming = claiming;
         if first.is_empty() {
-            return self.refuse(at, Told::NotRun);
+            return self.refuse(at, CallerResult::NotRun);
         }
-        self.ask_for(at, &first);
+        self.send_claim(at, &first);
     }
 
-    fn ask_for(&mut self, at: Back, whom: &[usize]) {
-        let course = self.course(at);
-        course.claiming.waiting = whom.to_vec();
-        let digest = course.claiming.digest;
-        let request = course.ask.request;
-        let key = Self::claim_key(course.ask.key.as_deref().unwrap_or_default());
+    fn send_claim(&mut self, at: TransactionRef, targets: &[usize]) {
+        let transaction = self.transaction(at);
+        transaction.claiming.waiting = targets.to_vec();
+        let digest = transaction.claiming.digest;
+        let request = transaction.req.request;
+        let key = Self::claim_key(transaction.req.key.as_deref().unwrap_or_default());
         let by = name(at.agent);
         let claim = Claim { request, digest: 1, by, state: State::Running, window: WINDOW_MS };
-        for &to in whom {
+        for &to in targets {
             let call =
-                || Call::Ask { at: to, back: at, key: key.clone(), claim: claim.clone(), digest };
+                || Call::Claim { at: to, back: at, key: key.clone(), claim: claim.clone(), digest };
             self.job_after(Job::Call(call()));
-            // A kept link that broke: the call is sent again over another.
+            // A pooled link broke, and the message is sent again over another.
             if self.chance(0.05) {
                 self.job_after(Job::Call(call()));
             }
-            let late = Call::Word { back: at, from: to, claimed: Some(Claimed::Full) };
-            self.after(CALL_MS, Event::Job(Job::Call(late)));
+            let timeout = Call::Reply { back: at, from: to, claimed: Some(Claimed::Full) };
+            self.after(CALL_TIMEOUT_MS, Event::Job(Job::Call(timeout)));
         }
     }
 
     pub(crate) fn call(&mut self, call: Call) {
         match call {
-            Call::Ask { at, back, key, claim, digest } => self.asked(at, back, &key, claim, digest),
-            Call::Word { back, from, claimed } => self.word(back, from, claimed),
-            Call::Tell { from, incarnation, to, key, record, tries } => {
-                self.tell(from, incarnation, to, key, record, tries);
+            Call::Claim { at, back, key, claim, digest } => {
+                self.handle_claim(at, back, &key, claim, digest)
+            }
+            Call::Reply { back, from, claimed } => self.handle_reply(back, from, claimed),
+            Call::SendUpdate { from, incarnation, to, key, record, tries } => {
+                self.send_update(from, incarnation, to, key, record, tries);
             }
-            Call::Told { at, key, record } => self.told(at, &key, record),
+            Call::Update { at, key, record } => self.apply_update(at, &key, record),
         }
     }
 
-    fn asked(&mut self, at: usize, back: Back, key: &ClaimKey, claim: Claim, digest: Option<u64>) {
+    fn handle_claim(
+        &mut self,
+        at: usize,
+        back: TransactionRef,
+        key: &ClaimKey,
+        claim: Claim,
+        digest: Option<u64>,
+    ) {
         let (now, request) = (self.now, claim.request);
         let trusts = self.mutant(Mutant::TrustsForgetters);
         let it = &mut self.processes[at];
@@ -194,54 +224,54 @@
             let roster = keys.roster.as_ref();
             let doubtful = roster.is_some_and(|it| it.is_doubtful(key, now, WINDOW_MS));
             let admitted = roster.is_some_and(|it| it.admits(digest, now, WINDOW_MS));
-            let said = match keys.claims.claim(key, claim, now) {
+            let result = match keys.claims.claim(key, claim, now) {
                 Claimed::Granted if doubtful && !trusts => Claimed::Doubtful,
                 Claimed::Granted if !admitted && !trusts => Claimed::Unsettled,
                 it => it,
             };
-            if matches!(said, Claimed::Doubtful | Claimed::Unsettled) {
+            if matches!(result, Claimed::Doubtful | Claimed::Unsettled) {
                 keys.claims.release(key, request);
             }
-            claimed = Some(said);
+            claimed = Some(result);
         }
-        self.note(&key.key, format!("{request:x} asks {}: {claimed:?}", name(at)));
+        self.record_trace(&key.key, format!("{request:x} claims at {}: {claimed:?}", name(at)));
         if claimed.is_some() && self.chance(0.02) {
             return;
         }
-        self.job_after(Job::Call(Call::Word { back, from: at, claimed }));
+        self.job_after(Job::Call(Call::Reply { back, from: at, claimed }));
     }
 
-    /// An agent's word; none if it refused the connection, and `Full` also if it can't be asked.
-    fn word(&mut self, at: Back, from: usize, claimed: Option<Claimed>) {
-        if !self.is_there(at) || !self.course(at).is_new() {
+    /// Handles the reply of an agent; `None` if it refused the connection, `Full` also after a timeout.
+    fn handle_reply(&mut self, at: TransactionRef, from: usize, claimed: Option<Claimed>) {
+        if !self.is_current(at) || !self.transaction(at).is_new() {
             return;
         }
-        let claiming = &mut self.course(at).claiming;
+        let claiming = &mut self.transaction(at).claiming;
         let Some(position) = claiming.waiting.iter().position(|it| *it == from) else {
             return;
         };
         claiming.waiting.remove(position);
-        let word = claimed.unwrap_or(Claimed::Full);
-        // One whose word is lost may have recorded the claim all the same.
-        if matches!(word, Claimed::Granted | Claimed::Full) {
+        let reply = claimed.unwrap_or(Claimed::Full);
+        // An agent whose reply is lost may have recorded the claim.
+        if matches!(reply, Claimed::Granted | Claimed::Full) {
             claiming.held.push(from);
         }
-        let granted = word == Claimed::Granted;
-        if weight(&word) > claiming.refusal.as_ref().map_or(0, weight) {
-            claiming.refusal = Some(word);
+        let granted = reply == Claimed::Granted;
+        if precedence(&reply) > claiming.refusal.as_ref().map_or(0, precedence) {
+            claiming.refusal = Some(reply);
         }
         let arbiter = claiming.names.first() == Some(&from);
         if granted && arbiter && claiming.names.len() > 1 {
             let rest = claiming.names[1..].to_vec();
-            return self.ask_for(at, &rest);
+            return self.send_claim(at, &rest);
         }
         if claiming.waiting.is_empty() {
             self.conclude(at);
         }
     }
 
-    fn conclude(&mut self, at: Back) {
-        let claiming = self.course(at).claiming.clone();
+    fn conclude(&mut self, at: TransactionRef) {
+        let claiming = self.transaction(at).claiming.clone();
         match claiming.refusal {
             None | Some(Claimed::Granted) => self.decide(at, None),
             Some(Claimed::Unsettled) if !claiming.all => {
@@ -249,33 +279,33 @@
                 self.claim_at(at, true);
             }
             Some(Claimed::Taken(claim)) => {
-                let told = match &claim.state {
+                let result = match &claim.state {
                     State::Done(answer) => {
                         let ran = answer.body.as_slice().try_into().expect("16 bytes");
-                        Told::Whole(u128::from_be_bytes(ran))
+                        CallerResult::Complete(u128::from_be_bytes(ran))
                     }
-                    // It may be running.
-                    State::Running if self.mutant(Mutant::DeniesRuns) => Told::NotRun,
-                    State::Running | State::Unknown => Told::Unknown,
+                    // The request may be running.
+                    State::Running if self.mutant(Mutant::DeniesRuns) => CallerResult::NotRun,
+                    State::Running | State::Unknown => CallerResult::Unknown,
                 };
-                self.refuse(at, told);
+                self.refuse(at, result);
             }
-            Some(Claimed::Doubtful) => self.refuse(at, Told::Unknown),
+            Some(Claimed::Doubtful) => self.refuse(at, CallerResult::Unknown),
             Some(Claimed::Mismatch | Claimed::Unsettled | Claimed::Full) => {
-                self.refuse(at, Told::NotRun);
+                self.refuse(at, CallerResult::NotRun);
             }
         }
     }
 
-    fn refuse(&mut self, at: Back, told: Told) {
+    fn refuse(&mut self, at: TransactionRef, result: CallerResult) {
         self.settle(at, None);
-        let ask = self.end(at).ask;
-        self.job_after(Job::Reply { caller: ask.caller, request: ask.request, told });
+        let req = self.end(at).req;
+        self.job_after(Job::Reply { caller: req.caller, request: req.request, result });
     }
 
-    /// Tells those that recorded the claim what came of the request.
-    pub(crate) fn settle_as(&mut self, at: Back, outcome: Outcome, ran: u128) {
-        let begun = self.course(at).dispatch.may_have_begun();
+    /// Sends the final state of the request to the holders of the claim.
+    pub(crate) fn settle_as(&mut self, at: TransactionRef, outcome: Outcome, ran: u128) {
+        let begun = self.transaction(at).dispatch.may_have_begun();
         let state = match outcome {
             Outcome::Relay => Some(answer(ran)),
             Outcome::Unknown { .. } => Some(State::Unknown),
@@ -285,30 +315,30 @@
         self.settle(at, state);
     }
 
-    /// None as state: it was proven not to have run.
-    fn settle(&mut self, at: Back, state: Option<State>) {
-        let course = self.course(at).clone();
-        let Some(key) = course.ask.key.as_deref().map(Self::claim_key) else {
+    /// `None` means that the request has certainly not run.
+    fn settle(&mut self, at: TransactionRef, state: Option<State>) {
+        let transaction = self.transaction(at).clone();
+        let Some(key) = transaction.req.key.as_deref().map(Self::claim_key) else {
             return;
         };
-        let request = course.ask.request;
+        let request = transaction.req.request;
         let record = match state {
-            Some(state) => Record::Settle(request, state),
-            None => Record::Release(request),
+            Some(state) => ClaimUpdate::Settle(request, state),
+            None => ClaimUpdate::Release(request),
         };
         self.processes[at.agent].work.keys.open.remove(&request);
-        for to in course.claiming.held {
-            self.tell(at.agent, at.incarnation, to, key.clone(), record.clone(), 0);
+        for to in transaction.claiming.held {
+            self.send_update(at.agent, at.incarnation, to, key.clone(), record.clone(), 0);
         }
     }
 
-    fn tell(
+    fn send_update(
         &mut self,
         from: usize,
         incarnation: u64,
         to: usize,
         key: ClaimKey,
-        record: Record,
+        record: ClaimUpdate,
         tries: usize,
     ) {
         let it = &self.processes[from];
@@ -316,26 +346,27 @@
         if !it.up || it.incarnation != incarnation || !known || !self.processes[to].up {
             return;
         }
-        let told = Call::Told { at: to, key: key.clone(), record: record.clone() };
-        self.job_after(Job::Call(told));
-        // No word came back: it is told again, though it may have heard.
-        let silent = self.processes[to].frozen_until > self.now + CALL_MS || self.chance(0.05);
-        if let Some(wait) = TELL_WAITS_MS.get(tries + 1).filter(|_| silent) {
-            let call = Call::Tell { from, incarnation, to, key, record, tries: tries + 1 };
-            self.after(CALL_MS + wait, Event::Job(Job::Call(call)));
+        let update = Call::Update { at: to, key: key.clone(), record: record.clone() };
+        self.job_after(Job::Call(update));
+        // No reply arrived, so the update is sent again although it may have been received.
+        let reply_lost =
+            self.processes[to].paused_until > self.now + CALL_TIMEOUT_MS || self.chance(0.05);
+        if let Some(wait) = UPDATE_RETRY_DELAYS_MS.get(tries + 1).filter(|_| reply_lost) {
+            let call = Call::SendUpdate { from, incarnation, to, key, record, tries: tries + 1 };
+            self.after(CALL_TIMEOUT_MS + wait, Event::Job(Job::Call(call)));
         }
     }
 
-    fn told(&mut self, at: usize, key: &ClaimKey, record: Record) {
+    fn apply_update(&mut self, at: usize, key: &ClaimKey, record: ClaimUpdate) {
         let now = self.now;
         if !self.processes[at].up || at < BALANCERS {
             return;
         }
-        self.note(&key.key, format!("{} is told {record:?}", name(at)));
+        self.record_trace(&key.key, format!("{} receives {record:?}", name(at)));
         let claims = &mut self.processes[at].work.keys.claims;
         match record {
-            Record::Settle(request, state) => claims.settle(key, request, state, now),
-            Record::Release(request) => claims.release(key, request),
+            ClaimUpdate::Settle(request, state) => claims.settle(key, request, state, now),
+            ClaimUpdate::Release(request) => claims.release(key, request),
         }
     }
 }
--- a/crates/core/tests/system/main.rs
+++ b/crates/core/tests/system/main.rs
@@ -1,5 +1,5 @@
-//! Randomised runs of the decisions composed into a small fleet. No test here provokes a violation: all of them assert
-//! that the process-wide counts stay at zero.
+//! Randomised simulations of a small fleet. All tests assert that no invariant is violated, so tests that provoke
+//! violations run in another process.
 
 mod flows;
 mod keys;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_fleet_under_faults_keeps_its_promises() {
+fn a_fleet_under_faults_violates_no_guarantee() {
     let seeds = std::env::var("CAMPHORWINCH_SEEDS").ok().and_then(|it| it.parse().ok());
     let mut total = Seen::default();
     for seed in 0..seeds.unwrap_or(20) {
@@ -34,6 +34,6 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_run_again() {
+fn a_run_is_determined_by_its_seed() {
     assert_eq!(run(3), run(3));
 }
--- a/crates/core/tests/system/platform.rs
+++ b/crates/core/tests/system/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: versions, conditional writes, a history for watches, outages.
+//! Simulated platform with versions, conditional writes, a watch history and outages.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -17,34 +17,34 @@
     Lease(Attempt),
 }
 
-/// A write on its way: when it arrives, from whom.
+/// A write in flight: arrival time, index and incarnation of the writer, write.
 type Pending = (u64, usize, u64, Write);
 
 pub(crate) struct Platform {
     pub(crate) revision: u64,
     pub(crate) down_until: u64,
-    pub(crate) disturbed: u64,
+    pub(crate) disturbed_until: u64,
     pub(crate) pending: Vec<Pending>,
     /// When a drain of an agent was accepted.
     pub(crate) drains: BTreeMap<String, u64>,
     objects: BTreeMap<(String, String), Object>,
     events: Vec<Record>,
-    checked: bool,
+    conditional: bool,
     former: BTreeMap<u8, VecDeque<Term>>,
     epoch: u8,
 }
 
 impl Platform {
-    pub(crate) fn new(checked: bool) -> Platform {
+    pub(crate) fn new(conditional: bool) -> Platform {
         Platform {
             revision: 0,
             down_until: 0,
-            disturbed: 0,
+            disturbed_until: 0,
             pending: Vec::new(),
             drains: BTreeMap::new(),
             objects: BTreeMap::new(),
             events: Vec::new(),
-            checked,
+            conditional,
             former: BTreeMap::new(),
             epoch: 1,
         }
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Changes the weight of an agent.
-    pub(crate) fn weight(&mut self, agent: &str, now: u64) {
+    /// Sets a new weight of an agent.
+    pub(crate) fn set_weight(&mut self, agent: &str, now: u64) {
         if self.is_down(now) {
             return;
         }
@@ -117,7 +117,7 @@
         self.put(Kind::Service, "ledger", spec);
     }
 
-    /// Two services exchange their addresses, one after the other through a third.
+    /// Swaps the addresses of two services by way of a third address.
     pub(crate) fn swap_addresses(&mut self) {
         let (mut first, mut second) = (self.spec("ledger"), self.spec("intake"));
         let (one, two) = (first["address"].clone(), second["address"].clone());
@@ -134,7 +134,7 @@
         self.objects.get(&key).map(|it| it.spec.clone()).unwrap_or_default()
     }
 
-    /// The next key becomes known with one change and seals with the next.
+    /// Publishes the next key with one change and makes it the sealing key with the next.
     pub(crate) fn rotate_keys(&mut self) {
         let known = self.objects.get(&("keys".to_owned(), "fleet".to_owned()));
         let keys = known.and_then(|it| it.spec["keys"].as_array().cloned()).unwrap_or_default();
@@ -151,7 +151,7 @@
 
     fn put_keys(&mut self, epochs: &[u8], seal: u8) {
         let secret = |epoch: u8| {
-            // 32 bytes in base64: 42 digits of the epoch's letter, one for the rest, and padding.
+            // 32 bytes in base64: 42 digits, a last digit and padding.
             let letter = char::from(b'A' + epoch % 26);
             format!("{}A=", letter.to_string().repeat(42))
         };
@@ -176,13 +176,13 @@
         (0..LEASES).map(lease).collect()
     }
 
-    /// Whether the write was accepted, and what is stored then.
+    /// Returns whether the write was accepted, and the stored object.
     pub(crate) fn write(&mut self, write: &Write) -> (bool, Object) {
         let Write::Lease(attempt) = write;
         let name = format!("seed-{}", attempt.number);
         let old = self.objects.get(&("lease".to_owned(), name.clone())).cloned();
         let version = old.as_ref().map_or(0, |it| it.version);
-        if let Some(old) = old.as_ref().filter(|_| self.checked && version != attempt.base) {
+        if let Some(old) = old.as_ref().filter(|_| self.conditional && version != attempt.base) {
             return (false, old.clone());
         }
         if let Some(old) = old {
@@ -195,8 +195,8 @@
         (true, self.put(Kind::Lease, &name, spec))
     }
 
-    /// Whether the accepted write is one of a term that had ended before.
-    pub(crate) fn regained(&self, write: &Write) -> bool {
+    /// Whether the accepted write belongs to a term that had already ended.
+    pub(crate) fn is_by_former_holder(&self, write: &Write) -> bool {
         let Write::Lease(attempt) = write;
         self.former.get(&attempt.number).is_some_and(|it| it.contains(&attempt.term))
     }
--- a/crates/core/tests/system/work.rs
+++ b/crates/core/tests/system/work.rs
@@ -1,4 +1,4 @@
-//! Requests: claims on their keys, the course at one agent or several, the upstreams and the callers.
+//! Simulation of requests: callers, upstreams, and request processing at one or several agents.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,20 +16,20 @@
     world::{AGENTS, ALL, BALANCERS, Event, Mutant, World, name},
 };
 
-const SLOTS: u32 = 3;
-const OFFER_MS: u64 = 500;
-const GO_MS: u64 = 2_000;
-const CALLER_WAIT_MS: u64 = 4_000;
-const MOST_ATTEMPTS: usize = 5;
+const SLOTS_PER_AGENT: u32 = 3;
+const FORWARD_TIMEOUT_MS: u64 = 500;
+const PROCEED_TIMEOUT_MS: u64 = 2_000;
+const CALLER_TIMEOUT_MS: u64 = 4_000;
+const MAX_ATTEMPTS: usize = 5;
 
-/// What a caller was told.
+/// Result that a caller received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Told {
-    /// The answer to this request.
-    Whole(u128),
+pub(crate) enum CallerResult {
+    /// Response to this request.
+    Complete(u128),
     NotRun,
     Unknown,
-    Nothing,
+    NoResponse,
 }
 
 #[derive(Clone, Debug)]
@@ -37,11 +37,11 @@
     key: Option<String>,
     since: u64,
     idempotent: bool,
-    attempts: Vec<(u128, Option<Told>)>,
+    attempts: Vec<(u128, Option<CallerResult>)>,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Ask {
+pub(crate) struct SimRequest {
     pub(crate) caller: u64,
     pub(crate) request: u128,
     pub(crate) key: Option<String>,
@@ -49,54 +49,54 @@
     hop: u8,
 }
 
-/// The other side of a link between agents.
+/// Reference to a transaction at an agent, used as the reply address of a link.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Back {
+pub(crate) struct TransactionRef {
     pub(crate) agent: usize,
     pub(crate) incarnation: u64,
-    course: u64,
-    turn: u64,
+    transaction: u64,
+    generation: u64,
 }
 
-/// What agents say to each other about a request handed over.
+/// Reply of an agent to a forwarded request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Word {
-    Taken(Back),
+pub(crate) enum PeerReply {
+    Ready(TransactionRef),
     Refused(u64),
     Head(u128),
     Lost,
-    Broken,
+    Disconnected,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) enum Job {
     Arrivals,
     Call(Call),
-    Ask { agent: usize, incarnation: u64, ask: Ask },
-    Slot { at: Back },
-    Late { at: Back, report: Report },
-    Offer { at: usize, back: Back, ask: Ask },
-    Peer { at: Back, word: Word },
-    Go { at: Back, back: Back },
-    Upstream { at: Back, ask: Ask },
-    Ended { at: Back, report: Report, ran: u128 },
-    Reply { caller: u64, request: u128, told: Told },
-    Again { caller: u64 },
+    Request { agent: usize, incarnation: u64, req: SimRequest },
+    Slot { at: TransactionRef },
+    Timeout { at: TransactionRef, report: Report },
+    Forward { at: usize, back: TransactionRef, req: SimRequest },
+    PeerReply { at: TransactionRef, reply: PeerReply },
+    Proceed { at: TransactionRef, back: TransactionRef },
+    Upstream { at: TransactionRef, req: SimRequest },
+    UpstreamDone { at: TransactionRef, report: Report, ran: u128 },
+    Reply { caller: u64, request: u128, result: CallerResult },
+    Retry { caller: u64 },
 }
 
 impl Job {
-    /// The process that the job needs to run, unless it is none.
+    /// Index of the process that runs the job, if any.
     pub(crate) fn at(&self) -> Option<usize> {
         match self {
-            Job::Arrivals | Job::Upstream { .. } | Job::Reply { .. } | Job::Again { .. } => None,
+            Job::Arrivals | Job::Upstream { .. } | Job::Reply { .. } | Job::Retry { .. } => None,
             Job::Call(call) => Some(call.at()),
-            Job::Ask { agent, .. } => Some(*agent),
-            Job::Offer { at, .. } => Some(*at),
+            Job::Request { agent, .. } => Some(*agent),
+            Job::Forward { at, .. } => Some(*at),
             Job::Slot { at }
-            | Job::Late { at, .. }
-            | Job::Peer { at, .. }
-            | Job::Go { at, .. }
-            | Job::Ended { at, .. } => Some(at.agent),
+            | Job::Timeout { at, .. }
+            | Job::PeerReply { at, .. }
+            | Job::Proceed { at, .. }
+            | Job::UpstreamDone { at, .. } => Some(at.agent),
         }
     }
 }
@@ -104,40 +104,40 @@
 #[derive(Clone, Copy, Debug)]
 enum Stage {
     New,
-    Taking,
-    /// Waits for the word of the agent that handed the request over; then it runs here, or at a further peer.
-    Ready(Option<(usize, Back)>),
+    AcquiringSlot,
+    /// Waits for the forwarding agent to confirm; then the request runs here or at the given peer.
+    Ready(Option<(usize, TransactionRef)>),
     Running,
-    Offered {
+    Forwarded {
         to: usize,
-        going: bool,
+        proceeding: bool,
     },
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Course {
-    pub(crate) ask: Ask,
+pub(crate) struct Transaction {
+    pub(crate) req: SimRequest,
     pub(crate) claiming: Claiming,
-    origin: Option<Back>,
+    origin: Option<TransactionRef>,
     pub(crate) dispatch: Dispatch,
     stage: Stage,
-    turn: u64,
+    generation: u64,
     slot: bool,
-    taken: bool,
+    reported_ready: bool,
 }
 
 pub(crate) struct Work {
     pub(crate) busy: u32,
     pub(crate) keys: Keys,
-    courses: BTreeMap<u64, Course>,
+    transactions: BTreeMap<u64, Transaction>,
     gate: Gate,
     budget: Budget,
     hints: Hints,
     next: u64,
 }
 
-impl Course {
-    /// Whether its first step is still to be decided.
+impl Transaction {
+    /// Whether no step was decided yet.
     pub(crate) fn is_new(&self) -> bool {
         matches!(self.stage, Stage::New)
     }
@@ -148,7 +148,7 @@
         Work {
             busy: 0,
             keys: Keys::default(),
-            courses: BTreeMap::new(),
+            transactions: BTreeMap::new(),
             gate: Gate::new(),
             budget: Budget::new(0.1, now),
             hints: Hints::new(),
@@ -167,76 +167,84 @@
         self.after(delay, Event::Job(job));
     }
 
-    pub(crate) fn is_there(&self, at: Back) -> bool {
+    pub(crate) fn is_current(&self, at: TransactionRef) -> bool {
         let it = &self.processes[at.agent];
         it.up
             && it.incarnation == at.incarnation
-            && it.work.courses.get(&at.course).is_some_and(|it| it.turn == at.turn)
-    }
-
-    pub(crate) fn course(&mut self, at: Back) -> &mut Course {
-        self.processes[at.agent].work.courses.get_mut(&at.course).expect("checked to be there")
-    }
-
-    /// The course as it is addressed now: earlier replies and timers no longer reach it.
-    fn turn(&mut self, mut at: Back, stage: Stage) -> Back {
-        let course = self.course(at);
-        course.turn += 1;
-        course.stage = stage;
-        at.turn = course.turn;
+            && it
+                .work
+                .transactions
+                .get(&at.transaction)
+                .is_some_and(|it| it.generation == at.generation)
+    }
+
+    pub(crate) fn transaction(&mut self, at: TransactionRef) -> &mut Transaction {
+        self.processes[at.agent]
+            .work
+            .transactions
+            .get_mut(&at.transaction)
+            .expect("checked to be there")
+    }
+
+    /// Enters a stage; invalidates earlier references, so that old replies and timers are ignored.
+    fn enter_stage(&mut self, mut at: TransactionRef, stage: Stage) -> TransactionRef {
+        let transaction = self.transaction(at);
+        transaction.generation += 1;
+        transaction.stage = stage;
+        at.generation = transaction.generation;
         at
     }
 
     pub(crate) fn traffic(&mut self) {
-        if self.calm {
+        if self.faults_off {
             return;
         }
         let gap = self.rng.random_range(5..50);
         self.after(gap, Event::Traffic);
         for _ in 0..4 {
-            self.packet();
+            self.send_random_packet();
         }
-        self.stray();
+        self.send_to_wrong_address();
         let caller = self.callers.len() as u64;
         let idempotent = self.rng.random_bool(0.2);
         let keyed = !idempotent && self.rng.random_bool(0.8);
         let key = keyed.then(|| format!("key-{caller}"));
         let since = self.now;
         self.callers.insert(caller, Caller { key, since, idempotent, attempts: Vec::new() });
-        self.ask(caller);
+        self.send_request(caller);
         if keyed && self.rng.random_bool(0.2) {
-            self.ask(caller);
+            self.send_request(caller);
         }
     }
 
-    fn ask(&mut self, caller: u64) {
-        // With time to spare before the key is forgotten: an agent may be paused before it gets the request.
+    fn send_request(&mut self, caller: u64) {
+        // Stop well before the key expires, since an agent may be paused before it receives the request.
         let it = &self.callers[&caller];
-        if it.attempts.len() >= MOST_ATTEMPTS || self.now - it.since > WINDOW_MS / 2 {
+        if it.attempts.len() >= MAX_ATTEMPTS || self.now - it.since > WINDOW_MS / 2 {
             return;
         }
-        let held = if self.rng.random_bool(0.4) { self.held_flow() } else { None };
+        let held = if self.rng.random_bool(0.4) { self.random_open_flow() } else { None };
         let Some(agent) = held.or_else(|| self.open_flow()) else {
-            return self.again(caller);
+            return self.schedule_retry(caller);
         };
         self.seen.attempts += 1;
         let it = self.callers.get_mut(&caller).expect("the caller is known");
         let request = u128::from(caller) << 8 | it.attempts.len() as u128;
         it.attempts.push((request, None));
         let key = it.key.clone();
-        let ask = Ask { caller, request, key, idempotent: it.idempotent, hop: 0 };
+        let req = SimRequest { caller, request, key, idempotent: it.idempotent, hop: 0 };
         let incarnation = self.processes[agent].incarnation;
-        self.job_after(Job::Ask { agent, incarnation, ask });
-        let told = Told::Nothing;
-        self.after(CALLER_WAIT_MS, Event::Job(Job::Reply { caller, request, told }));
+        self.job_after(Job::Request { agent, incarnation, req });
+        let result = CallerResult::NoResponse;
+        self.after(CALLER_TIMEOUT_MS, Event::Job(Job::Reply { caller, request, result }));
     }
 
-    fn again(&mut self, caller: u64) {
-        let late = self.rng.random_range(50..20_000);
-        self.after(late, Event::Job(Job::Again { caller }));
+    fn schedule_retry(&mut self, caller: u64) {
+        let delay = self.rng.random_range(50..20_000);
+        self.after(delay, Event::Job(Job::Retry { caller }));
     }
 
-    fn reply(&mut self, caller: u64, request: u128, told: Told) {
+    fn handle_reply_to_caller(&mut self, caller: u64, request: u128, result: CallerResult) {
         let it = self.callers.get_mut(&caller).expect("the caller is known");
         let Some(attempt) = it.attempts.iter_mut().find(|it| it.0 == request) else {
             return;
@@ -244,22 +252,22 @@
         if attempt.1.is_some() {
             return;
         }
-        attempt.1 = Some(told);
+        attempt.1 = Some(result);
         let keyless = !it.idempotent && it.key.is_none();
-        match told {
-            Told::Whole(ran) => {
+        match result {
+            CallerResult::Complete(ran) => {
                 self.seen.whole += 1;
                 if (ran >> 8) as u64 != caller {
-                    self.broke("crossed-answer");
+                    self.report_violation("crossed-answer");
                 }
                 return;
             }
-            Told::NotRun => self.seen.not_run += 1,
-            Told::Unknown | Told::Nothing => self.seen.unknown += 1,
+            CallerResult::NotRun => self.seen.not_run += 1,
+            CallerResult::Unknown | CallerResult::NoResponse => self.seen.unknown += 1,
         }
-        // Without a key only a request that has not run is safe to send again.
-        if told == Told::NotRun || !keyless {
-            self.again(caller);
+        // Without a key, only a request that has not run may be sent again.
+        if result == CallerResult::NotRun || !keyless {
+            self.schedule_retry(caller);
         }
     }
 
@@ -267,46 +275,53 @@
         match job {
             Job::Arrivals => self.arrivals(),
             Job::Call(call) => self.call(call),
-            Job::Ask { agent, incarnation, ask } => {
+            Job::Request { agent, incarnation, req } => {
                 let it = &self.processes[agent];
                 if it.up && it.incarnation == incarnation {
-                    self.accept(agent, ask, None);
+                    self.accept(agent, req, None);
                 }
             }
-            Job::Slot { at } => self.slot(at),
-            Job::Late { at, report } => {
-                if self.is_there(at) {
-                    self.late(at, report);
+            Job::Slot { at } => self.try_slot(at),
+            Job::Timeout { at, report } => {
+                if self.is_current(at) {
+                    self.handle_timeout(at, report);
                 }
             }
-            Job::Offer { at, back, ask } => self.offered(at, back, ask),
-            Job::Peer { at, word } => self.peer(at, word),
-            Job::Go { at, back } => self.go(at, back),
-            Job::Upstream { at, ask } => self.upstream(at, &ask),
-            Job::Ended { at, report, ran } => self.ended(at, report, ran),
-            Job::Reply { caller, request, told } => self.reply(caller, request, told),
-            Job::Again { caller } => self.ask(caller),
-        }
-    }
-
-    /// A request arrives at an agent, from a caller or from another agent.
-    fn accept(&mut self, agent: usize, ask: Ask, origin: Option<Back>) {
-        let request = Request { idempotent: ask.idempotent, hop: ask.hop, deadline: None };
-        let keyed = ask.key.is_some() && origin.is_none();
-        let course = Course {
-            ask,
+            Job::Forward { at, back, req } => self.handle_forward(at, back, req),
+            Job::PeerReply { at, reply } => self.handle_peer_reply(at, reply),
+            Job::Proceed { at, back } => self.handle_proceed(at, back),
+            Job::Upstream { at, req } => self.upstream(at, &req),
+            Job::UpstreamDone { at, report, ran } => self.handle_upstream_done(at, report, ran),
+            Job::Reply { caller, request, result } => {
+                self.handle_reply_to_caller(caller, request, result)
+            }
+            Job::Retry { caller } => self.send_request(caller),
+        }
+    }
+
+    /// Accepts a request at an agent, from a caller or another agent.
+    fn accept(&mut self, agent: usize, req: SimRequest, origin: Option<TransactionRef>) {
+        let request = Request { idempotent: req.idempotent, hop: req.hop, deadline: None };
+        let keyed = req.key.is_some() && origin.is_none();
+        let transaction = Transaction {
+            req,
             claiming: Claiming::default(),
             origin,
             dispatch: Dispatch::new(request),
             stage: Stage::New,
-            turn: 0,
+            generation: 0,
             slot: false,
-            taken: false,
+            reported_ready: false,
         };
         let it = &mut self.processes[agent];
         it.work.next += 1;
-        let at = Back { agent, incarnation: it.incarnation, course: it.work.next, turn: 0 };
-        it.work.courses.insert(at.course, course);
+        let at = TransactionRef {
+            agent,
+            incarnation: it.incarnation,
+            transaction: it.work.next,
+            generation: 0,
+        };
+        it.work.transactions.insert(at.transaction, transaction);
         if keyed && !self.mutant(Mutant::SkipsClaims) {
             self.claim(at);
         } else {
@@ -314,7 +329,7 @@
         }
     }
 
-    pub(crate) fn decide(&mut self, at: Back, report: Option<Report>) {
+    pub(crate) fn decide(&mut self, at: TransactionRef, report: Option<Report>) {
         let now = self.now;
         let draining = self.drains(at.agent);
         let ignores = self.mutant(Mutant::IgnoresDrain);
@@ -330,90 +345,90 @@
             .map(|agent| Peer { name: &agent.name, near: true, weight: agent.weight })
             .collect();
         let drawn = it.work.hints.draw(&peers, Policy::Steady, seed, now);
-        let Work { budget, courses, .. } = &mut it.work;
-        let course = courses.get_mut(&at.course).expect("checked to be there");
+        let Work { budget, transactions, .. } = &mut it.work;
+        let transaction = transactions.get_mut(&at.transaction).expect("checked to be there");
         let mut view = View { now, local, peers: &drawn, budget, policy: Policy::Steady };
         let step = match report {
-            None => course.dispatch.start(&mut view),
-            Some(report) => course.dispatch.next(report, &mut view),
+            None => transaction.dispatch.start(&mut view),
+            Some(report) => transaction.dispatch.next(report, &mut view),
         };
-        if report != Some(Report::Slot) && course.slot {
-            course.slot = false;
+        if report != Some(Report::Slot) && transaction.slot {
+            transaction.slot = false;
             it.work.busy -= 1;
         }
-        self.carry(at, step);
+        self.execute(at, step);
     }
 
-    fn carry(&mut self, at: Back, step: Step) {
+    fn execute(&mut self, at: TransactionRef, step: Step) {
         match step {
             Step::Take { wait_ms } => {
-                let at = self.turn(at, Stage::Taking);
-                if self.processes[at.agent].work.busy < SLOTS {
-                    return self.slot(at);
+                let at = self.enter_stage(at, Stage::AcquiringSlot);
+                if self.processes[at.agent].work.busy < SLOTS_PER_AGENT {
+                    return self.try_slot(at);
                 }
                 self.after(wait_ms.max(1), Event::Job(Job::Slot { at }));
             }
             Step::Run => self.run_here(at),
-            Step::Offer { to } => self.offer(at, index_of(&to)),
-            Step::Answer(outcome) => self.answer(at, outcome, 0),
+            Step::Offer { to } => self.forward(at, index_of(&to)),
+            Step::Answer(outcome) => self.finish_request(at, outcome, 0),
         }
     }
 
-    fn slot(&mut self, at: Back) {
-        if !self.is_there(at) {
+    fn try_slot(&mut self, at: TransactionRef) {
+        if !self.is_current(at) {
             return;
         }
         let work = &mut self.processes[at.agent].work;
-        if work.busy >= SLOTS {
+        if work.busy >= SLOTS_PER_AGENT {
             return self.decide(at, Some(Report::Full));
         }
         work.busy += 1;
-        self.course(at).slot = true;
+        self.transaction(at).slot = true;
         self.decide(at, Some(Report::Slot));
     }
 
-    fn run_here(&mut self, at: Back) {
+    fn run_here(&mut self, at: TransactionRef) {
         let now = self.now;
         if !self.processes[at.agent].work.gate.pass(now) {
             return self.decide(at, Some(Report::Refused { retry_ms: 0 }));
         }
-        if !self.ready(at, None) {
+        if !self.report_ready(at, None) {
             self.begin(at);
         }
     }
 
-    /// Tells the agent that handed the request over that it may begin now; false if there is no need.
-    fn ready(&mut self, at: Back, next: Option<(usize, Back)>) -> bool {
-        let course = self.course(at);
-        let Some(origin) = course.origin.filter(|_| !course.taken) else {
+    /// Reports to the forwarding agent that the request can start; false if that is not needed.
+    fn report_ready(&mut self, at: TransactionRef, next: Option<(usize, TransactionRef)>) -> bool {
+        let transaction = self.transaction(at);
+        let Some(origin) = transaction.origin.filter(|_| !transaction.reported_ready) else {
             return false;
         };
-        course.taken = true;
+        transaction.reported_ready = true;
         let at = match next {
-            // The peer's word must still find the course.
+            // The peer's reply must still reach the transaction.
             Some(_) => {
-                course.stage = Stage::Ready(next);
+                transaction.stage = Stage::Ready(next);
                 at
             }
-            None => self.turn(at, Stage::Ready(None)),
+            None => self.enter_stage(at, Stage::Ready(None)),
         };
-        self.job_after(Job::Peer { at: origin, word: Word::Taken(at) });
-        self.after(GO_MS, Event::Job(Job::Late { at, report: Report::Cancelled }));
+        self.job_after(Job::PeerReply { at: origin, reply: PeerReply::Ready(at) });
+        self.after(PROCEED_TIMEOUT_MS, Event::Job(Job::Timeout { at, report: Report::Cancelled }));
         true
     }
 
-    fn begin(&mut self, at: Back) {
+    fn begin(&mut self, at: TransactionRef) {
         self.check_drained(at.agent);
-        let at = self.turn(at, Stage::Running);
-        let ask = self.course(at).ask.clone();
-        self.job_after(Job::Upstream { at, ask });
+        let at = self.enter_stage(at, Stage::Running);
+        let req = self.transaction(at).req.clone();
+        self.job_after(Job::Upstream { at, req });
     }
 
-    /// The upstream gets a request. It goes on whatever becomes of the agent.
-    fn upstream(&mut self, at: Back, ask: &Ask) {
-        let fate = if self.calm { 100 } else { self.rng.random_range(0..100) };
-        let ran = ask.request;
-        let (report, delay) = match fate {
+    /// Runs a request at the upstream, independently of the agent's fate.
+    fn upstream(&mut self, at: TransactionRef, req: &SimRequest) {
+        let dice = if self.faults_off { 100 } else { self.rng.random_range(0..100) };
+        let ran = req.request;
+        let (report, delay) = match dice {
             0..8 => (Report::Refused { retry_ms: 0 }, 1),
             8..10 => (Report::Consumed { retry_ms: 0 }, 1),
             10..12 => (Report::Lost, 1),
@@ -421,17 +436,17 @@
             16..20 => (Report::Head, 3_500),
             _ => (Report::Head, self.rng.random_range(3..60)),
         };
-        if fate >= 12 && !ask.idempotent {
-            let key = ask.key.clone().unwrap_or_else(|| format!("caller-{}", ask.caller));
+        if dice >= 12 && !req.idempotent {
+            let key = req.key.clone().unwrap_or_else(|| format!("caller-{}", req.caller));
             let text = format!("{ran:x} runs at {}, {report:?} after {delay} ms", name(at.agent));
-            self.note(&key, text);
-            self.journal.push((key, self.now, ran));
+            self.record_trace(&key, text);
+            self.upstream_runs.push((key, self.now, ran));
         }
-        self.after(delay, Event::Job(Job::Ended { at, report, ran }));
+        self.after(delay, Event::Job(Job::UpstreamDone { at, report, ran }));
     }
 
-    fn ended(&mut self, at: Back, report: Report, ran: u128) {
-        if !self.is_there(at) {
+    fn handle_upstream_done(&mut self, at: TransactionRef, report: Report, ran: u128) {
+        if !self.is_current(at) {
             return;
         }
         let now = self.now;
@@ -443,55 +458,55 @@
         self.report(at, report, ran);
     }
 
-    /// A report goes to the decisions; a wrapper may have changed it.
-    fn report(&mut self, at: Back, report: Report, ran: u128) {
+    /// Passes a step result to the state machine; a mutant may change it.
+    fn report(&mut self, at: TransactionRef, report: Report, ran: u128) {
         let report = match report {
             Report::Lost if self.mutant(Mutant::SendsAgain) => Report::Refused { retry_ms: 0 },
             it => it,
         };
         if report == Report::Head {
-            let taken = self.head(at);
-            assert!(taken, "the answer's head was refused");
-            return self.answer(at, Outcome::Relay, ran);
+            let relayed = self.accept_head(at);
+            assert!(relayed, "the response headers were rejected");
+            return self.finish_request(at, Outcome::Relay, ran);
         }
         self.decide(at, Some(report));
     }
 
-    fn head(&mut self, at: Back) -> bool {
+    fn accept_head(&mut self, at: TransactionRef) -> bool {
         let now = self.now;
-        let Work { budget, courses, .. } = &mut self.processes[at.agent].work;
-        let course = courses.get_mut(&at.course).expect("checked to be there");
+        let Work { budget, transactions, .. } = &mut self.processes[at.agent].work;
+        let transaction = transactions.get_mut(&at.transaction).expect("checked to be there");
         let mut view = View { now, local: true, peers: &[], budget, policy: Policy::Steady };
-        course.dispatch.next(Report::Head, &mut view) == Step::Answer(Outcome::Relay)
+        transaction.dispatch.next(Report::Head, &mut view) == Step::Answer(Outcome::Relay)
     }
 
-    fn offer(&mut self, at: Back, to: usize) {
-        let at = self.turn(at, Stage::Offered { to, going: false });
-        let mut ask = self.course(at).ask.clone();
-        ask.hop += 1;
+    fn forward(&mut self, at: TransactionRef, to: usize) {
+        let at = self.enter_stage(at, Stage::Forwarded { to, proceeding: false });
+        let mut req = self.transaction(at).req.clone();
+        req.hop += 1;
         if !self.processes[to].up {
-            return self.job_after(Job::Peer { at, word: Word::Broken });
+            return self.job_after(Job::PeerReply { at, reply: PeerReply::Disconnected });
         }
-        self.job_after(Job::Offer { at: to, back: at, ask: ask.clone() });
-        // An old link broke after the offer had gone out over it: nobody hears what is answered there.
+        self.job_after(Job::Forward { at: to, back: at, req: req.clone() });
+        // An old link broke after the request was sent over it, so replies on it are lost.
         if self.chance(0.05) {
-            let back = Back { turn: u64::MAX, ..at };
-            self.job_after(Job::Offer { at: to, back, ask });
+            let back = TransactionRef { generation: u64::MAX, ..at };
+            self.job_after(Job::Forward { at: to, back, req });
         }
         let report = Report::Refused { retry_ms: 0 };
-        self.after(OFFER_MS, Event::Job(Job::Late { at, report }));
+        self.after(FORWARD_TIMEOUT_MS, Event::Job(Job::Timeout { at, report }));
     }
 
-    fn offered(&mut self, agent: usize, back: Back, ask: Ask) {
+    fn handle_forward(&mut self, agent: usize, back: TransactionRef, req: SimRequest) {
         if !self.processes[agent].up {
-            return self.job_after(Job::Peer { at: back, word: Word::Broken });
+            return self.job_after(Job::PeerReply { at: back, reply: PeerReply::Disconnected });
         }
-        self.accept(agent, ask, Some(back));
+        self.accept(agent, req, Some(back));
     }
 
-    fn late(&mut self, at: Back, report: Report) {
-        match self.course(at).stage {
-            Stage::Offered { to, going: false } => {
+    fn handle_timeout(&mut self, at: TransactionRef, report: Report) {
+        match self.transaction(at).stage {
+            Stage::Forwarded { to, proceeding: false } => {
                 let now = self.now;
                 self.processes[at.agent].work.hints.refused(&name(to), 0, now);
                 self.decide(at, Some(report));
@@ -501,137 +516,142 @@
         }
     }
 
-    /// A word of a peer on an offer.
-    fn peer(&mut self, at: Back, word: Word) {
-        if !self.is_there(at) {
+    /// Handles the reply of a peer to a forwarded request.
+    fn handle_peer_reply(&mut self, at: TransactionRef, reply: PeerReply) {
+        if !self.is_current(at) {
             return;
         }
-        let (to, going) = match self.course(at).stage {
-            Stage::Offered { to, going } => (to, going),
+        let (to, proceeding) = match self.transaction(at).stage {
+            Stage::Forwarded { to, proceeding } => (to, proceeding),
             Stage::Ready(Some((to, _))) => (to, false),
             _ => return,
         };
-        match (word, going) {
-            (Word::Taken(peer), false) => {
-                if !self.ready(at, Some((to, peer))) {
-                    self.send_go(at, to, peer);
+        match (reply, proceeding) {
+            (PeerReply::Ready(peer), false) => {
+                if !self.report_ready(at, Some((to, peer))) {
+                    self.send_proceed(at, to, peer);
                 }
             }
-            (Word::Taken(_), true) => {}
-            (Word::Refused(retry_ms), _) => {
+            (PeerReply::Ready(_), true) => {}
+            (PeerReply::Refused(retry_ms), _) => {
                 let now = self.now;
                 self.processes[at.agent].work.hints.refused(&name(to), retry_ms, now);
                 self.report(at, Report::Refused { retry_ms }, 0);
             }
-            (Word::Head(ran), true) => self.report(at, Report::Head, ran),
-            (Word::Broken, false) => self.report(at, Report::Refused { retry_ms: 0 }, 0),
-            (Word::Head(_) | Word::Lost, false) => self.report(at, Report::Lost, 0),
-            (Word::Lost | Word::Broken, true) => self.report(at, Report::Lost, 0),
+            (PeerReply::Head(ran), true) => self.report(at, Report::Head, ran),
+            (PeerReply::Disconnected, false) => self.report(at, Report::Refused { retry_ms: 0 }, 0),
+            (PeerReply::Head(_) | PeerReply::Lost, false) => self.report(at, Report::Lost, 0),
+            (PeerReply::Lost | PeerReply::Disconnected, true) => self.report(at, Report::Lost, 0),
         }
     }
 
-    fn go(&mut self, at: Back, back: Back) {
-        if !self.is_there(at) {
-            // It gave up waiting and closed the link.
-            return self.job_after(Job::Peer { at: back, word: Word::Broken });
+    fn handle_proceed(&mut self, at: TransactionRef, back: TransactionRef) {
+        if !self.is_current(at) {
+            // The peer stopped waiting and closed the link.
+            return self.job_after(Job::PeerReply { at: back, reply: PeerReply::Disconnected });
         }
-        self.course(at).origin = Some(back);
-        match self.course(at).stage {
-            Stage::Ready(Some((to, peer))) => self.send_go(at, to, peer),
+        self.transaction(at).origin = Some(back);
+        match self.transaction(at).stage {
+            Stage::Ready(Some((to, peer))) => self.send_proceed(at, to, peer),
             _ => self.begin(at),
         }
     }
 
-    /// From here on the peer may begin.
-    fn send_go(&mut self, at: Back, to: usize, peer: Back) {
-        self.course(at).stage = Stage::Offered { to, going: true };
-        self.job_after(Job::Go { at: peer, back: at });
+    /// Confirms the request; from now on the peer may start it.
+    fn send_proceed(&mut self, at: TransactionRef, to: usize, peer: TransactionRef) {
+        self.transaction(at).stage = Stage::Forwarded { to, proceeding: true };
+        self.job_after(Job::Proceed { at: peer, back: at });
     }
 
-    fn answer(&mut self, at: Back, outcome: Outcome, ran: u128) {
+    fn finish_request(&mut self, at: TransactionRef, outcome: Outcome, ran: u128) {
         let outcome = match outcome {
             Outcome::Unknown { retry_ms } if self.mutant(Mutant::DeniesRuns) => {
                 Outcome::NotRun { retry_ms }
             }
             it => it,
         };
-        if self.course(at).origin.is_none() {
+        if self.transaction(at).origin.is_none() {
             self.settle_as(at, outcome, ran);
         }
-        let course = self.end(at);
-        let Some(origin) = course.origin else {
-            let told = match outcome {
-                Outcome::Relay => Told::Whole(ran),
-                Outcome::NotRun { .. } => Told::NotRun,
-                Outcome::Unknown { .. } => Told::Unknown,
-                Outcome::Cancelled => Told::Nothing,
+        let transaction = self.end(at);
+        let Some(origin) = transaction.origin else {
+            let result = match outcome {
+                Outcome::Relay => CallerResult::Complete(ran),
+                Outcome::NotRun { .. } => CallerResult::NotRun,
+                Outcome::Unknown { .. } => CallerResult::Unknown,
+                Outcome::Cancelled => CallerResult::NoResponse,
             };
-            let (caller, request) = (course.ask.caller, course.ask.request);
-            return self.job_after(Job::Reply { caller, request, told });
+            let (caller, request) = (transaction.req.caller, transaction.req.request);
+            return self.job_after(Job::Reply { caller, request, result });
         };
-        let word = match outcome {
-            Outcome::Relay => Word::Head(ran),
-            Outcome::NotRun { retry_ms } => Word::Refused(retry_ms),
-            Outcome::Unknown { .. } => Word::Lost,
-            Outcome::Cancelled => Word::Broken,
+        let reply = match outcome {
+            Outcome::Relay => PeerReply::Head(ran),
+            Outcome::NotRun { retry_ms } => PeerReply::Refused(retry_ms),
+            Outcome::Unknown { .. } => PeerReply::Lost,
+            Outcome::Cancelled => PeerReply::Disconnected,
         };
-        let word = if self.chance(0.02) { Word::Broken } else { word };
-        self.job_after(Job::Peer { at: origin, word });
+        let reply = if self.chance(0.02) { PeerReply::Disconnected } else { reply };
+        self.job_after(Job::PeerReply { at: origin, reply });
     }
 
-    pub(crate) fn end(&mut self, at: Back) -> Course {
+    pub(crate) fn end(&mut self, at: TransactionRef) -> Transaction {
         let work = &mut self.processes[at.agent].work;
-        let course = work.courses.remove(&at.course).expect("checked to be there");
-        work.busy -= u32::from(course.slot);
-        course
+        let transaction = work.transactions.remove(&at.transaction).expect("checked to be there");
+        work.busy -= u32::from(transaction.slot);
+        transaction
     }
 
-    /// The links of a process that died.
-    pub(crate) fn broken_links(&mut self, dead: usize) {
+    /// Breaks the links to a process that died.
+    pub(crate) fn break_links(&mut self, dead: usize) {
         let mut broken = Vec::new();
         for agent in BALANCERS..ALL {
             let it = &self.processes[agent];
-            for (&course, held) in &it.work.courses {
-                if matches!(held.stage, Stage::Offered { to, .. } | Stage::Ready(Some((to, _))) if to == dead)
+            for (&transaction, held) in &it.work.transactions {
+                if matches!(held.stage, Stage::Forwarded { to, .. } | Stage::Ready(Some((to, _))) if to == dead)
                 {
-                    let turn = held.turn;
-                    broken.push(Back { agent, incarnation: it.incarnation, course, turn });
+                    let generation = held.generation;
+                    broken.push(TransactionRef {
+                        agent,
+                        incarnation: it.incarnation,
+                        transaction,
+                        generation,
+                    });
                 }
             }
         }
         for at in broken {
-            self.job_after(Job::Peer { at, word: Word::Broken });
+            self.job_after(Job::PeerReply { at, reply: PeerReply::Disconnected });
         }
     }
 
-    pub(crate) fn judge_requests(&mut self) {
-        self.judge_flows();
+    pub(crate) fn check_requests(&mut self) {
+        self.check_flows();
         let mut runs: BTreeMap<&str, u32> = BTreeMap::new();
-        for (key, ..) in &self.journal {
+        for (key, ..) in &self.upstream_runs {
             *runs.entry(key).or_default() += 1;
         }
-        let twice = runs.values().filter(|it| **it > 1).count();
+        let ran_twice = runs.values().filter(|it| **it > 1).count();
         for (key, _) in runs.iter().filter(|it| *it.1 > 1) {
             println!("{key} ran twice:");
-            self.tell_story(key);
+            self.print_trace(key);
         }
-        let ran: BTreeSet<u128> = self.journal.iter().map(|it| it.2).collect();
+        let ran: BTreeSet<u128> = self.upstream_runs.iter().map(|it| it.2).collect();
         let attempts = self.callers.values().flat_map(|it| &it.attempts);
-        let told = attempts.filter(|it| it.1 == Some(Told::NotRun));
-        let untrue = told.filter(|it| ran.contains(&it.0)).count();
-        for _ in 0..twice {
-            self.broke("ran-twice");
+        let not_run = attempts.filter(|it| it.1 == Some(CallerResult::NotRun));
+        let false_not_run = not_run.filter(|it| ran.contains(&it.0)).count();
+        for _ in 0..ran_twice {
+            self.report_violation("ran-twice");
         }
-        for _ in 0..untrue {
-            self.broke("false-not-run");
+        for _ in 0..false_not_run {
+            self.report_violation("false-not-run");
         }
-        let left: usize = self.processes.iter().map(|it| it.work.courses.len()).sum();
-        for _ in 0..left {
-            self.broke("never-answered");
+        let unfinished: usize = self.processes.iter().map(|it| it.work.transactions.len()).sum();
+        for _ in 0..unfinished {
+            self.report_violation("never-answered");
         }
         let busy: u32 = self.processes.iter().map(|it| it.work.busy).sum();
-        if left == 0 && busy > 0 {
-            self.broke("slot-kept");
+        if unfinished == 0 && busy > 0 {
+            self.report_violation("slot-kept");
         }
         assert_eq!(ALL, BALANCERS + AGENTS);
     }
--- a/crates/core/tests/system/world.rs
+++ b/crates/core/tests/system/world.rs
@@ -1,5 +1,5 @@
-//! A small fleet of decision state machines: balancers and agents with their views, leases, claims and requests, a
-//! platform, and a network that delays, reorders, repeats and loses. Everything follows from one seed.
+//! Deterministic simulation of a small fleet: balancers and agents with their views, leases, claims and requests, a
+//! platform, and a network that delays, reorders, duplicates and loses messages. A seed determines the run.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -33,43 +33,43 @@
 pub(crate) const SERVICE: &str = "ledger";
 const FAULT: &str = "fault";
 const TICK_MS: u64 = 250;
-const BEAT_MS: u64 = 1_000;
-const SILENCE_MS: u64 = 3_000;
+const HEARTBEAT_MS: u64 = 1_000;
+const HEARTBEAT_TIMEOUT_MS: u64 = 3_000;
 const COMPARE_MS: u64 = 5_000;
 const LIST_MS: u64 = 10_000;
-/// Time in which a leaving upstream may still get new work.
+/// Time for which a draining upstream may still get new work.
 pub(crate) const DRAIN_LIMIT_MS: u64 = 8_000;
 
-/// A fault built into a fake, so that a check can be seen to fail.
+/// A bug built into a fake to verify that a check detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mutant {
-    /// A wrapper that sends again what was lost, as if it were proven not to have begun.
+    /// Sends a lost request again as if it had certainly not started.
     SendsAgain,
-    /// Answers "not run" for what is unknown.
+    /// Returns "not run" for an unknown outcome.
     DeniesRuns,
     /// Runs requests without claiming their keys.
     SkipsClaims,
-    /// Claims a key with itself alone.
+    /// Records a claim only at the claiming agent.
     AsksNobody,
-    /// Grants a key although an earlier claim may have been forgotten.
+    /// Grants a claim although an earlier one may be lost.
     TrustsForgetters,
-    /// Does not notice that a member was started anew under its name.
+    /// Does not detect a restart of a member.
     IgnoresRestarts,
-    /// Starts requests although the agent drains.
+    /// Starts requests while the agent is draining.
     IgnoresDrain,
-    /// A view that takes lower versions.
+    /// Views accept lower versions.
     TakesLower,
-    /// Balancers that don't look at the service in a connection ID.
+    /// Balancers ignore the service in a connection ID.
     IgnoresService,
-    /// Balancers that place packets of established flows as new ones.
+    /// Balancers place packets of established flows as new flows.
     ForgetsOwners,
-    /// Processes that never compare what they hold.
+    /// Processes never compare their views.
     SkipsComparing,
-    /// A platform that does not compare the versions of conditional writes.
+    /// The platform ignores the versions of conditional writes.
     SkipsVersions,
 }
 
-/// What a run is made of.
+/// Parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Plan {
     pub(crate) seed: u64,
@@ -77,7 +77,7 @@
     pub(crate) mutant: Option<Mutant>,
 }
 
-/// What was seen from outside.
+/// Externally visible results of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Seen {
     pub(crate) faults: u64,
@@ -88,20 +88,20 @@
     pub(crate) packets: u64,
     pub(crate) placed: u64,
     pub(crate) drains: u64,
-    /// Promises broken, by name.
+    /// Number of violated guarantees by name.
     pub(crate) broken: BTreeMap<&'static str, u64>,
 }
 
-/// What is sent between processes about configuration and members.
+/// Control message between processes.
 #[derive(Clone, Debug)]
 pub(crate) enum Control {
-    Beat(Member),
+    Heartbeat(Member),
     Records(Vec<Record>, Option<Mark>),
     Digest(Box<[u64; BUCKETS]>),
     Summary(Summary),
 }
 
-/// Something that happens at a time.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
     Control {
@@ -120,8 +120,8 @@
     Job(Job),
     Start(usize),
     Kill(usize),
-    /// Links that were cut are opened again.
-    Relink(usize),
+    /// Reopens the links of a process.
+    Reconnect(usize),
     Fault,
     Traffic,
 }
@@ -130,28 +130,28 @@
     pub(crate) name: String,
     pub(crate) incarnation: u64,
     pub(crate) up: bool,
-    pub(crate) frozen_until: u64,
-    /// Until when nothing about configuration and members reaches the process or leaves it.
-    cut_until: u64,
-    /// Addresses with the services that had them here.
-    pub(crate) had: BTreeSet<(SocketAddr, ServiceId)>,
+    pub(crate) paused_until: u64,
+    /// End of the time in which the process sends and receives no control messages.
+    isolated_until: u64,
+    /// Addresses and the services that used them in this process's snapshots.
+    pub(crate) served_addresses: BTreeSet<(SocketAddr, ServiceId)>,
     pub(crate) view: View,
     pub(crate) snapshot: Snapshot,
     pub(crate) placer: Option<Placer>,
     pub(crate) work: Work,
     pub(crate) keeper: Keeper,
-    pub(crate) writing: bool,
-    /// When the process was last killed or paused.
-    pub(crate) disturbed: u64,
+    pub(crate) write_pending: bool,
+    /// End of the last kill, pause or isolation.
+    pub(crate) disturbed_until: u64,
     assembler: Assembler,
     own: Member,
     suspects: Suspects,
-    heard: BTreeMap<usize, u64>,
+    last_heartbeats: BTreeMap<usize, u64>,
     versions: BTreeMap<String, u64>,
     stale: View,
-    asked: u64,
-    listed: u64,
-    ticked: u64,
+    last_compare: u64,
+    last_list: u64,
+    last_tick: u64,
 }
 
 pub(crate) struct World {
@@ -163,14 +163,14 @@
     pub(crate) callers: BTreeMap<u64, Caller>,
     pub(crate) flows: Vec<Flow>,
     pub(crate) seen: Seen,
-    /// Runs of requests at upstreams: key, time and request, in order.
-    pub(crate) journal: Vec<(String, u64, u128)>,
-    pub(crate) calm: bool,
-    /// What happened under a key, and to whom faults happened.
-    story: Vec<(u64, String, String)>,
+    /// Runs of requests at upstreams: key, time and request.
+    pub(crate) upstream_runs: Vec<(String, u64, u128)>,
+    pub(crate) faults_off: bool,
+    /// Trace of faults and of events by key.
+    trace: Vec<(u64, String, String)>,
     queue: BTreeMap<(u64, u64), Event>,
     next: u64,
-    killed: u64,
+    last_kill: u64,
 }
 
 fn member(index: usize, incarnation: u64) -> Member {
@@ -214,25 +214,25 @@
             name: name(index),
             incarnation: now,
             up: true,
-            frozen_until: 0,
-            cut_until: 0,
-            had: BTreeSet::new(),
+            paused_until: 0,
+            isolated_until: 0,
+            served_addresses: BTreeSet::new(),
             view,
             snapshot: Snapshot::default(),
             placer: None,
             work: Work::new(now),
             keeper: Keeper::new(&name(index)),
-            writing: false,
-            disturbed: now,
+            write_pending: false,
+            disturbed_until: now,
             assembler: Assembler::new(),
             own,
             suspects: Suspects::new(),
-            heard: BTreeMap::new(),
+            last_heartbeats: BTreeMap::new(),
             versions: BTreeMap::new(),
             stale: View::new(),
-            asked: 0,
-            listed: 0,
-            ticked: now,
+            last_compare: 0,
+            last_list: 0,
+            last_tick: now,
         }
     }
 }
@@ -248,12 +248,12 @@
             callers: BTreeMap::new(),
             flows: Vec::new(),
             seen: Seen::default(),
-            journal: Vec::new(),
-            calm: true,
-            story: Vec::new(),
+            upstream_runs: Vec::new(),
+            faults_off: true,
+            trace: Vec::new(),
             queue: BTreeMap::new(),
             next: 0,
-            killed: 0,
+            last_kill: 0,
         };
         world.platform.seed_objects();
         for index in 0..ALL {
@@ -263,17 +263,17 @@
         world
     }
 
-    /// Runs calm, then with faults, then calm again, and judges.
+    /// Runs without faults, with faults and without again, then checks the final state.
     pub(crate) fn run(mut self) -> Seen {
-        self.until(20_000);
-        self.calm = false;
+        self.run_until(20_000);
+        self.faults_off = false;
         self.after(1, Event::Fault);
         self.after(1, Event::Traffic);
         let end = self.now + self.plan.span_ms;
-        self.until(end);
-        self.heal();
-        self.until(end + 60_000);
-        self.judge();
+        self.run_until(end);
+        self.end_faults();
+        self.run_until(end + 60_000);
+        self.check_final_state();
         self.seen
     }
 
@@ -281,17 +281,17 @@
         self.plan.mutant == Some(it)
     }
 
-    pub(crate) fn broke(&mut self, what: &'static str) {
+    pub(crate) fn report_violation(&mut self, what: &'static str) {
         *self.seen.broken.entry(what).or_default() += 1;
     }
 
-    pub(crate) fn note(&mut self, subject: &str, text: String) {
-        self.story.push((self.now, subject.to_owned(), text));
+    pub(crate) fn record_trace(&mut self, subject: &str, text: String) {
+        self.trace.push((self.now, subject.to_owned(), text));
     }
 
-    /// Prints what happened under a key, among the faults.
-    pub(crate) fn tell_story(&self, subject: &str) {
-        for (at, about, text) in &self.story {
+    /// Prints the trace of a key, together with the faults.
+    pub(crate) fn print_trace(&self, subject: &str) {
+        for (at, about, text) in &self.trace {
             if about == subject || about == FAULT {
                 println!("  {at} {about}: {text}");
             }
@@ -303,19 +303,19 @@
         self.queue.insert((self.now + ms, self.next), event);
     }
 
-    /// Time that a message takes: short, seldom long, so that messages overtake one another.
+    /// Random message delay, mostly short, so that messages are reordered.
     pub(crate) fn delay(&mut self) -> u64 {
-        if !self.calm && self.rng.random_bool(0.05) {
+        if !self.faults_off && self.rng.random_bool(0.05) {
             return self.rng.random_range(20..900);
         }
         self.rng.random_range(1..4)
     }
 
     pub(crate) fn chance(&mut self, share: f64) -> bool {
-        !self.calm && self.rng.random_bool(share)
+        !self.faults_off && self.rng.random_bool(share)
     }
 
-    fn until(&mut self, end: u64) {
+    fn run_until(&mut self, end: u64) {
         while let Some((&(at, number), _)) = self.queue.first_key_value() {
             if at > end {
                 break;
@@ -328,7 +328,7 @@
     }
 
     fn handle(&mut self, event: Event) {
-        if let Some(until) = self.sleeps(&event) {
+        if let Some(until) = self.pause_end(&event) {
             let late = self.rng.random_range(0..20);
             self.after(until - self.now + late, event);
             return;
@@ -347,31 +347,35 @@
             }
             Event::Job(job) => self.job(job),
             Event::Start(index) => self.start(index),
-            Event::Kill(index) if !self.calm => self.kill_one(index),
+            Event::Kill(index) if !self.faults_off => self.kill_one(index),
             Event::Kill(_) => {}
-            Event::Relink(index) => self.relink(index),
-            Event::Fault => self.fault(),
+            Event::Reconnect(index) => self.reconnect(index),
+            Event::Fault => self.inject_fault(),
             Event::Traffic => self.traffic(),
         }
     }
 
-    /// Until when the process that an event is for is paused.
-    fn sleeps(&self, event: &Event) -> Option<u64> {
+    /// End of the pause of the process that handles the event, if it is paused.
+    fn pause_end(&self, event: &Event) -> Option<u64> {
         let index = match event {
             Event::Control { to, .. } | Event::Written { to, .. } => *to,
             Event::Tick(index) => *index,
             Event::Job(job) => job.at()?,
-            Event::Start(_) | Event::Kill(_) | Event::Relink(_) | Event::Fault | Event::Traffic => {
+            Event::Start(_)
+            | Event::Kill(_)
+            | Event::Reconnect(_)
+            | Event::Fault
+            | Event::Traffic => {
                 return None;
             }
         };
-        let until = self.processes[index].frozen_until;
+        let until = self.processes[index].paused_until;
         (self.processes[index].up && until > self.now).then_some(until)
     }
 
     fn send(&mut self, from: usize, to: usize, message: Control) {
-        let cut = |it: &Process| it.cut_until > self.now;
-        if cut(&self.processes[from]) || cut(&self.processes[to]) || self.chance(0.03) {
+        let isolated = |it: &Process| it.isolated_until > self.now;
+        if isolated(&self.processes[from]) || isolated(&self.processes[to]) || self.chance(0.03) {
             return;
         }
         let copies = if self.chance(0.05) { 2 } else { 1 };
@@ -389,14 +393,14 @@
             return;
         }
         let it = &mut self.processes[index];
-        if self.now - it.ticked > PAUSE_MS {
-            // It was this process that did not listen.
-            it.heard.values_mut().for_each(|at| *at = self.now);
+        if self.now - it.last_tick > PAUSE_MS {
+            // This process was paused, so missing heartbeats are no evidence.
+            it.last_heartbeats.values_mut().for_each(|at| *at = self.now);
         }
-        it.ticked = self.now;
+        it.last_tick = self.now;
         let turn = (self.now / TICK_MS) * TICK_MS;
-        if turn.is_multiple_of(BEAT_MS) {
-            self.beat(index);
+        if turn.is_multiple_of(HEARTBEAT_MS) {
+            self.send_heartbeats(index);
         }
         if turn.is_multiple_of(COMPARE_MS) && !self.mutant(Mutant::SkipsComparing) {
             let peers = if index < BALANCERS { ALL } else { BALANCERS };
@@ -416,22 +420,23 @@
         self.apply(index);
     }
 
-    fn beat(&mut self, index: usize) {
+    fn send_heartbeats(&mut self, index: usize) {
         let own = self.processes[index].own.clone();
         for to in 0..BALANCERS {
             let home =
                 index < BALANCERS || to == index % BALANCERS || to == (index + 1) % BALANCERS;
             if home && to != index {
-                self.send(index, to, Control::Beat(own.clone()));
+                self.send(index, to, Control::Heartbeat(own.clone()));
             }
         }
     }
 
-    /// What a balancer concludes from silence: as the daemon does, an agent counts as silent first and dead much later.
+    /// Detects missing heartbeats at a balancer; as in the daemon, an agent is declared silent first and dead much
+    /// later.
     fn suspect(&mut self, index: usize) {
         let now = self.now;
         let it = &mut self.processes[index];
-        for (&peer, &heard) in &it.heard {
+        for (&peer, &heard) in &it.last_heartbeats {
             let Some(member) = it.view.member(&name(peer)).filter(|it| !it.is_down()) else {
                 continue;
             };
@@ -441,7 +446,7 @@
                 false if silent => (now + SILENT_GRACE_MS, Verdict::Dead),
                 false => (now, Verdict::Silent),
             };
-            if now - heard > SILENCE_MS {
+            if now - heard > HEARTBEAT_TIMEOUT_MS {
                 it.suspects.suspect(&name(peer), member.version, due, verdict);
             }
         }
@@ -458,12 +463,12 @@
             }));
         }
         if !records.is_empty() {
-            self.take(index, &records, None, None);
+            self.merge_records(index, &records, None, None);
         }
     }
 
-    /// A process that is alive sees that the other end closed its link, and says so after a grace period.
-    pub(crate) fn closed(&mut self, index: usize, peer: usize) {
+    /// Handles a link closed by the peer: the peer is declared dead after a grace period.
+    pub(crate) fn link_closed(&mut self, index: usize, peer: usize) {
         let now = self.now;
         let it = &mut self.processes[index];
         let Some(member) = it.view.member(&name(peer)) else {
@@ -473,47 +478,47 @@
         it.suspects.suspect(&name(peer), version, now + AGENT_GRACE_MS, Verdict::Dead);
     }
 
-    /// Takes in what the platform's watch or list says.
+    /// Applies the platform's watch events or lists.
     fn watch(&mut self, index: usize) {
         if self.platform.down_until > self.now {
             return;
         }
         let revision = self.platform.revision;
-        if self.now - self.processes[index].listed >= LIST_MS {
-            self.processes[index].listed = self.now;
+        if self.now - self.processes[index].last_list >= LIST_MS {
+            self.processes[index].last_list = self.now;
             let mut changed = Vec::new();
             for kind in Kind::CONFIG {
                 let objects = self.platform.list(kind);
                 changed.extend(self.processes[index].view.take_list(kind, &objects, revision));
             }
             self.processes[index].view.confirm(revision);
-            self.flood(index, &changed, None);
+            self.broadcast(index, &changed, None);
             return;
         }
         let known = self.processes[index].view.revision();
         let mut events = self.platform.since(known);
-        // A watch that skips, and one that repeats.
+        // The watch may skip or repeat events.
         if !events.is_empty() && self.chance(0.1) {
             let skipped = self.rng.random_range(0..events.len());
             events.remove(skipped);
-            // The next list finds it.
-            self.platform.disturbed = self.platform.disturbed.max(self.now + LIST_MS);
+            // The next list includes it.
+            self.platform.disturbed_until = self.platform.disturbed_until.max(self.now + LIST_MS);
         }
         if self.chance(0.1) {
             events.extend(events.clone());
         }
-        let mut news = Vec::new();
+        let mut changed_records = Vec::new();
         for record in events {
             if self.processes[index].view.merge(&record, self.now) {
-                news.push(record);
+                changed_records.push(record);
             }
         }
-        if self.processes[index].view.advance(revision) || !news.is_empty() {
-            self.flood(index, &news, None);
+        if self.processes[index].view.advance(revision) || !changed_records.is_empty() {
+            self.broadcast(index, &changed_records, None);
         }
     }
 
-    fn flood(&mut self, index: usize, records: &[Record], except: Option<usize>) {
+    fn broadcast(&mut self, index: usize, records: &[Record], except: Option<usize>) {
         let mark = self.processes[index].view.mark();
         for to in 0..ALL {
             let linked = index < BALANCERS || to < BALANCERS;
@@ -526,13 +531,13 @@
     fn control(&mut self, from: usize, to: usize, message: Control) {
         let scope = Scope::All;
         match message {
-            Control::Beat(member) => {
+            Control::Heartbeat(member) => {
                 let now = self.now;
-                self.processes[to].heard.insert(from, now);
+                self.processes[to].last_heartbeats.insert(from, now);
                 self.processes[to].suspects.clear(member.name());
-                self.take(to, &[Record::Member(member)], None, Some(from));
+                self.merge_records(to, &[Record::Member(member)], None, Some(from));
             }
-            Control::Records(records, mark) => self.take(to, &records, mark, Some(from)),
+            Control::Records(records, mark) => self.merge_records(to, &records, mark, Some(from)),
             Control::Digest(digest) => {
                 let summary = self.processes[to].view.summary(&scope, &digest);
                 if !summary.buckets.is_empty() {
@@ -544,45 +549,51 @@
                 let mark = self.processes[to].view.mark();
                 self.send(to, from, Control::Records(found.lacking, mark));
                 if !found.deleted.is_empty() {
-                    self.flood(to, &found.deleted, None);
+                    self.broadcast(to, &found.deleted, None);
                 }
             }
         }
     }
 
-    fn take(&mut self, index: usize, records: &[Record], mark: Option<Mark>, from: Option<usize>) {
+    fn merge_records(
+        &mut self,
+        index: usize,
+        records: &[Record],
+        mark: Option<Mark>,
+        from: Option<usize>,
+    ) {
         let now = self.now;
         let it = &mut self.processes[index];
-        let mut news = Vec::new();
+        let mut changed_records = Vec::new();
         for record in records {
             if it.view.merge(record, now) {
-                news.push(record.clone());
+                changed_records.push(record.clone());
             }
         }
         let adoption = mark.map_or(Adoption::Known, |mark| it.view.adopt(&mark));
         if let (Adoption::Differs, Some(from)) = (adoption, from) {
-            if now - it.asked >= 500 && self.plan.mutant != Some(Mutant::SkipsComparing) {
-                it.asked = now;
+            if now - it.last_compare >= 500 && self.plan.mutant != Some(Mutant::SkipsComparing) {
+                it.last_compare = now;
                 let digest = it.view.digest(&Scope::All);
                 self.send(index, from, Control::Digest(Box::new(digest)));
             }
         }
         let it = &mut self.processes[index];
-        // Another announcement under the own name: it was taken for dead.
+        // A newer announcement under this process's name means that it was declared dead.
         let seen = it.view.member(&it.name).map(|it| it.version);
         if seen.is_some_and(|seen| seen > it.own.version) {
             it.own.version = seen.expect("checked").next();
             let record = Record::Member(it.own.clone());
             it.view.merge(&record, now);
-            news.push(record);
+            changed_records.push(record);
         }
-        if !news.is_empty() || adoption == Adoption::Taken {
-            self.flood(index, &news, from);
+        if !changed_records.is_empty() || adoption == Adoption::Taken {
+            self.broadcast(index, &changed_records, from);
         }
         self.apply(index);
     }
 
-    /// Puts in force what the process knows.
+    /// Applies the process's view to its snapshot and placer.
     fn apply(&mut self, index: usize) {
         let lower = self.mutant(Mutant::TakesLower) && self.chance(0.01);
         let it = &mut self.processes[index];
@@ -591,7 +602,7 @@
         } else if self.plan.mutant == Some(Mutant::TakesLower) && self.now.is_multiple_of(7) {
             it.stale = it.view.clone();
         }
-        // While only one of two services that exchange addresses is known, the other is left out: a fault is no surprise.
+        // Errors are ignored: during an address swap one of the two services may conflict with the other.
         let (snapshot, _) = it.assembler.snapshot(&it.view);
         if snapshot == it.snapshot {
             return;
@@ -606,14 +617,14 @@
         }
         it.snapshot = snapshot;
         for (&id, service) in &it.snapshot.services {
-            it.had.insert((service.spec.address, id));
+            it.served_addresses.insert((service.spec.address, id));
         }
         if index < BALANCERS {
             let placer = Placer::new(&it.snapshot, it.placer.as_ref(), self.now);
             it.placer = Some(placer);
         }
         if reverted {
-            self.broke("reverted");
+            self.report_violation("reverted");
         }
         if index >= BALANCERS {
             self.update_roster(index);
@@ -622,12 +633,12 @@
 
     fn keep_lease(&mut self, index: usize) {
         let now = self.now;
-        let watches = |it: &Process| it.up && it.frozen_until <= now && it.keeper.last().is_some();
+        let watches = |it: &Process| it.up && it.paused_until <= now && it.keeper.last().is_some();
         if !self.processes[..BALANCERS].iter().any(watches) {
-            // Both holders of this only zone were lost: until a lease has expired nobody reads the platform.
-            self.platform.disturbed = self.platform.disturbed.max(now);
+            // Both holders are down, so no process reads the platform until a lease has expired.
+            self.platform.disturbed_until = self.platform.disturbed_until.max(now);
         }
-        if self.processes[index].writing {
+        if self.processes[index].write_pending {
             return;
         }
         let mut attempt = None;
@@ -642,18 +653,18 @@
             attempt = self.processes[index].keeper.take(now, now);
         }
         if let Some(attempt) = attempt {
-            self.processes[index].writing = true;
+            self.processes[index].write_pending = true;
             let arrival = self.delay();
             self.write(index, Write::Lease(attempt), arrival);
         }
     }
 
-    /// Carries out a conditional write after a delay; its answer may be lost.
+    /// Sends a conditional write with a delay; its response may be lost.
     fn write(&mut self, index: usize, write: Write, delay: u64) {
         let late = if self.chance(0.1) { self.rng.random_range(0..15_000) } else { 0 };
         let at = self.now + delay + late;
         let incarnation = self.processes[index].incarnation;
-        // The write takes effect when it arrives; what a paused or dead writer had sent before still does.
+        // A write takes effect when it arrives, even if its writer was paused or died after sending it.
         self.platform.pending.push((at, index, incarnation, write));
         self.after(delay + late, Event::Job(Job::Arrivals));
     }
@@ -666,8 +677,8 @@
         for (_, index, incarnation, write) in due {
             let down = self.platform.down_until > now;
             let stored = (!down).then(|| self.platform.write(&write));
-            if stored.as_ref().is_some_and(|it| it.0) && self.platform.regained(&write) {
-                self.broke("former-holder-wrote");
+            if stored.as_ref().is_some_and(|it| it.0) && self.platform.is_by_former_holder(&write) {
+                self.report_violation("former-holder-wrote");
             }
             let stored = if self.chance(0.15) { None } else { stored };
             let delay = self.delay();
@@ -678,7 +689,7 @@
     fn written(&mut self, index: usize, write: &Write, stored: Option<(bool, Object)>) {
         let now = self.now;
         let it = &mut self.processes[index];
-        it.writing = false;
+        it.write_pending = false;
         let Write::Lease(attempt) = write;
         match stored {
             Some((true, object)) => {
@@ -695,20 +706,20 @@
             }
             None => {}
         }
-        self.exclusive();
+        self.check_exclusive();
     }
 
-    /// No two processes that run count one lease as held.
-    fn exclusive(&mut self) {
+    /// Checks that no two running processes hold the same lease.
+    fn check_exclusive(&mut self) {
         let mut held = BTreeSet::new();
-        let mut twice = 0;
+        let mut duplicates = 0;
         for it in self.processes.iter().filter(|it| it.up) {
             if let Some(number) = it.keeper.holds(self.now) {
-                twice += u64::from(!held.insert(number));
+                duplicates += u64::from(!held.insert(number));
             }
         }
-        for _ in 0..twice {
-            self.broke("two-holders");
+        for _ in 0..duplicates {
+            self.report_violation("two-holders");
         }
     }
 
@@ -718,13 +729,13 @@
         }
         let now = self.now;
         self.processes[index] = Process::new(index, now);
-        self.note(FAULT, format!("{} starts again", name(index)));
-        self.relink(index);
-        self.beat(index);
+        self.record_trace(FAULT, format!("{} restarts", name(index)));
+        self.reconnect(index);
+        self.send_heartbeats(index);
     }
 
-    /// Processes compare when a link between them opens.
-    fn relink(&mut self, index: usize) {
+    /// Opens the links of a process; both sides compare their views.
+    fn reconnect(&mut self, index: usize) {
         for peer in 0..ALL {
             let linked = index < BALANCERS || peer < BALANCERS;
             if peer == index || !linked || !self.processes[peer].up || !self.processes[index].up {
@@ -739,8 +750,8 @@
         }
     }
 
-    fn fault(&mut self) {
-        if self.calm {
+    fn inject_fault(&mut self) {
+        if self.faults_off {
             return;
         }
         let gap = self.rng.random_range(300..2_500);
@@ -749,19 +760,20 @@
         let now = self.now;
         let kind = self.rng.random_range(0..11);
         match kind {
-            0 | 1 => self.kill(),
+            0 | 1 => self.kill_some(),
             2 | 3 => {
                 let index = self.rng.random_range(0..ALL);
                 let longest = if self.rng.random_bool(0.3) { 14_000 } else { 3_000 };
                 let pause = self.rng.random_range(100..longest);
-                self.note(FAULT, format!("{} is paused for {pause} ms", name(index)));
-                self.processes[index].frozen_until = now + pause;
-                self.processes[index].disturbed = self.processes[index].disturbed.max(now + pause);
+                self.record_trace(FAULT, format!("{} is paused for {pause} ms", name(index)));
+                self.processes[index].paused_until = now + pause;
+                self.processes[index].disturbed_until =
+                    self.processes[index].disturbed_until.max(now + pause);
             }
             4 => {
                 let last = self.rng.random_range(500..15_000);
                 self.platform.down_until = now + last;
-                self.platform.disturbed = self.platform.disturbed.max(now + last);
+                self.platform.disturbed_until = self.platform.disturbed_until.max(now + last);
             }
             5 | 6 => {
                 let agent = self.rng.random_range(BALANCERS..ALL);
@@ -771,31 +783,31 @@
             10 => {
                 let index = self.rng.random_range(0..ALL);
                 let last = self.rng.random_range(1_000..9_000);
-                self.note(FAULT, format!("{} is cut off for {last} ms", name(index)));
-                self.processes[index].cut_until = now + last;
-                self.after(last + 1, Event::Relink(index));
-                self.processes[index].disturbed = self.processes[index].disturbed.max(now + last);
+                self.record_trace(FAULT, format!("{} is isolated for {last} ms", name(index)));
+                self.processes[index].isolated_until = now + last;
+                self.after(last + 1, Event::Reconnect(index));
+                self.processes[index].disturbed_until =
+                    self.processes[index].disturbed_until.max(now + last);
             }
             7 => self.platform.swap_addresses(),
             8 => self.platform.rotate_keys(),
-            _ => self.platform.weight(&name(self.rng.random_range(BALANCERS..ALL)), now),
+            _ => self.platform.set_weight(&name(self.rng.random_range(BALANCERS..ALL)), now),
         }
     }
 
-    /// Kills one process. In half of the runs seldom, so that the members count as settled in between, but then several
-    /// in a row.
-    fn kill(&mut self) {
-        const APART_MS: u64 = 8_000;
-        const SELDOM_MS: u64 = 55_000;
-        let seldom = !self.plan.seed.is_multiple_of(2);
-        let apart = if seldom { SELDOM_MS } else { APART_MS };
-        if self.now < self.killed + apart {
+    /// Kills a process. In half of the runs kills are rare, so that membership settles in between, but come in bursts.
+    fn kill_some(&mut self) {
+        const INTERVAL_MS: u64 = 8_000;
+        const RARE_INTERVAL_MS: u64 = 55_000;
+        let rare = !self.plan.seed.is_multiple_of(2);
+        let interval = if rare { RARE_INTERVAL_MS } else { INTERVAL_MS };
+        if self.now < self.last_kill + interval {
             return;
         }
-        self.killed = self.now;
+        self.last_kill = self.now;
         let index = self.rng.random_range(0..ALL);
         self.kill_one(index);
-        if !seldom {
+        if !rare {
             return;
         }
         for further in 1..=3 {
@@ -806,16 +818,16 @@
     }
 
     fn kill_one(&mut self, index: usize) {
-        if !self.processes[index].up || self.processes[index].frozen_until > self.now {
+        if !self.processes[index].up || self.processes[index].paused_until > self.now {
             return;
         }
-        self.note(FAULT, format!("{} is killed", name(index)));
+        self.record_trace(FAULT, format!("{} is killed", name(index)));
         self.processes[index].up = false;
-        self.processes[index].disturbed = self.now;
-        self.broken_links(index);
+        self.processes[index].disturbed_until = self.now;
+        self.break_links(index);
         for balancer in 0..BALANCERS {
             if balancer != index && self.processes[balancer].up && index >= BALANCERS {
-                self.closed(balancer, index);
+                self.link_closed(balancer, index);
             }
         }
         let down = if self.rng.random_bool(0.5) { 300..1_500 } else { 6_000..9_000 };
@@ -823,35 +835,35 @@
         self.after(down, Event::Start(index));
     }
 
-    fn heal(&mut self) {
-        self.calm = true;
+    fn end_faults(&mut self) {
+        self.faults_off = true;
         let now = self.now;
         self.platform.down_until = now;
         for it in &mut self.processes {
-            it.frozen_until = it.frozen_until.min(now);
-            it.cut_until = it.cut_until.min(now);
+            it.paused_until = it.paused_until.min(now);
+            it.isolated_until = it.isolated_until.min(now);
         }
     }
 
-    fn judge(&mut self) {
+    fn check_final_state(&mut self) {
         for index in 0..ALL {
             let view = &self.processes[index].view;
             let mut same = true;
             for kind in Kind::CONFIG {
                 let held: Vec<(String, u64)> =
                     view.objects(kind).map(|it| (it.name.clone(), it.version)).collect();
-                let truth: Vec<(String, u64)> =
+                let stored: Vec<(String, u64)> =
                     self.platform.list(kind).into_iter().map(|it| (it.name, it.version)).collect();
-                same &= held == truth;
+                same &= held == stored;
             }
             let all_up = view.members().all(|it| !it.is_down()) && view.members().count() == ALL;
             if !same {
-                self.broke("not-in-force");
+                self.report_violation("not-in-force");
             }
             if !all_up {
-                self.broke("member-missing");
+                self.report_violation("member-missing");
             }
         }
-        self.judge_requests();
+        self.check_requests();
     }
 }
