--- a/crates/core/examples/balance.rs
+++ b/crates/core/examples/balance.rs
@@ -1,8 +1,8 @@
-//! Compares policies of balance on the same seeds: `cargo run --release -p camphorwinch-core --example balance`.
+//! Compares balancing policies on the same seeds: `cargo run --release -p camphorwinch-core --example balance`.
 //!
-//! A small loop over the decisions of this crate, with fake upstreams that have slots, cold starts, faults and lies. Two
-//! usual policies stand beside the system's own: a random upstream for each flow, and the less loaded of two by reports
-//! that lag. Prints tables in Markdown.
+//! A small simulation of the decisions of this crate, with upstreams that have slots, cold starts, faults and false
+//! load reports. Two common policies are included for comparison: a random upstream for each flow, and the less loaded
+//! of two by delayed reports. Prints tables in Markdown.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -19,96 +19,96 @@
 
 const AGENTS: usize = 7;
 const ZONES: usize = 3;
-const SLOTS: u32 = 7;
+const SLOTS_PER_AGENT: u32 = 7;
 const FLOWS: usize = 300;
-const SPAN_US: u64 = 40_000_000;
-const WARM_US: u64 = 5_000_000;
-const WORK_US: f64 = 20_000.0;
-const HOP_US: u64 = 1_000;
-const REPORT_US: u64 = 1_000_000;
-/// Time after which a dead agent gets no more new flows.
-const NOTICE_US: u64 = 3_000_000;
-/// Longest wait for a slot under the two usual policies: the same as the system's own two waits together.
-const WAIT_US: u64 = 110_000;
+const DURATION_US: u64 = 40_000_000;
+const WARMUP_US: u64 = 5_000_000;
+const MEAN_WORK_US: f64 = 20_000.0;
+const HOP_LATENCY_US: u64 = 1_000;
+const REPORT_INTERVAL_US: u64 = 1_000_000;
+/// Time until a dead agent is detected and gets no new flows.
+const DETECTION_US: u64 = 3_000_000;
+/// Maximum wait for a slot under the two common policies; equals the two waits of `Dispatch` together.
+const MAX_SLOT_WAIT_US: u64 = 110_000;
 const SEEDS: u64 = 5;
-const MOST_RETRIES: u32 = 3;
-const LEAST_RETRY_MS: u64 = 1_000;
+const MAX_RETRIES: u32 = 3;
+const MIN_RETRY_MS: u64 = 1_000;
 
-/// How flows and requests find an upstream.
+/// Policy that selects the upstream of flows and requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Choice {
+enum Balancing {
     Random,
     LeastOfTwo,
-    Own(Policy),
+    System(Policy),
 }
 
-impl Choice {
-    const ALL: [Choice; 4] = [
-        Choice::Random,
-        Choice::LeastOfTwo,
-        Choice::Own(Policy::Steady),
-        Choice::Own(Policy::Even),
+impl Balancing {
+    const ALL: [Balancing; 4] = [
+        Balancing::Random,
+        Balancing::LeastOfTwo,
+        Balancing::System(Policy::Steady),
+        Balancing::System(Policy::Even),
     ];
 
     fn name(self) -> &'static str {
         match self {
-            Choice::Random => "random",
-            Choice::LeastOfTwo => "least of two, lagged",
-            Choice::Own(Policy::Steady) => "steady",
-            Choice::Own(Policy::Even) => "even",
+            Balancing::Random => "random",
+            Balancing::LeastOfTwo => "least loaded of two, delayed reports",
+            Balancing::System(Policy::Steady) => "steady",
+            Balancing::System(Policy::Even) => "even",
         }
     }
 }
 
-/// What is out of the ordinary.
+/// Simulated scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Scene {
-    Calm,
+enum Scenario {
+    NoFaults,
     ColdStarts,
-    SlowOne,
-    SheddingOne,
-    LyingOne,
+    OneSlow,
+    OneRefuses,
+    OneReportsIdle,
     UnequalFlows,
     Burst,
-    ZoneLost,
+    ZoneFails,
 }
 
-impl Scene {
-    const ALL: [Scene; 8] = [
-        Scene::Calm,
-        Scene::ColdStarts,
-        Scene::SlowOne,
-        Scene::SheddingOne,
-        Scene::LyingOne,
-        Scene::UnequalFlows,
-        Scene::Burst,
-        Scene::ZoneLost,
+impl Scenario {
+    const ALL: [Scenario; 8] = [
+        Scenario::NoFaults,
+        Scenario::ColdStarts,
+        Scenario::OneSlow,
+        Scenario::OneRefuses,
+        Scenario::OneReportsIdle,
+        Scenario::UnequalFlows,
+        Scenario::Burst,
+        Scenario::ZoneFails,
     ];
 
     fn name(self) -> &'static str {
         match self {
-            Scene::Calm => "nothing unusual",
-            Scene::ColdStarts => "two upstreams start cold: 5 times slower for 10 s",
-            Scene::SlowOne => "one upstream 4 times slower",
-            Scene::SheddingOne => "one upstream refuses half",
-            Scene::LyingOne => "one upstream 4 times slower, reports idle",
-            Scene::UnequalFlows => "a tenth of the flows does most of the work",
-            Scene::Burst => "a burst of new flows, ten times the rate for 2 s",
-            Scene::ZoneLost => "a zone lost at half-time",
+            Scenario::NoFaults => "no faults",
+            Scenario::ColdStarts => "two upstreams start cold: 5 times slower for 10 s",
+            Scenario::OneSlow => "one upstream 4 times slower",
+            Scenario::OneRefuses => "one upstream refuses half of the requests",
+            Scenario::OneReportsIdle => "one upstream 4 times slower, reports idle",
+            Scenario::UnequalFlows => "a tenth of the flows does most of the work",
+            Scenario::Burst => "a burst of new flows, ten times the rate for 2 s",
+            Scenario::ZoneFails => "a zone fails at half-time",
         }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Ask(usize),
+    Request(usize),
     Open,
-    Arrive { request: usize, agent: usize, leg: usize },
-    Ended { request: usize, agent: usize, leg: usize },
-    Waited { request: usize, agent: usize, leg: usize },
+    Arrive { request: usize, agent: usize, hop: usize },
+    Done { request: usize, agent: usize, hop: usize },
+    WaitTimeout { request: usize, agent: usize, hop: usize },
     Report,
-    Lose,
-    Again { agent: usize, work_us: f64, tries: u32 },
+    FailZone,
+    Retry { agent: usize, work_us: f64, tries: u32 },
 }
 
 struct Agent {
@@ -124,28 +124,28 @@
     flows: u32,
 }
 
-/// The course of a request at one agent; a request handed over has a second one there.
-struct Leg {
+/// State of a request at one agent; a forwarded request has one per agent.
+struct Hop {
     agent: usize,
     dispatch: Dispatch,
     waits: bool,
 }
 
-struct Ask {
-    since: u64,
+struct SimRequest {
+    started: u64,
     work_us: f64,
-    legs: Vec<Leg>,
+    hops: Vec<Hop>,
     done: bool,
     tries: u32,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Tally {
-    asked: u64,
-    whole: u64,
+struct Totals {
+    sent: u64,
+    completed: u64,
     refused: u64,
     broken: u64,
-    handed: u64,
+    forwarded: u64,
     waits_ms: Vec<f64>,
     refusals_ms: Vec<f64>,
     loads: Vec<f64>,
@@ -158,29 +158,29 @@
 }
 
 struct Sim {
-    choice: Choice,
-    scene: Scene,
+    balancing: Balancing,
+    scenario: Scenario,
     rng: StdRng,
     now: u64,
     queue: BTreeMap<(u64, u64), Event>,
     next: u64,
     agents: Vec<Agent>,
     names: Vec<String>,
-    /// By number; none once closed.
+    /// Flows by index; `None` after a flow was closed.
     flows: Vec<Option<Flow>>,
     open: Vec<usize>,
     weight: f64,
     rate: f64,
-    /// Whether callers ask again after a refusal.
-    again: bool,
-    asks: Vec<Ask>,
-    tally: Tally,
+    /// Whether callers retry after a refusal.
+    callers_retry: bool,
+    requests: Vec<SimRequest>,
+    totals: Totals,
 }
 
 impl Sim {
-    fn new(choice: Choice, scene: Scene, load: f64, seed: u64) -> Sim {
+    fn new(balancing: Balancing, scenario: Scenario, load: f64, seed: u64) -> Sim {
         let agent = |_| Agent {
-            slots: SLOTS,
+            slots: SLOTS_PER_AGENT,
             busy: 0,
             queue: VecDeque::new(),
             gate: Gate::new(),
@@ -191,10 +191,10 @@
             reported: 0,
             flows: 0,
         };
-        let capacity = AGENTS as f64 * f64::from(SLOTS) / WORK_US;
+        let capacity = AGENTS as f64 * f64::from(SLOTS_PER_AGENT) / MEAN_WORK_US;
         Sim {
-            choice,
-            scene,
+            balancing,
+            scenario,
             rng: StdRng::seed_from_u64(seed),
             now: 0,
             queue: BTreeMap::new(),
@@ -205,32 +205,32 @@
             open: Vec::new(),
             weight: 0.0,
             rate: capacity * load,
-            again: false,
-            asks: Vec::new(),
-            tally: Tally::default(),
+            callers_retry: false,
+            requests: Vec::new(),
+            totals: Totals::default(),
         }
     }
 
-    fn run(mut self) -> Tally {
+    fn run(mut self) -> Totals {
         for _ in 0..FLOWS {
             self.open_flow();
         }
         self.after(1, Event::Report);
         self.after(1, Event::Open);
-        if self.scene == Scene::ZoneLost {
-            self.after(SPAN_US / 2, Event::Lose);
+        if self.scenario == Scenario::ZoneFails {
+            self.after(DURATION_US / 2, Event::FailZone);
         }
         while let Some((&key, _)) = self.queue.first_key_value() {
-            let Some(event) = self.queue.remove(&key).filter(|_| key.0 <= SPAN_US) else {
+            let Some(event) = self.queue.remove(&key).filter(|_| key.0 <= DURATION_US) else {
                 break;
             };
             self.now = key.0;
             self.handle(event);
         }
-        let span = (SPAN_US - WARM_US) as f64;
+        let span = (DURATION_US - WARMUP_US) as f64;
         let alive = self.agents.iter().filter(|it| it.dead_at.is_none());
-        self.tally.loads = alive.map(|it| it.busy_us / span / f64::from(it.slots)).collect();
-        self.tally
+        self.totals.loads = alive.map(|it| it.busy_us / span / f64::from(it.slots)).collect();
+        self.totals
     }
 
     fn after(&mut self, us: u64, event: Event) {
@@ -238,49 +238,49 @@
         self.queue.insert((self.now + us, self.next), event);
     }
 
-    fn pause(&mut self, mean_us: f64) -> u64 {
-        let unit: f64 = self.rng.random_range(1e-9..1.0);
-        (-unit.ln() * mean_us) as u64
+    fn random_delay(&mut self, mean_us: f64) -> u64 {
+        let uniform: f64 = self.rng.random_range(1e-9..1.0);
+        (-uniform.ln() * mean_us) as u64
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Ask(flow) => self.ask(flow),
+            Event::Request(flow) => self.send_next(flow),
             Event::Open => {
-                let burst =
-                    self.scene == Scene::Burst && (10_000_000..12_000_000).contains(&self.now);
-                let pause = self.pause(if burst { 5_000.0 } else { 50_000.0 });
-                self.after(pause, Event::Open);
+                let burst = self.scenario == Scenario::Burst
+                    && (10_000_000..12_000_000).contains(&self.now);
+                let delay = self.random_delay(if burst { 5_000.0 } else { 50_000.0 });
+                self.after(delay, Event::Open);
                 self.open_flow();
-                // One that is open ends, but for those of a burst.
+                // An open flow ends for each new one, except during a burst.
                 if !burst && self.open.len() > FLOWS {
                     let at = self.rng.random_range(0..self.open.len());
                     self.close(at);
                 }
             }
-            Event::Arrive { request, agent, leg } => self.arrive(request, agent, leg),
-            Event::Ended { request, agent, leg } => self.ended(request, agent, leg),
-            Event::Waited { request, agent, leg } => self.waited(request, agent, leg),
+            Event::Arrive { request, agent, hop } => self.arrive(request, agent, hop),
+            Event::Done { request, agent, hop } => self.done_at_upstream(request, agent, hop),
+            Event::WaitTimeout { request, agent, hop } => self.wait_timeout(request, agent, hop),
             Event::Report => {
-                self.after(REPORT_US, Event::Report);
+                self.after(REPORT_INTERVAL_US, Event::Report);
                 for (at, it) in self.agents.iter_mut().enumerate() {
-                    let lies = self.scene == Scene::LyingOne && at == 0;
-                    it.reported = if lies { 0 } else { it.busy };
+                    let reports_idle = self.scenario == Scenario::OneReportsIdle && at == 0;
+                    it.reported = if reports_idle { 0 } else { it.busy };
                 }
             }
-            Event::Lose => self.lose_zone(),
-            Event::Again { agent, work_us, tries } => self.send(agent, work_us, tries),
+            Event::FailZone => self.fail_zone(),
+            Event::Retry { agent, work_us, tries } => self.send(agent, work_us, tries),
         }
     }
 
-    fn lose_zone(&mut self) {
+    fn fail_zone(&mut self) {
         for at in (0..AGENTS).filter(|it| it % ZONES == 0) {
             self.agents[at].dead_at = Some(self.now);
         }
         for at in (0..self.open.len()).rev() {
             let flow = self.flows[self.open[at]];
             if flow.is_some_and(|it| self.agents[it.agent].dead_at.is_some()) {
-                self.tally.broken += 1;
+                self.totals.broken += 1;
                 self.close(at);
             }
         }
@@ -289,20 +289,20 @@
         }
     }
 
-    /// Whether the agent gets new flows, as far as balancers know.
-    fn listed(&self, agent: usize) -> bool {
-        self.agents[agent].dead_at.is_none_or(|at| self.now < at + NOTICE_US)
+    /// Whether balancers regard the agent as alive.
+    fn believed_alive(&self, agent: usize) -> bool {
+        self.agents[agent].dead_at.is_none_or(|at| self.now < at + DETECTION_US)
     }
 
     fn open_flow(&mut self) {
-        let agent = match self.choice {
-            Choice::Random => self.random_agent(),
-            Choice::LeastOfTwo => {
+        let agent = match self.balancing {
+            Balancing::Random => self.random_agent(),
+            Balancing::LeastOfTwo => {
                 let (one, two) = (self.random_agent(), self.random_agent());
                 let load = |it: usize| self.agents[it].reported;
                 if load(two) < load(one) { two } else { one }
             }
-            Choice::Own(policy) => match self.place(policy) {
+            Balancing::System(policy) => match self.place(policy) {
                 Some(agent) => agent,
                 None => return,
             },
@@ -311,13 +311,13 @@
             return;
         }
         self.agents[agent].flows += 1;
-        let heavy = self.scene == Scene::UnequalFlows && self.rng.random_bool(0.1);
-        let weight = if heavy { 20.0 } else { 1.0 };
+        let is_heavy = self.scenario == Scenario::UnequalFlows && self.rng.random_bool(0.1);
+        let weight = if is_heavy { 20.0 } else { 1.0 };
         self.weight += weight;
         self.open.push(self.flows.len());
         self.flows.push(Some(Flow { agent, weight }));
-        let pause = self.pause(FLOWS as f64 / self.rate);
-        self.after(pause, Event::Ask(self.flows.len() - 1));
+        let delay = self.random_delay(FLOWS as f64 / self.rate);
+        self.after(delay, Event::Request(self.flows.len() - 1));
     }
 
     fn close(&mut self, at: usize) {
@@ -331,15 +331,15 @@
     fn random_agent(&mut self) -> usize {
         loop {
             let at = self.rng.random_range(0..AGENTS);
-            if self.listed(at) {
+            if self.believed_alive(at) {
                 return at;
             }
         }
     }
 
-    /// The system's way: candidates by the table, the first with room takes the flow.
+    /// Placement by the system: candidates from the lookup table; the first that admits the flow gets it.
     fn place(&mut self, policy: Policy) -> Option<usize> {
-        let listed: Vec<usize> = (0..AGENTS).filter(|it| self.listed(*it)).collect();
+        let listed: Vec<usize> = (0..AGENTS).filter(|it| self.believed_alive(*it)).collect();
         let members: Vec<Member<'_>> =
             listed.iter().map(|it| Member { name: &self.names[*it], weight: 1.0 }).collect();
         let picks = Slots::new(&members).pick(self.rng.random());
@@ -369,48 +369,56 @@
         None
     }
 
-    /// A flow asks; the next request of its kind follows.
-    fn ask(&mut self, flow: usize) {
+    /// Sends a request of a flow and schedules the next one.
+    fn send_next(&mut self, flow: usize) {
         let Some(Flow { agent, weight }) = self.flows[flow] else {
             return;
         };
         let extra = self.open.len() as f64 / FLOWS as f64;
         let rate = self.rate * weight / self.weight * extra.max(1.0);
-        let pause = self.pause(1.0 / rate);
-        self.after(pause, Event::Ask(flow));
-        let work_us = self.pause(WORK_US) as f64;
-        self.tally.asked += u64::from(self.now >= WARM_US);
+        let delay = self.random_delay(1.0 / rate);
+        self.after(delay, Event::Request(flow));
+        let work_us = self.random_delay(MEAN_WORK_US) as f64;
+        self.totals.sent += u64::from(self.now >= WARMUP_US);
         self.send(agent, work_us, 0);
     }
 
     fn send(&mut self, agent: usize, work_us: f64, tries: u32) {
-        let request = self.asks.len();
-        self.asks.push(Ask { since: self.now, work_us, legs: Vec::new(), done: false, tries });
+        let request = self.requests.len();
+        self.requests.push(SimRequest {
+            started: self.now,
+            work_us,
+            hops: Vec::new(),
+            done: false,
+            tries,
+        });
         self.arrive(request, agent, 0);
     }
 
-    fn arrive(&mut self, request: usize, agent: usize, leg: usize) {
+    fn arrive(&mut self, request: usize, agent: usize, hop: usize) {
         if self.agents[agent].dead_at.is_some() {
-            if leg > 0 {
-                self.report(request, leg - 1, Report::Refused { retry_ms: 0 });
+            if hop > 0 {
+                self.report(request, hop - 1, Report::Refused { retry_ms: 0 });
             }
             return;
         }
-        let ask = Request { idempotent: true, hop: leg as u8, deadline: None };
-        let dispatch = Dispatch::new(ask);
-        self.asks[request].legs.push(Leg { agent, dispatch, waits: false });
-        match self.choice {
-            Choice::Own(policy) => self.step(request, leg, policy, None),
-            Choice::Random | Choice::LeastOfTwo => self.take(request, leg, WAIT_US),
+        let req = Request { idempotent: true, hop: hop as u8, deadline: None };
+        let dispatch = Dispatch::new(req);
+        self.requests[request].hops.push(Hop { agent, dispatch, waits: false });
+        match self.balancing {
+            Balancing::System(policy) => self.step(request, hop, policy, None),
+            Balancing::Random | Balancing::LeastOfTwo => {
+                self.acquire_slot(request, hop, MAX_SLOT_WAIT_US)
+            }
         }
     }
 
-    fn step(&mut self, request: usize, leg: usize, policy: Policy, report: Option<Report>) {
+    fn step(&mut self, request: usize, hop: usize, policy: Policy, report: Option<Report>) {
         let now = self.now / 1_000;
-        let agent = self.asks[request].legs[leg].agent;
+        let agent = self.requests[request].hops[hop].agent;
         let seed = self.rng.random();
         let mut peers: Vec<Peer<'_>> = Vec::new();
-        for at in (0..AGENTS).filter(|it| *it != agent && self.listed(*it)) {
+        for at in (0..AGENTS).filter(|it| *it != agent && self.believed_alive(*it)) {
             let near = at % ZONES == agent % ZONES;
             peers.push(Peer { name: &self.names[at], near, weight: 1.0 });
         }
@@ -418,74 +426,78 @@
         let drawn = it.hints.draw(&peers, policy, seed, now);
         let local = it.gate.is_open(now);
         let mut view = View { now, local, peers: &drawn, budget: &mut it.budget, policy };
-        let dispatch = &mut self.asks[request].legs[leg].dispatch;
+        let dispatch = &mut self.requests[request].hops[hop].dispatch;
         let step = match report {
             None => dispatch.start(&mut view),
             Some(report) => dispatch.next(report, &mut view),
         };
         match step {
-            Step::Take { wait_ms } => self.take(request, leg, wait_ms * 1_000),
-            Step::Run => self.begin(request, leg),
+            Step::Take { wait_ms } => self.acquire_slot(request, hop, wait_ms * 1_000),
+            Step::Run => self.begin(request, hop),
             Step::Offer { to } => {
                 let to = self.names.iter().position(|it| *it == to).unwrap_or(0);
-                let next = leg + 1;
-                self.asks[request].legs.truncate(next);
-                self.after(HOP_US, Event::Arrive { request, agent: to, leg: next });
+                let next = hop + 1;
+                self.requests[request].hops.truncate(next);
+                self.after(HOP_LATENCY_US, Event::Arrive { request, agent: to, hop: next });
             }
-            Step::Answer(outcome) => self.answer(request, leg, outcome),
+            Step::Answer(outcome) => self.finish(request, hop, outcome),
         }
     }
 
-    fn report(&mut self, request: usize, leg: usize, report: Report) {
-        match self.choice {
-            Choice::Own(policy) => self.step(request, leg, policy, Some(report)),
-            Choice::Random | Choice::LeastOfTwo => match report {
-                Report::Slot => self.begin(request, leg),
-                _ => self.refuse(request, LEAST_RETRY_MS),
+    fn report(&mut self, request: usize, hop: usize, report: Report) {
+        match self.balancing {
+            Balancing::System(policy) => self.step(request, hop, policy, Some(report)),
+            Balancing::Random | Balancing::LeastOfTwo => match report {
+                Report::Slot => self.begin(request, hop),
+                _ => self.refuse(request, MIN_RETRY_MS),
             },
         }
     }
 
-    fn take(&mut self, request: usize, leg: usize, wait_us: u64) {
-        let agent = self.asks[request].legs[leg].agent;
+    fn acquire_slot(&mut self, request: usize, hop: usize, wait_us: u64) {
+        let agent = self.requests[request].hops[hop].agent;
         let it = &mut self.agents[agent];
         if it.busy < it.slots {
             it.busy += 1;
-            return self.report(request, leg, Report::Slot);
+            return self.report(request, hop, Report::Slot);
         }
         if wait_us == 0 || it.queue.len() >= it.slots as usize {
-            return self.report(request, leg, Report::Full);
+            return self.report(request, hop, Report::Full);
         }
-        it.queue.push_back((request, leg));
-        self.asks[request].legs[leg].waits = true;
-        self.after(wait_us, Event::Waited { request, agent, leg });
+        it.queue.push_back((request, hop));
+        self.requests[request].hops[hop].waits = true;
+        self.after(wait_us, Event::WaitTimeout { request, agent, hop });
     }
 
-    fn waited(&mut self, request: usize, agent: usize, leg: usize) {
+    fn wait_timeout(&mut self, request: usize, agent: usize, hop: usize) {
         let queue = &mut self.agents[agent].queue;
-        let Some(at) = queue.iter().position(|it| *it == (request, leg)) else {
+        let Some(at) = queue.iter().position(|it| *it == (request, hop)) else {
             return;
         };
         queue.remove(at);
-        self.asks[request].legs[leg].waits = false;
-        self.report(request, leg, Report::Full);
+        self.requests[request].hops[hop].waits = false;
+        self.report(request, hop, Report::Full);
     }
 
-    /// The request is sent to the upstream, in the slot taken.
-    fn begin(&mut self, request: usize, leg: usize) {
-        let agent = self.asks[request].legs[leg].agent;
+    /// Sends the request to the upstream in the acquired slot.
+    fn begin(&mut self, request: usize, hop: usize) {
+        let agent = self.requests[request].hops[hop].agent;
         let now = self.now / 1_000;
-        let sheds = self.scene == Scene::SheddingOne && agent == 0 && self.rng.random_bool(0.5);
-        let passes = matches!(self.choice, Choice::Own(_)) && !self.agents[agent].gate.pass(now);
-        if sheds || passes {
+        let refuses =
+            self.scenario == Scenario::OneRefuses && agent == 0 && self.rng.random_bool(0.5);
+        let gate_closed =
+            matches!(self.balancing, Balancing::System(_)) && !self.agents[agent].gate.pass(now);
+        if refuses || gate_closed {
             self.free(agent);
-            if sheds {
+            if refuses {
                 self.agents[agent].gate.refused(now);
             }
-            return self.report(request, leg, Report::Refused { retry_ms: 0 });
+            return self.report(request, hop, Report::Refused { retry_ms: 0 });
         }
-        let cold = self.scene == Scene::ColdStarts && agent < 2 && self.now < 10_000_000 + WARM_US;
-        let slow = matches!(self.scene, Scene::SlowOne | Scene::LyingOne) && agent == 0;
+        let cold =
+            self.scenario == Scenario::ColdStarts && agent < 2 && self.now < 10_000_000 + WARMUP_US;
+        let slow =
+            matches!(self.scenario, Scenario::OneSlow | Scenario::OneReportsIdle) && agent == 0;
         let factor = if cold {
             5.0
         } else if slow {
@@ -493,88 +505,88 @@
         } else {
             1.0
         };
-        let work = self.asks[request].work_us * factor;
-        if self.now >= WARM_US {
+        let work = self.requests[request].work_us * factor;
+        if self.now >= WARMUP_US {
             self.agents[agent].busy_us += work;
         }
-        self.after(work as u64, Event::Ended { request, agent, leg });
+        self.after(work as u64, Event::Done { request, agent, hop });
     }
 
-    fn ended(&mut self, request: usize, agent: usize, leg: usize) {
+    fn done_at_upstream(&mut self, request: usize, agent: usize, hop: usize) {
         if self.agents[agent].dead_at.is_some() {
             return;
         }
         self.agents[agent].gate.taken();
         self.free(agent);
-        let ask = &mut self.asks[request];
-        if ask.done {
+        let req = &mut self.requests[request];
+        if req.done {
             return;
         }
-        ask.done = true;
-        let home = ask.legs[0].agent;
-        let taken = (self.now - ask.since) as f64 / 1_000.0;
-        let measured = ask.since >= WARM_US;
-        if leg > 0 {
+        req.done = true;
+        let origin = req.hops[0].agent;
+        let elapsed_ms = (self.now - req.started) as f64 / 1_000.0;
+        let measured = req.started >= WARMUP_US;
+        if hop > 0 {
             let busy = &self.agents[agent];
             let load = f64::from(busy.busy) / f64::from(busy.slots);
             let name = self.names[agent].clone();
-            self.agents[home].hints.took(&name, load, self.now / 1_000);
+            self.agents[origin].hints.took(&name, load, self.now / 1_000);
         }
         if measured {
-            self.tally.handed += u64::from(leg > 0);
-            self.tally.whole += 1;
-            self.tally.waits_ms.push(taken);
+            self.totals.forwarded += u64::from(hop > 0);
+            self.totals.completed += 1;
+            self.totals.waits_ms.push(elapsed_ms);
         }
     }
 
-    /// Gives a slot back, to the one that waits longest.
+    /// Releases a slot to the request that waits longest.
     fn free(&mut self, agent: usize) {
         let it = &mut self.agents[agent];
         it.busy -= 1;
-        let Some((request, leg)) = it.queue.pop_front() else {
+        let Some((request, hop)) = it.queue.pop_front() else {
             return;
         };
         it.busy += 1;
-        self.asks[request].legs[leg].waits = false;
-        self.report(request, leg, Report::Slot);
+        self.requests[request].hops[hop].waits = false;
+        self.report(request, hop, Report::Slot);
     }
 
-    fn answer(&mut self, request: usize, leg: usize, outcome: Outcome) {
+    fn finish(&mut self, request: usize, hop: usize, outcome: Outcome) {
         let Outcome::NotRun { retry_ms } = outcome else {
             return;
         };
-        if leg == 0 {
+        if hop == 0 {
             return self.refuse(request, retry_ms);
         }
-        let from = self.asks[request].legs[leg].agent;
-        let above = self.asks[request].legs[leg - 1].agent;
+        let from = self.requests[request].hops[hop].agent;
+        let sender = self.requests[request].hops[hop - 1].agent;
         let name = self.names[from].clone();
-        self.agents[above].hints.refused(&name, retry_ms.min(50), self.now / 1_000);
-        self.report(request, leg - 1, Report::Refused { retry_ms });
+        self.agents[sender].hints.refused(&name, retry_ms.min(50), self.now / 1_000);
+        self.report(request, hop - 1, Report::Refused { retry_ms });
     }
 
     fn refuse(&mut self, request: usize, retry_ms: u64) {
-        let ask = &mut self.asks[request];
-        ask.done = true;
-        let (agent, work_us, tries) = (ask.legs[0].agent, ask.work_us, ask.tries + 1);
-        if self.again && tries <= MOST_RETRIES {
-            self.after(retry_ms * 1_000, Event::Again { agent, work_us, tries });
+        let req = &mut self.requests[request];
+        req.done = true;
+        let (agent, work_us, tries) = (req.hops[0].agent, req.work_us, req.tries + 1);
+        if self.callers_retry && tries <= MAX_RETRIES {
+            self.after(retry_ms * 1_000, Event::Retry { agent, work_us, tries });
         }
-        let ask = &self.asks[request];
-        if ask.since >= WARM_US {
-            self.tally.refused += 1;
-            self.tally.refusals_ms.push((self.now - ask.since) as f64 / 1_000.0);
+        let req = &self.requests[request];
+        if req.started >= WARMUP_US {
+            self.totals.refused += 1;
+            self.totals.refusals_ms.push((self.now - req.started) as f64 / 1_000.0);
         }
     }
 }
 
-impl Tally {
-    fn add(&mut self, other: Tally) {
-        self.asked += other.asked;
-        self.whole += other.whole;
+impl Totals {
+    fn add(&mut self, other: Totals) {
+        self.sent += other.sent;
+        self.completed += other.completed;
         self.refused += other.refused;
         self.broken += other.broken;
-        self.handed += other.handed;
+        self.forwarded += other.forwarded;
         self.waits_ms.extend(other.waits_ms);
         self.refusals_ms.extend(other.refusals_ms);
     }
@@ -591,43 +603,43 @@
     values.get(at.min(values.len().saturating_sub(1))).copied().unwrap_or(0.0)
 }
 
-fn compare(scene: Scene, load: f64) {
-    for choice in Choice::ALL {
-        let (mut all, mut uneven) = (Tally::default(), 0.0);
+fn compare(scenario: Scenario, load: f64) {
+    for balancing in Balancing::ALL {
+        let (mut all, mut mean_imbalance) = (Totals::default(), 0.0);
         for seed in 0..SEEDS {
-            let tally = Sim::new(choice, scene, load, seed).run();
-            uneven += imbalance(&tally.loads) / SEEDS as f64;
-            all.add(tally);
+            let totals = Sim::new(balancing, scenario, load, seed).run();
+            mean_imbalance += imbalance(&totals.loads) / SEEDS as f64;
+            all.add(totals);
         }
-        let refused = all.refused as f64 / all.asked as f64 * 100.0;
-        let handed = all.handed as f64 / all.asked as f64 * 100.0;
+        let refused = all.refused as f64 / all.sent as f64 * 100.0;
+        let forwarded = all.forwarded as f64 / all.sent as f64 * 100.0;
         let p50 = percentile(&mut all.waits_ms, 0.5);
         let p99 = percentile(&mut all.waits_ms, 0.99);
         println!(
-            "| {} | {} | {uneven:.2} | {refused:.2} % | {handed:.1} % | {p50:.0} | {p99:.0} | {} |",
-            scene.name(),
-            choice.name(),
+            "| {} | {} | {mean_imbalance:.2} | {refused:.2} % | {forwarded:.1} % | {p50:.0} | {p99:.0} | {} |",
+            scenario.name(),
+            balancing.name(),
             all.broken
         );
     }
 }
 
-fn overload(policy: Policy, again: bool) {
+fn overload(policy: Policy, callers_retry: bool) {
     for load in [0.5, 0.8, 0.9, 1.0, 1.1, 1.2, 1.5, 2.0, 3.0] {
-        let mut all = Tally::default();
+        let mut all = Totals::default();
         for seed in 0..SEEDS {
-            let mut sim = Sim::new(Choice::Own(policy), Scene::Calm, load, seed);
-            sim.again = again;
+            let mut sim = Sim::new(Balancing::System(policy), Scenario::NoFaults, load, seed);
+            sim.callers_retry = callers_retry;
             all.add(sim.run());
         }
-        let span = (SPAN_US - WARM_US) as f64 / 1e6 * SEEDS as f64;
-        let capacity = AGENTS as f64 * f64::from(SLOTS) / WORK_US * 1e6;
-        let good = all.whole as f64 / span;
+        let span = (DURATION_US - WARMUP_US) as f64 / 1e6 * SEEDS as f64;
+        let capacity = AGENTS as f64 * f64::from(SLOTS_PER_AGENT) / MEAN_WORK_US * 1e6;
+        let good = all.completed as f64 / span;
         println!(
             "| {} | {} | {load:.1} | {:.0} | {good:.0} | {:.1} % | {:.0} | {:.0} | {:.0} |",
-            Choice::Own(policy).name(),
-            if again { "yes" } else { "no" },
-            all.asked as f64 / span,
+            Balancing::System(policy).name(),
+            if callers_retry { "yes" } else { "no" },
+            all.sent as f64 / span,
             good / capacity * 100.0,
             percentile(&mut all.waits_ms, 0.99),
             percentile(&mut all.refusals_ms, 0.5),
@@ -638,15 +650,15 @@
 
 fn main() {
     println!(
-        "| scene | policy | imbalance | refused | handed over | p50 ms | p99 ms | broken flows |"
+        "| scenario | policy | imbalance | refused | forwarded | p50 ms | p99 ms | broken flows |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    for scene in Scene::ALL {
-        compare(scene, 0.6);
+    for scenario in Scenario::ALL {
+        compare(scenario, 0.6);
     }
     println!();
     println!(
-        "| policy | asks again | offered / capacity | offered per s | goodput per s | of capacity | p99 ms | refused p50 ms | refused p99 ms |"
+        "| policy | callers retry | offered / capacity | offered per s | goodput per s | of capacity | p99 ms | refused p50 ms | refused p99 ms |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     for policy in [Policy::Steady, Policy::Even] {
--- a/crates/core/src/candidates.rs
+++ b/crates/core/src/candidates.rs
@@ -30,8 +30,8 @@
     /// Adds the next best candidate, unless the list is full.
     #[inline]
     pub fn push(&mut self, agent: SocketAddrV4) {
-        if let Some(slot) = self.agents.get_mut(usize::from(self.len)) {
-            *slot = agent;
+        if let Some(entry) = self.agents.get_mut(usize::from(self.len)) {
+            *entry = agent;
             self.len += 1;
         }
     }
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -180,7 +180,7 @@
             Report::Consumed { retry_ms } => {
                 self.stage = Stage::New;
                 self.retry_ms = self.retry_ms.max(retry_ms);
-                self.give_up()
+                self.fail()
             }
             Report::Lost => self.connection_lost(view),
             Report::Head => self.finish(Outcome::Relay),
@@ -196,7 +196,7 @@
     fn acquire_slot(&mut self, view: &View<'_>, wait_ms: u64) -> Step {
         let left = self.request.deadline.map_or(u64::MAX, |it| it.saturating_sub(view.now));
         if left == 0 {
-            return self.give_up();
+            return self.fail();
         }
         self.stage = Stage::AcquiringSlot;
         Step::Take { wait_ms: wait_ms.min(left) }
@@ -204,10 +204,10 @@
 
     fn run(&mut self, view: &View<'_>) -> Step {
         if self.deadline_passed(view) {
-            return self.give_up();
+            return self.fail();
         }
         if !self.may_send() || !invariant::check(Invariant::DrainHolds, view.local) {
-            return self.give_up();
+            return self.fail();
         }
         self.stage = Stage::Running;
         self.sends += 1;
@@ -216,15 +216,15 @@
 
     fn forward(&mut self, view: &View<'_>) -> Step {
         if self.deadline_passed(view) {
-            return self.give_up();
+            return self.fail();
         }
         let may_forward = self.forwards < self.max_forwards(view);
         let untried = |it: &&&str| !self.tried_peers.iter().any(|old| old == **it);
         let Some(peer) = view.peers.iter().find(untried).filter(|_| may_forward) else {
-            return self.wait_or_give_up(view);
+            return self.wait_or_fail(view);
         };
         if !self.may_send() {
-            return self.give_up();
+            return self.fail();
         }
         let to = (*peer).to_owned();
         self.stage = Stage::Forwarded;
@@ -244,12 +244,12 @@
         }
     }
 
-    fn wait_or_give_up(&mut self, view: &View<'_>) -> Step {
+    fn wait_or_fail(&mut self, view: &View<'_>) -> Step {
         // Only the agent that holds the flow waits; a peer refuses at once.
         let may_wait =
             view.local && !self.did_final_wait && !self.refused_locally && self.request.hop == 0;
         if !may_wait {
-            return self.give_up();
+            return self.fail();
         }
         self.did_final_wait = true;
         self.acquire_slot(view, FINAL_SLOT_WAIT_MS)
@@ -264,7 +264,7 @@
             && self.sends < MAX_SENDS
             && view.budget.withdraw(view.now);
         if !may_retry {
-            return self.give_up();
+            return self.fail();
         }
         if view.local && !was_local {
             return self.acquire_slot(view, FINAL_SLOT_WAIT_MS);
@@ -282,7 +282,7 @@
         invariant::check(Invariant::RunOnce, idle && may_repeat)
     }
 
-    fn give_up(&mut self) -> Step {
+    fn fail(&mut self) -> Step {
         let retry_ms = self.retry_ms.clamp(MIN_RETRY_MS, MAX_RETRY_MS);
         if self.may_have_begun() {
             return self.finish(Outcome::Unknown { retry_ms });
--- a/crates/core/src/gate.rs
+++ b/crates/core/src/gate.rs
@@ -1,4 +1,4 @@
-//! Backoff for an upstream that refuses requests: the gate closes after a refusal and reopens after a successful probe.
+//! Backoff for an upstream that refuses requests: rejects requests after a refusal until a probe request succeeds.
 
 const MIN_BACKOFF_MS: u64 = 20;
 const MAX_BACKOFF_MS: u64 = 1_000;
@@ -9,20 +9,20 @@
 #[derive(Clone, Debug, Default)]
 pub struct Gate {
     backoff_ms: u64,
-    closed_until: u64,
+    backoff_until: u64,
     probe_sent: Option<u64>,
     first_refusal: Option<u64>,
 }
 
 impl Gate {
-    /// Creates an open gate.
+    /// Creates the state of an upstream without refusals.
     pub fn new() -> Gate {
         Gate::default()
     }
 
     /// Whether a request would be admitted; does not count as one.
     pub fn is_open(&self, now: u64) -> bool {
-        self.backoff_ms == 0 || (now >= self.closed_until && !self.probing(now))
+        self.backoff_ms == 0 || (now >= self.backoff_until && !self.probing(now))
     }
 
     /// Admits or rejects a request. After a backoff only one request is admitted, as a probe.
@@ -36,7 +36,7 @@
         true
     }
 
-    /// Records that the upstream accepted a request; opens the gate.
+    /// Records that the upstream accepted a request; ends the backoff.
     pub fn taken(&mut self) {
         *self = Gate::default();
     }
@@ -44,11 +44,11 @@
     /// Records that the upstream refused a request or was unreachable.
     pub fn refused(&mut self, now: u64) {
         self.probe_sent = None;
-        if now < self.closed_until {
+        if now < self.backoff_until {
             return;
         }
         self.backoff_ms = (self.backoff_ms * 2).clamp(MIN_BACKOFF_MS, MAX_BACKOFF_MS);
-        self.closed_until = now + self.backoff_ms;
+        self.backoff_until = now + self.backoff_ms;
         self.first_refusal.get_or_insert(now);
     }
 
--- a/crates/core/src/roster.rs
+++ b/crates/core/src/roster.rs
@@ -5,7 +5,7 @@
 //! conflict at the arbiter. For one key window after a membership change the arbiter may differ from the earlier one,
 //! so all members must record the claim. An agent that started recently requires the same of agents that send it a
 //! claim. An earlier claim can be lost only if members in that many zones lost their memory within the window; the
-//! roster then reports the key as doubtful.
+//! roster then reports that a claim may be lost.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -46,7 +46,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Live {
+struct LiveMember {
     incarnation: u64,
     zone: String,
     part: Part,
@@ -78,7 +78,7 @@
 /// Membership of one service's pool, as observed by one process.
 #[derive(Clone, Debug)]
 pub struct Roster {
-    live: BTreeMap<String, Live>,
+    live: BTreeMap<String, LiveMember>,
     lost: Vec<Lost>,
     /// When membership last changed, or this process started.
     changed_at: u64,
@@ -94,7 +94,7 @@
         let mut live = BTreeMap::new();
         for it in seen {
             let joined_at = (it.name == me).then_some(now);
-            live.insert(it.name.to_owned(), Live::new(it, joined_at));
+            live.insert(it.name.to_owned(), LiveMember::new(it, joined_at));
         }
         Roster { live, lost: Vec::new(), changed_at: now, changes_since: now, resumed_at: None }
     }
@@ -135,7 +135,7 @@
 
     /// Whether a member joined before the current series of changes. Later claims are recorded by all members,
     /// including this process, so only claims held by old members can be lost.
-    fn is_old(&self, it: &Live) -> bool {
+    fn is_old(&self, it: &LiveMember) -> bool {
         it.joined_at.is_none_or(|at| at < self.changes_since)
     }
 
@@ -145,26 +145,26 @@
             self.mark_changed(now, window);
         }
         let Some(old) = self.live.get_mut(it.name) else {
-            let back = self
+            let position = self
                 .lost
                 .iter()
                 .position(|lost| lost.name == it.name && lost.incarnation == it.incarnation);
             // The process was wrongly regarded as dead and still has its claims.
-            if let Some(at) = back {
+            if let Some(at) = position {
                 self.lost.remove(at);
             }
-            self.live.insert(it.name.to_owned(), Live::new(it, Some(now)));
+            self.live.insert(it.name.to_owned(), LiveMember::new(it, Some(now)));
             return;
         };
         if old.incarnation == it.incarnation {
             old.part = it.part;
             return;
         }
-        let old = std::mem::replace(old, Live::new(it, Some(now)));
+        let old = std::mem::replace(old, LiveMember::new(it, Some(now)));
         self.record_loss(now, it.name, &old);
     }
 
-    fn record_loss(&mut self, now: u64, name: &str, old: &Live) {
+    fn record_loss(&mut self, now: u64, name: &str, old: &LiveMember) {
         if old.part == Part::Leaving {
             return;
         }
@@ -195,10 +195,10 @@
         }
     }
 
-    /// Whether a claim may be recorded here. `asked` is the sender's membership digest if the claim goes to all
+    /// Whether a claim may be recorded here. `sent_digest` is the sender's membership digest if the claim goes to all
     /// members, or `None` if it goes only to the holders of a settled pool.
-    pub fn admits(&self, asked: Option<u64>, now: u64, window: u64) -> bool {
-        match asked {
+    pub fn admits(&self, sent_digest: Option<u64>, now: u64, window: u64) -> bool {
+        match sent_digest {
             Some(digest) => digest == self.digest(),
             None => self.is_settled(now, window),
         }
@@ -312,8 +312,8 @@
                 missing.push(Missing { name: &it.name, zone: &it.zone });
             }
         }
-        let there = |it: &&Live| it.joined_at.is_none_or(|joined| joined < at);
-        may_be_all_holders(&missing, self.live.values().filter(there))
+        let joined_before = |it: &&LiveMember| it.joined_at.is_none_or(|joined| joined < at);
+        may_be_all_holders(&missing, self.live.values().filter(joined_before))
     }
 
     /// Members that record new claims, in rendezvous order.
@@ -329,7 +329,7 @@
 /// Whether the missing members could be all holders of one claim; `stayed` are the other members of that time.
 fn may_be_all_holders<'a, I>(missing: &[Missing<'_>], stayed: I) -> bool
 where
-    I: Iterator<Item = &'a Live>,
+    I: Iterator<Item = &'a LiveMember>,
 {
     let gone: BTreeSet<&str> = missing.iter().map(|it| it.zone).collect();
     let mut zones = gone.clone();
@@ -345,9 +345,9 @@
     enough && gone.len() >= MIN_HOLDERS.min(zones.len())
 }
 
-impl Live {
-    fn new(it: &Seen<'_>, joined_at: Option<u64>) -> Live {
+impl LiveMember {
+    fn new(it: &Seen<'_>, joined_at: Option<u64>) -> LiveMember {
         let Seen { incarnation, part, .. } = *it;
-        Live { incarnation, zone: it.zone.to_owned(), part, joined_at }
+        LiveMember { incarnation, zone: it.zone.to_owned(), part, joined_at }
     }
 }
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -1,7 +1,7 @@
 //! Maglev lookup table from a hash to a few members of a pool, with constant lookup time.
 //!
-//! The table is filled as in Maglev (Eisenbud et al., NSDI 2016): every member has its own permutation of the slots and
-//! in each turn takes the next free ones. Shares are exact to one slot, and a membership change moves few slots. Equal
+//! The table is filled as in Maglev (Eisenbud et al., NSDI 2016): every member has its own permutation of the entries and
+//! in each turn takes the next free ones. Shares are exact to one entry, and a membership change moves few entries. Equal
 //! members and weights give the same table on every machine, as no transcendental function is used.
 
 use std::hash::Hasher;
@@ -10,16 +10,16 @@
 
 use crate::{candidates::MAX_CANDIDATES, split_mix::mix};
 
-const SLOTS_PER_MEMBER: usize = 128;
-const MIN_SLOTS: usize = 1_024;
-const MAX_SLOTS: usize = 1 << 20;
-/// Members beyond this number get no slot.
+const ENTRIES_PER_MEMBER: usize = 128;
+const MIN_ENTRIES: usize = 1_024;
+const MAX_ENTRIES: usize = 1 << 20;
+/// Members beyond this number get no entry.
 const MAX_MEMBERS: usize = u16::MAX as usize;
 /// Number of turns in which members take their shares, so that they fill the table in parallel.
 const FILL_ROUNDS: usize = 64;
 /// Number of hashed lookups before distinct members are searched in order.
 const MAX_LOOKUPS: usize = 8;
-const FREE_SLOT: u16 = u16::MAX;
+const FREE_ENTRY: u16 = u16::MAX;
 
 /// A member of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -33,7 +33,7 @@
 /// The lookup table. Members are numbered by their position in the input list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Slots {
-    slots: Box<[u16]>,
+    entries: Box<[u16]>,
     count: usize,
 }
 
@@ -61,55 +61,55 @@
 }
 
 impl Slots {
-    /// Builds the table for `members`. Weights must be finite and not negative; a member with weight 0 gets no slot.
+    /// Builds the table for `members`. Weights must be finite and not negative; a member with weight 0 gets no entry.
     pub fn new(members: &[Member<'_>]) -> Slots {
         let members = &members[..members.len().min(MAX_MEMBERS)];
         let weights: Vec<f64> = members.iter().map(|it| it.weight).collect();
         let total: f64 = weights.iter().sum();
         if total <= 0.0 {
-            return Slots { slots: Box::default(), count: 0 };
+            return Slots { entries: Box::default(), count: 0 };
         }
-        let size = (members.len() * SLOTS_PER_MEMBER).clamp(MIN_SLOTS, MAX_SLOTS);
+        let size = (members.len() * ENTRIES_PER_MEMBER).clamp(MIN_ENTRIES, MAX_ENTRIES);
         let size = size.next_power_of_two();
         let shares = shares(&weights, total, size);
         let mut permutations: Vec<Permutation> =
             members.iter().map(|it| Permutation::new(it.name, size)).collect();
-        let mut slots = vec![FREE_SLOT; size].into_boxed_slice();
+        let mut entries = vec![FREE_ENTRY; size].into_boxed_slice();
         for round in 1..=FILL_ROUNDS {
             for (at, permutation) in permutations.iter_mut().enumerate() {
                 let target = (shares[at] * round).div_ceil(FILL_ROUNDS);
                 while permutation.taken < target {
-                    permutation.take(at as u16, &mut slots);
+                    permutation.take(at as u16, &mut entries);
                 }
             }
         }
-        Slots { slots, count: members.len() }
+        Slots { entries, count: members.len() }
     }
 
     /// Whether the table has no members.
     pub fn is_empty(&self) -> bool {
-        self.slots.is_empty()
+        self.entries.is_empty()
     }
 
     /// Size of the table in bytes.
     pub fn bytes(&self) -> usize {
-        size_of_val(&*self.slots)
+        size_of_val(&*self.entries)
     }
 
-    /// Number of slots of each member.
+    /// Number of entries of each member.
     pub fn counts(&self) -> Vec<usize> {
         let mut counts = vec![0; self.count];
-        for &member in &self.slots {
+        for &member in &self.entries {
             counts[usize::from(member)] += 1;
         }
         counts
     }
 
-    /// The member at slot `at`, modulo the table size.
+    /// The member at entry `at`, modulo the table size.
     #[inline]
     pub fn member(&self, at: u64) -> Option<u16> {
-        let mask = (self.slots.len() as u64).wrapping_sub(1);
-        self.slots.get((at & mask) as usize).copied()
+        let mask = (self.entries.len() as u64).wrapping_sub(1);
+        self.entries.get((at & mask) as usize).copied()
     }
 
     /// Picks up to three distinct members for `hash`. The second and third are independent of the first, so flows that
@@ -146,7 +146,7 @@
     }
 }
 
-/// Number of slots of each member, proportional to its weight; rounded by the largest remainder method.
+/// Number of entries of each member, proportional to its weight; rounded by the largest remainder method.
 fn shares(weights: &[f64], total: f64, size: usize) -> Vec<usize> {
     let exact: Vec<f64> = weights.iter().map(|it| it / total * size as f64).collect();
     let mut shares: Vec<usize> = exact.iter().map(|it| it.floor() as usize).collect();
@@ -160,7 +160,7 @@
     shares
 }
 
-/// A member's permutation of the slots: an odd step visits each slot of a power-of-two table once.
+/// A member's permutation of the entries: an odd step visits each entry of a power-of-two table once.
 struct Permutation {
     next: usize,
     step: usize,
@@ -176,12 +176,12 @@
         Permutation { next: hash as usize & (size - 1), step: step & (size - 1), taken: 0 }
     }
 
-    fn take(&mut self, member: u16, slots: &mut [u16]) {
-        let mask = slots.len() - 1;
-        while slots[self.next] != FREE_SLOT {
+    fn take(&mut self, member: u16, entries: &mut [u16]) {
+        let mask = entries.len() - 1;
+        while entries[self.next] != FREE_ENTRY {
             self.next = (self.next + self.step) & mask;
         }
-        slots[self.next] = member;
+        entries[self.next] = member;
         self.taken += 1;
     }
 }
--- a/crates/core/src/suspect.rs
+++ b/crates/core/src/suspect.rs
@@ -50,7 +50,7 @@
 pub struct Suspects {
     entries: BTreeMap<String, Suspect>,
     last_call_ms: Option<u64>,
-    quiet_until_ms: u64,
+    suppressed_until_ms: u64,
 }
 
 impl Suspects {
@@ -99,7 +99,7 @@
         let paused = self.last_call_ms.is_some_and(|it| now_ms.saturating_sub(it) > PAUSE_MS);
         self.last_call_ms = Some(now_ms);
         if paused {
-            self.quiet_until_ms = now_ms + BALANCER_GRACE_MS;
+            self.suppressed_until_ms = now_ms + BALANCER_GRACE_MS;
         }
         self.entries.retain(|name, it| version(name) == Some(it.version));
         if paused || !connected {
@@ -108,7 +108,7 @@
             }
             return Vec::new();
         }
-        if now_ms < self.quiet_until_ms {
+        if now_ms < self.suppressed_until_ms {
             return Vec::new();
         }
         let expired = self.entries.extract_if(.., |_, it| it.due_ms <= now_ms);
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -85,7 +85,7 @@
             Step::Take { .. } if input.slot => Report::Slot,
             Step::Take { .. } => Report::Full,
             Step::Run => {
-                assert!(input.local, "sent to an upstream that takes no work");
+                assert!(input.local, "sent to an upstream that accepts no work");
                 attempt(input, &mut observed)
             }
             Step::Offer { to } => {
--- a/crates/core/tests/lease.rs
+++ b/crates/core/tests/lease.rs
@@ -9,7 +9,7 @@
 const KEEPERS: usize = 3;
 
 #[derive(Clone, Copy, Debug)]
-enum WriteFate {
+enum Delivery {
     /// The write takes effect and its response arrives.
     Delivered,
     /// The write takes effect, but its response is lost.
@@ -27,23 +27,23 @@
     delay_ms: u16,
     /// Delay between the effect and the arrival of the response.
     response_ms: u16,
-    fate: WriteFate,
+    delivery: Delivery,
 }
 
 impl Arbitrary for KeeperAction {
     fn arbitrary(g: &mut Gen) -> KeeperAction {
         let long = u8::arbitrary(g) % 8 == 0;
-        let fate = match u8::arbitrary(g) % 6 {
-            0 => WriteFate::ResponseLost,
-            1 => WriteFate::WriteLost,
-            _ => WriteFate::Delivered,
+        let delivery = match u8::arbitrary(g) % 6 {
+            0 => Delivery::ResponseLost,
+            1 => Delivery::WriteLost,
+            _ => Delivery::Delivered,
         };
         KeeperAction {
             keeper: u8::arbitrary(g) % KEEPERS as u8,
             pause_ms: u16::arbitrary(g) % if long { 15_000 } else { 1_000 },
             delay_ms: u16::arbitrary(g) % if long { 15_000 } else { 200 },
             response_ms: u16::arbitrary(g) % if long { 15_000 } else { 200 },
-            fate,
+            delivery,
         }
     }
 }
@@ -61,7 +61,7 @@
     attempt: Attempt,
     due_ms: u64,
     response_ms: u64,
-    fate: WriteFate,
+    delivery: Delivery,
     /// Set once the write is processed: whether it was accepted, and the stored state afterwards.
     response: Option<(bool, Stored)>,
 }
@@ -116,7 +116,7 @@
             assert!(intact || !self.conditional, "a former holder wrote");
             return;
         }
-        if matches!(pending.fate, WriteFate::WriteLost) {
+        if matches!(pending.delivery, Delivery::WriteLost) {
             return;
         }
         let stored = &mut self.stored[usize::from(number)];
@@ -125,7 +125,7 @@
             self.revision += 1;
             *stored = Stored { version: self.revision, term: pending.attempt.term.clone() };
         }
-        if matches!(pending.fate, WriteFate::Delivered) {
+        if matches!(pending.delivery, Delivery::Delivered) {
             pending.response = Some((accepted, stored.clone()));
             pending.due_ms += pending.response_ms;
             self.pending_writes.push(pending);
@@ -155,9 +155,15 @@
         if let Some(attempt) = attempt {
             let due_ms = self.now_ms + u64::from(action.delay_ms);
             let response_ms = u64::from(action.response_ms);
-            let fate = action.fate;
-            let pending =
-                PendingWrite { keeper: index, attempt, due_ms, response_ms, fate, response: None };
+            let delivery = action.delivery;
+            let pending = PendingWrite {
+                keeper: index,
+                attempt,
+                due_ms,
+                response_ms,
+                delivery,
+                response: None,
+            };
             self.pending_writes.push(pending);
         }
     }
@@ -180,7 +186,7 @@
         world.advance(world.now_ms + 60_000);
         for _ in 0..60 {
             for keeper in 0..KEEPERS as u8 {
-                let no_faults = KeeperAction { keeper, pause_ms: 100, delay_ms: 5, response_ms: 0, fate: WriteFate::Delivered };
+                let no_faults = KeeperAction { keeper, pause_ms: 100, delay_ms: 5, response_ms: 0, delivery: Delivery::Delivered };
                 world.apply(no_faults);
             }
         }
@@ -224,7 +230,7 @@
         pause_ms: 0,
         delay_ms: 5,
         response_ms: 0,
-        fate: WriteFate::Delivered,
+        delivery: Delivery::Delivered,
     };
     world.apply(first);
     world.advance(1_000);
--- a/crates/core/tests/roster.rs
+++ b/crates/core/tests/roster.rs
@@ -497,7 +497,7 @@
 }
 
 #[test]
-fn a_newly_started_pool_is_not_doubtful() {
+fn a_newly_started_pool_reports_no_lost_claim() {
     let key = ClaimKey { service: ServiceId(7), key: "k".to_owned() };
     let seen = |name| Seen { name, incarnation: 1, zone: "a", part: Part::Member };
     let mut roster = Roster::new("one", 0, &[]);
@@ -507,7 +507,7 @@
 }
 
 #[test]
-fn one_death_in_a_new_pool_makes_no_key_doubtful() {
+fn one_death_in_a_new_pool_loses_no_claim() {
     // A single death can't have removed all holders of a claim.
     let mut pool = Pool::new_unsettled(DisabledRule::Nothing);
     let names = pool.names();
--- a/crates/core/tests/slots.rs
+++ b/crates/core/tests/slots.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn removing_a_member_moves_few_slots_of_others() {
+fn removing_a_member_moves_few_entries_of_others() {
     for count in [4, 7, 30, 300] {
         let names = names(count);
         let all = equal(&names);
@@ -52,7 +52,7 @@
         let ideal = 1.0 - 1.0 / count as f64;
         assert!(
             share > ideal - 0.15,
-            "{count} members: {share} of the slots stayed, ideal {ideal}"
+            "{count} members: {share} of the entries stayed, ideal {ideal}"
         );
     }
 }
--- a/crates/core/tests/suspect.rs
+++ b/crates/core/tests/suspect.rs
@@ -62,9 +62,9 @@
     assert!(suspects.due(resumed, true, |_| Some(OLD)).is_empty());
     // The process detects only now that its peers closed their links during the pause.
     suspects.suspect("a", OLD, resumed + AGENT_GRACE_MS, Verdict::Dead);
-    let quiet = resumed + BALANCER_GRACE_MS;
-    assert!(tick_until(&mut suspects, resumed + 250, quiet - 250, OLD).is_empty());
-    assert_eq!(tick_until(&mut suspects, quiet, quiet, OLD), ["a"]);
+    let suppressed_until = resumed + BALANCER_GRACE_MS;
+    assert!(tick_until(&mut suspects, resumed + 250, suppressed_until - 250, OLD).is_empty());
+    assert_eq!(tick_until(&mut suspects, suppressed_until, suppressed_until, OLD), ["a"]);
 }
 
 #[test]
--- a/crates/core/tests/system/work.rs
+++ b/crates/core/tests/system/work.rs
@@ -424,11 +424,11 @@
         self.job_after(Job::Upstream { at, req });
     }
 
-    /// Runs a request at the upstream, independently of the agent's fate.
+    /// Runs a request at the upstream, even if the agent dies.
     fn upstream(&mut self, at: TransactionRef, req: &SimRequest) {
-        let dice = if self.faults_off { 100 } else { self.rng.random_range(0..100) };
+        let draw = if self.faults_off { 100 } else { self.rng.random_range(0..100) };
         let ran = req.request;
-        let (report, delay) = match dice {
+        let (report, delay) = match draw {
             0..8 => (Report::Refused { retry_ms: 0 }, 1),
             8..10 => (Report::Consumed { retry_ms: 0 }, 1),
             10..12 => (Report::Lost, 1),
@@ -436,7 +436,7 @@
             16..20 => (Report::Head, 3_500),
             _ => (Report::Head, self.rng.random_range(3..60)),
         };
-        if dice >= 12 && !req.idempotent {
+        if draw >= 12 && !req.idempotent {
             let key = req.key.clone().unwrap_or_else(|| format!("caller-{}", req.caller));
             let text = format!("{ran:x} runs at {}, {report:?} after {delay} ms", name(at.agent));
             self.record_trace(&key, text);
