--- a/crates/core/src/slots.rs
+++ b/crates/core/src/slots.rs
@@ -1,8 +1,8 @@
 //! Maglev lookup table from a hash to a few members of a pool, with constant lookup time.
 //!
-//! The table is filled as in Maglev (Eisenbud et al., NSDI 2016): every member has its own permutation of the entries and
-//! in each turn takes the next free ones. Shares are exact to one entry, and a membership change moves few entries. Equal
-//! members and weights give the same table on every machine, as no transcendental function is used.
+//! The table is filled as in Maglev (Eisenbud et al., NSDI 2016): every member has its own permutation of the entries
+//! and in each turn takes the next free ones. Shares are exact to one entry, and a membership change moves few entries.
+//! Equal members and weights give the same table on every machine, as no transcendental function is used.
 
 use std::hash::Hasher;
 
