--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -41,7 +41,7 @@
     Forged,
     /// The connection ID has an unknown key epoch.
     Epoch,
-    /// The flow belongs to a service that does not use this address.
+    /// The flow belongs to a service that neither uses this address nor used it recently.
     WrongService,
     /// The service has no agent.
     NoUpstream,
