--- a/crates/daemon/src/cmd/agent.rs
+++ b/crates/daemon/src/cmd/agent.rs
@@ -95,7 +95,7 @@
                 return;
             },
         }
-        control.applied(*in_force.borrow_and_update());
+        control.set_applied(*in_force.borrow_and_update());
         control.set_epochs(node.epochs());
         control.set_load(Load { flows: node.flows(), busy: node.work.busy() });
         let now = node.state();
--- a/crates/daemon/src/cmd/balance.rs
+++ b/crates/daemon/src/cmd/balance.rs
@@ -50,7 +50,7 @@
 
     let mut fenced = control.fenced();
     tokio::select! {
-        () = relay.follow(&control) => {}
+        () = relay.run(&control) => {}
         () = stop.cancelled() => {}
         _ = fenced.wait_for(|it| *it) => {}
     }
@@ -58,7 +58,7 @@
     stop.cancel();
     event::emit(Id::ProcessStopping, About::new(), "relaying until no more datagrams arrive");
     control.leave().await;
-    relay.finish(&control).await;
+    relay.drain(&control).await;
     event::emit(Id::ProcessStopped, About::new(), "stopped");
     Ok(())
 }
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -1,4 +1,4 @@
-//! Control plane of the process: what it knows of the fleet and its configuration, and what it tells others.
+//! Control plane of the process: membership, replicated configuration, and links to other processes.
 
 mod join;
 mod link;
@@ -47,42 +47,42 @@
     tls::Tls,
 };
 
-/// Longest wait for a connection to another agent.
+/// Limit for connecting to another agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Accepted links for requests that may wait for the agent to take them.
-const ACCEPTED: usize = 64;
-/// Least time between two snapshots.
-const PUBLISH_GAP: Duration = Duration::from_millis(10);
-/// How much of the time building snapshots may take, as one part in so many.
-const PUBLISH_SHARE: u32 = 20;
-/// Longest wait for the lease to be given back, and for peers to be told of the leaving.
+/// Capacity of the queue of accepted handover links.
+const MAX_ACCEPTED_LINKS: usize = 64;
+/// Minimum interval between snapshots.
+const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(10);
+/// Pause after building a snapshot, as a multiple of the time that it took.
+const PUBLISH_DELAY_FACTOR: u32 = 20;
+/// Limit for releasing the lease, and for sending the last messages to peers.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between looks whether everything was written.
-const FLUSH_STEP: Duration = Duration::from_millis(20);
+/// Interval between checks for empty send queues.
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A connection to another process of the system, in frames.
+/// A framed TLS connection to another process.
 pub(crate) type Stream = Frames<TlsStream<TcpStream>>;
 
-/// What the process is.
+/// Role of the process.
 #[derive(Clone, Debug)]
 #[expect(clippy::large_enum_variant, reason = "there is one in each process")]
 pub(crate) enum Role {
     /// A balancer.
     Balancer,
-    /// An agent, as it announces itself.
+    /// An agent, with its initial member data.
     Agent(Agent),
 }
 
-/// Load of an agent, a hint for reports.
+/// Load of an agent, for reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Load {
-    /// Flows that it holds.
+    /// Open flows.
     pub(crate) flows: u32,
-    /// Slots in use.
+    /// Requests in progress.
     pub(crate) busy: u32,
 }
 
-/// A link that another agent opened to hand over requests; its greeting has been read.
+/// A handover link opened by another agent, with its hello message already read.
 pub(crate) struct Accepted {
     /// Name of the agent that opened it.
     pub(crate) peer: String,
@@ -96,8 +96,7 @@
     inner: Arc<Inner>,
 }
 
-/// What the tasks of the control plane share. Locks are taken in the order of their fields: `dials`, `reports` and
-/// `state`; most paths take one only.
+/// Shared by the tasks of the control plane. Lock order: `dials`, `reports`, `state`.
 pub(crate) struct Inner {
     pub(crate) common: Common,
     pub(crate) tls: Tls,
@@ -110,29 +109,29 @@
     accepted_tx: mpsc::Sender<Accepted>,
     accepted: Mutex<Option<mpsc::Receiver<Accepted>>>,
     dirty: Notify,
-    /// Asks for a sign of life at once.
-    pub(crate) beat: Notify,
-    /// Asks for a report at once.
+    /// Triggers a heartbeat.
+    pub(crate) heartbeat: Notify,
+    /// Triggers a report.
     pub(crate) report: Notify,
-    /// Whether the platform failed to answer last time.
-    lost: AtomicBool,
-    /// Ends all tasks.
+    /// Whether the last platform call failed.
+    platform_unreachable: AtomicBool,
+    /// Stops all tasks.
     pub(crate) stop: CancellationToken,
-    /// Asks for the lease to be given back.
+    /// Triggers the release of the lease.
     pub(crate) leaving: CancellationToken,
-    /// States that it was given back.
+    /// Cancelled once the lease is released.
     pub(crate) released: CancellationToken,
 }
 
 impl Control {
-    /// Starts the control plane: listens, joins the fleet and keeps the snapshot up to date.
+    /// Starts the control plane: listens, joins the fleet and publishes snapshots.
     pub(crate) async fn start(common: &Common, role: Role) -> anyhow::Result<Control> {
         let address = common.control;
         let listener = TcpListener::bind(address)
             .await
-            .with_context(|| format!("listen for other processes on {address}"))?;
+            .with_context(|| format!("listen on the control address {address}"))?;
         let inner = Arc::new(Inner::new(common, &role)?);
-        inner.changed();
+        inner.request_publish();
         tokio::spawn(publish(Arc::clone(&inner)));
         tokio::spawn(link::listen(Arc::clone(&inner), listener));
         tokio::spawn(tick::run(Arc::clone(&inner)));
@@ -147,18 +146,18 @@
         Ok(Control { inner })
     }
 
-    /// Receiver of every new snapshot.
+    /// Subscribes to snapshots.
     pub(crate) fn watch(&self) -> watch::Receiver<Arc<Snapshot>> {
         self.inner.snapshot.subscribe()
     }
 
-    /// Whether the configuration was complete once: before that, nothing may be served.
+    /// Whether a complete configuration was received; nothing may be served before.
     pub(crate) fn synced(&self) -> bool {
         self.inner.state.lock().view.synced()
     }
 
-    /// States which revision the data path has put in force.
-    pub(crate) fn applied(&self, revision: u64) {
+    /// Sets the revision that is in force in the data path.
+    pub(crate) fn set_applied(&self, revision: u64) {
         let mut state = self.inner.state.lock();
         if state.applied == revision {
             return;
@@ -166,30 +165,30 @@
         state.applied = revision;
         drop(state);
         event::emit_local(Id::ConfigInForce, About::new(), &format!("revision {revision}"));
-        self.inner.beat.notify_one();
+        self.inner.heartbeat.notify_one();
         self.inner.report.notify_one();
     }
 
     /// Announces a new state of the agent.
     pub(crate) fn set_state(&self, state: AgentState) {
         self.inner.state.lock().set_agent_state(state);
-        self.inner.changed();
+        self.inner.request_publish();
     }
 
-    /// Sets the load that is reported.
+    /// Sets the load to report.
     pub(crate) fn set_load(&self, load: Load) {
         self.inner.state.lock().load = load;
     }
 
-    /// Sets the key epochs of the flows, which are reported: a key may go once no flow has its epoch.
+    /// Sets the key epochs of the open flows to report. A key can be removed once no flow uses its epoch.
     pub(crate) fn set_epochs(&self, epochs: Vec<u8>) {
         self.inner.state.lock().epochs = epochs;
     }
 
-    /// Announces that the process leaves, gives back its lease, and waits until peers have been told.
+    /// Announces that the process is leaving, releases its lease, and waits until the announcement is sent.
     pub(crate) async fn leave(&self) {
         self.inner.state.lock().set_leaving();
-        self.inner.changed();
+        self.inner.request_publish();
         self.inner.leaving.cancel();
         let _ = timeout(LEAVE_TIMEOUT, self.inner.released.cancelled()).await;
         let _ = timeout(LEAVE_TIMEOUT, self.flush()).await;
@@ -197,7 +196,7 @@
 
     async fn flush(&self) {
         loop {
-            sleep(FLUSH_STEP).await;
+            sleep(FLUSH_POLL_INTERVAL).await;
             let state = self.inner.state.lock();
             let empty = |it: &peer::Link| it.outbox.capacity() == it.outbox.max_capacity();
             if state.links.values().all(empty) {
@@ -206,17 +205,17 @@
         }
     }
 
-    /// True once a newer process took this one's name: then this one must stop.
+    /// True once a newer process uses the same name; this process must then stop.
     pub(crate) fn fenced(&self) -> watch::Receiver<bool> {
         self.inner.fenced.subscribe()
     }
 
-    /// Links that other agents open to hand over requests; none at the second call.
+    /// Receiver of handover links opened by other agents; `None` from the second call.
     pub(crate) fn accepted(&self) -> Option<mpsc::Receiver<Accepted>> {
         self.inner.accepted.lock().take()
     }
 
-    /// Opens a link to another agent, to hand over requests.
+    /// Opens a handover link to another agent.
     pub(crate) async fn dial(&self, peer: &str, address: SocketAddr) -> anyhow::Result<Stream> {
         let connect = async {
             let stream = TcpStream::connect(address).await?;
@@ -232,7 +231,7 @@
             .with_context(|| format!("connect to {peer} at {address}"))
     }
 
-    /// State of the control plane, for operators.
+    /// State of the control plane for the operator address.
     pub(crate) fn status(&self) -> Value {
         let state = self.inner.state.lock();
         let peers: BTreeSet<&str> = state.links.values().map(|it| it.peer.as_str()).collect();
@@ -242,7 +241,7 @@
         };
         json!({
             "name": state.own.name(),
-            "state": state::state_of(&state.own.role),
+            "state": state::state_name(&state.own.role),
             "synced": state.view.synced(),
             "revision": state.view.revision(),
             "applied": state.applied,
@@ -250,7 +249,7 @@
             "links": peers,
             "lease": lease,
             "homes": homes,
-            "platform": !self.inner.lost.load(Ordering::Relaxed),
+            "platform": !self.inner.platform_unreachable.load(Ordering::Relaxed),
         })
     }
 }
@@ -259,7 +258,7 @@
     fn new(common: &Common, role: &Role) -> anyhow::Result<Inner> {
         let (snapshot, _) = watch::channel(Arc::default());
         let (fenced, _) = watch::channel(false);
-        let (accepted_tx, accepted) = mpsc::channel(ACCEPTED);
+        let (accepted_tx, accepted) = mpsc::channel(MAX_ACCEPTED_LINKS);
         Ok(Inner {
             common: common.clone(),
             tls: Tls::new(&common.fleet)?,
@@ -272,35 +271,35 @@
             accepted_tx,
             accepted: Mutex::new(Some(accepted)),
             dirty: Notify::new(),
-            beat: Notify::new(),
+            heartbeat: Notify::new(),
             report: Notify::new(),
-            lost: AtomicBool::new(false),
+            platform_unreachable: AtomicBool::new(false),
             stop: CancellationToken::new(),
             leaving: CancellationToken::new(),
             released: CancellationToken::new(),
         })
     }
 
-    /// Asks for a new snapshot.
-    pub(crate) fn changed(&self) {
+    /// Triggers a new snapshot.
+    pub(crate) fn request_publish(&self) {
         self.dirty.notify_one();
     }
 
-    /// Takes note of a call to the platform that failed.
-    pub(crate) fn platform_lost(&self, e: &PlatformError) {
-        if !self.lost.swap(true, Ordering::Relaxed) {
+    /// Records a failed platform call; emits an event on the first failure.
+    pub(crate) fn platform_failed(&self, e: &PlatformError) {
+        if !self.platform_unreachable.swap(true, Ordering::Relaxed) {
             event::emit(Id::PlatformLost, About::new(), &e.to_string());
         }
     }
 
-    /// Takes note of a call to the platform that succeeded.
-    pub(crate) fn platform_back(&self) {
-        if self.lost.swap(false, Ordering::Relaxed) {
-            event::emit(Id::PlatformBack, About::new(), "the platform answers again");
+    /// Records a successful platform call; emits an event after an outage.
+    pub(crate) fn platform_recovered(&self) {
+        if self.platform_unreachable.swap(false, Ordering::Relaxed) {
+            event::emit(Id::PlatformBack, About::new(), "the platform is reachable again");
         }
     }
 
-    /// Announces the lease that is held; returns the one announced before.
+    /// Announces the held lease; returns the previously announced one.
     pub(crate) fn set_lease(&self, held: Option<u8>) -> Option<u8> {
         let mut state = self.state.lock();
         let MemberRole::Balancer { lease: before, .. } = state.own.role else {
@@ -324,21 +323,21 @@
             event::emit(Id::ConfigRefused, About::new(), &fault.to_string());
         }
         if fenced && !self.fenced.send_replace(true) {
-            event::emit(Id::Fenced, About::new(), "a newer process has this name");
+            event::emit(Id::Fenced, About::new(), "a newer process uses this name");
         }
         self.snapshot.send_if_modified(|it| {
-            let grows = check(Invariant::VersionGrows, snapshot.revision >= it.revision);
-            let news = grows && snapshot != **it;
-            if news {
+            let not_older = check(Invariant::VersionGrows, snapshot.revision >= it.revision);
+            let changed = not_older && snapshot != **it;
+            if changed {
                 *it = Arc::new(snapshot);
             }
-            news
+            changed
         });
         report::note(self);
     }
 }
 
-/// Publishes a snapshot after changes, not more often than the cost of building one allows.
+/// Publishes a snapshot after changes; the rate is limited by the time that building one takes.
 async fn publish(inner: Arc<Inner>) {
     let mut history = BTreeMap::new();
     loop {
@@ -346,18 +345,18 @@
             () = inner.dirty.notified() => {}
             () = inner.stop.cancelled() => return,
         }
-        let began = Instant::now();
+        let started = Instant::now();
         inner.publish();
         let snapshot = inner.snapshot.borrow().clone();
         if let Some(pools) = wanted_pools(&inner, &snapshot, &mut history) {
             inner.update_pools(pools);
         }
-        sleep((began.elapsed() * PUBLISH_SHARE).max(PUBLISH_GAP)).await;
+        sleep((started.elapsed() * PUBLISH_DELAY_FACTOR).max(MIN_PUBLISH_INTERVAL)).await;
     }
 }
 
-/// Pools whose agents an agent wants to know: its own, and all pools that a service had which its own pool ever served.
-/// Requests on the flows of such a service go to its present pool, and former pools remember what ran.
+/// Pools that an agent subscribes to: its own, and all current and former pools of the services that its pool served.
+/// Requests of these services go to the current pool, and former pools keep the outcomes of earlier requests.
 fn wanted_pools(
     inner: &Inner,
     snapshot: &Snapshot,
@@ -369,10 +368,10 @@
     };
     let mut pools = BTreeSet::from([own.clone()]);
     for entry in snapshot.services.values() {
-        let had = history.entry(entry.name.clone()).or_default();
-        had.insert(entry.spec.pool.clone());
-        if had.contains(&own) {
-            pools.extend(had.iter().cloned());
+        let pools_of_service = history.entry(entry.name.clone()).or_default();
+        pools_of_service.insert(entry.spec.pool.clone());
+        if pools_of_service.contains(&own) {
+            pools.extend(pools_of_service.iter().cloned());
         }
     }
     Some(pools.into_iter().collect())
--- a/crates/daemon/src/control/join.rs
+++ b/crates/daemon/src/control/join.rs
@@ -1,4 +1,4 @@
-//! Which links a process opens: to the balancers it should be linked to, and at first to whomever it can find.
+//! Opens and closes the links of this process, and discovers balancers through the leases in the platform.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,49 +23,49 @@
     control::{
         Inner, link,
         peer::{LinkId, LinkKind},
-        state::{State, as_peers},
+        state::{State, mesh_peers},
         tick,
     },
     event::{self, About, Id},
 };
 
-/// Wait before an address is tried again.
-const RETRY_MS: u64 = 1_000;
-/// Wait before a link that ended is opened again.
-const REOPEN_MS: u64 = 200;
-/// For how long an agent chooses other balancers than one that it could not reach.
+/// Delay before a failed dial is retried.
+const RETRY_DELAY_MS: u64 = 1_000;
+/// Delay before a closed link is reopened.
+const REOPEN_DELAY_MS: u64 = 200;
+/// How long an agent avoids a balancer that it failed to reach.
 const AVOID_MS: u64 = 5_000;
-/// For how long an address that was tried is remembered.
-const KEEP_MS: u64 = 60_000;
-/// Addresses that are tried at once by a process without a link.
-const TRIES: usize = 3;
-/// Time between attempts to reach a balancer that was found dead.
-const REVIVE_MS: u64 = 5_000;
-/// Time between looks for other processes while there is no link.
-const SEARCH: Duration = Duration::from_secs(1);
-/// Longest time between them while the platform does not answer.
-const SEARCH_MAX: Duration = Duration::from_secs(5);
-/// Time between looks for holders of leases that are not linked to this part of the fleet.
-const STITCH: Duration = Duration::from_secs(30);
-/// The same shortly after the start.
-const STITCH_FIRST: Duration = Duration::from_secs(5);
-/// What counts as shortly after the start.
-const FIRST_MS: u64 = 60_000;
+/// How long the state of an address is kept after its last use.
+const DIAL_STATE_TTL_MS: u64 = 60_000;
+/// Dials that a process without a link starts at once.
+const MAX_JOIN_DIALS: usize = 3;
+/// Interval between dials to balancers that are down.
+const DOWN_DIAL_INTERVAL_MS: u64 = 5_000;
+/// Interval between discoveries while there is no link.
+const DISCOVERY_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest interval between discoveries while the platform does not respond.
+const MAX_DISCOVERY_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval between discoveries by a lease holder, which reconnect a partitioned fleet.
+const HEAL_INTERVAL: Duration = Duration::from_secs(30);
+/// The same within [`STARTUP_MS`].
+const STARTUP_HEAL_INTERVAL: Duration = Duration::from_secs(5);
+/// Duration of the startup phase.
+const STARTUP_MS: u64 = 60_000;
 
-/// State of the attempts to reach an address.
+/// Dial state of one address.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Dial {
-    busy: bool,
-    after_ms: u64,
-    avoid_ms: u64,
+    in_progress: bool,
+    retry_at_ms: u64,
+    avoid_until_ms: u64,
 }
 
-/// Addresses that were tried, and those by which a process without a link joins.
+/// Dial state by address, and the addresses that discovery found.
 #[derive(Debug, Default)]
 pub(crate) struct Dials {
     tried: BTreeMap<SocketAddr, Dial>,
-    found: BTreeSet<SocketAddr>,
-    revived_ms: u64,
+    discovered: BTreeSet<SocketAddr>,
+    last_down_dial_ms: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -80,46 +80,50 @@
     }
 }
 
-/// Looks for other processes in the platform's leases: often while there is no link, else rarely and only if this
-/// process holds a lease, to join parts of the fleet that do not know of each other.
+/// Discovers balancers through the platform's leases: frequently while there is no link; otherwise only lease holders do
+/// so, at a low rate, to heal a partition of the fleet.
 pub(crate) async fn run(inner: Arc<Inner>) {
-    let mut wait = SEARCH;
+    let mut wait = DISCOVERY_INTERVAL;
     loop {
-        let (alone, holder) = {
+        let (isolated, holds_lease) = {
             let state = inner.state.lock();
-            let holder = matches!(state.own.role, Role::Balancer { lease: Some(_), .. });
-            (!has_balancer(&state), holder)
+            let holds_lease = matches!(state.own.role, Role::Balancer { lease: Some(_), .. });
+            (!has_balancer_link(&state), holds_lease)
         };
-        let pause = match (alone, holder) {
+        let delay = match (isolated, holds_lease) {
             (true, _) => {
-                wait = if inner.search().await { SEARCH } else { (wait * 2).min(SEARCH_MAX) };
+                wait = if inner.discover().await {
+                    DISCOVERY_INTERVAL
+                } else {
+                    (wait * 2).min(MAX_DISCOVERY_INTERVAL)
+                };
                 wait
             }
             (false, true) => {
-                inner.search().await;
-                if now_ms() < FIRST_MS { STITCH_FIRST } else { STITCH }
+                inner.discover().await;
+                if now_ms() < STARTUP_MS { STARTUP_HEAL_INTERVAL } else { HEAL_INTERVAL }
             }
-            (false, false) => SEARCH,
+            (false, false) => DISCOVERY_INTERVAL,
         };
         let jitter = rand::rng().random_range(0.75..1.25);
         tokio::select! {
-            () = sleep(pause.mul_f64(jitter)) => {}
+            () = sleep(delay.mul_f64(jitter)) => {}
             () = inner.stop.cancelled() => return,
         }
     }
 }
 
-fn has_balancer(state: &State) -> bool {
+fn has_balancer_link(state: &State) -> bool {
     state.links.values().any(|it| it.kind != LinkKind::Agent)
 }
 
 impl Inner {
-    /// Reads the leases for addresses of balancers; false if there was none.
-    async fn search(&self) -> bool {
+    /// Reads the addresses of balancers from the leases. Returns false if there are none or the platform call failed.
+    async fn discover(&self) -> bool {
         let Ok(list) = self.platform.list(Kind::Lease).await else {
             return false;
         };
-        let mut found = BTreeSet::new();
+        let mut discovered = BTreeSet::new();
         for object in list.items {
             if !object.name.starts_with(LEASE_PREFIX) {
                 continue;
@@ -128,28 +132,30 @@
                 continue;
             };
             if let Ok(address) = lease.control.parse() {
-                found.insert(address);
+                discovered.insert(address);
             }
         }
-        found.remove(&self.common.control);
-        let somebody = !found.is_empty();
-        self.dials.lock().found = found;
-        somebody
+        discovered.remove(&self.common.control);
+        let any = !discovered.is_empty();
+        self.dials.lock().discovered = discovered;
+        any
     }
 
-    /// Opens the links that are missing, and ends those that are no longer needed.
-    pub(crate) fn dial_wanted(self: &Arc<Self>) {
+    /// Opens missing links and closes surplus ones.
+    pub(crate) fn open_missing_links(self: &Arc<Self>) {
         let now = now_ms();
         let mut dials = self.dials.lock();
         let mut state = self.state.lock();
-        let (wanted, mut targets) = match state.is_agent() {
+        let (desired, mut targets) = match state.is_agent() {
             true => agent_targets(&state, &dials, now),
             false => balancer_targets(&state, &mut dials, now),
         };
-        end_surplus(&mut state, &wanted);
-        dials.tried.retain(|_, it| it.busy || now < it.avoid_ms.max(it.after_ms) + KEEP_MS);
-        if !has_balancer(&state) {
-            targets.extend(self.join_targets(&dials));
+        close_surplus_links(&mut state, &desired);
+        dials.tried.retain(|_, it| {
+            it.in_progress || now < it.avoid_until_ms.max(it.retry_at_ms) + DIAL_STATE_TTL_MS
+        });
+        if !has_balancer_link(&state) {
+            targets.extend(self.discovery_targets(&dials));
         }
         drop(state);
         for target in targets {
@@ -157,66 +163,67 @@
                 continue;
             }
             let dial = dials.tried.entry(target.address).or_default();
-            if dial.busy || now < dial.after_ms {
+            if dial.in_progress || now < dial.retry_at_ms {
                 continue;
             }
-            dial.busy = true;
-            tokio::spawn(dial_one(Arc::clone(self), target));
+            dial.in_progress = true;
+            tokio::spawn(dial_target(Arc::clone(self), target));
         }
         drop(dials);
-        self.update_homes();
+        self.announce_homes();
     }
 
-    /// Some addresses at which others may be found.
-    fn join_targets(&self, dials: &Dials) -> Vec<Target> {
-        let mut addresses: BTreeSet<SocketAddr> = dials.found.clone();
+    /// A random selection of discovered and configured addresses.
+    fn discovery_targets(&self, dials: &Dials) -> Vec<Target> {
+        let mut addresses: BTreeSet<SocketAddr> = dials.discovered.clone();
         addresses.extend(&self.common.peers);
         let mut addresses: Vec<SocketAddr> = addresses.into_iter().collect();
         addresses.shuffle(&mut rand::rng());
-        addresses.truncate(TRIES);
+        addresses.truncate(MAX_JOIN_DIALS);
         addresses.into_iter().map(|address| Target { address, name: None }).collect()
     }
 
-    /// Takes note of a link that is up.
-    pub(crate) fn linked(&self, id: LinkId, peer: &str) {
+    /// Reports a new link and updates the announcement.
+    pub(crate) fn on_link_up(&self, id: LinkId, peer: &str) {
         event::emit(Id::LinkUp, About::new(), &format!("link {id} to {peer}"));
-        self.update_homes();
-        self.beat.notify_one();
+        self.announce_homes();
+        self.heartbeat.notify_one();
     }
 
-    /// Takes note of a link that is down.
-    pub(crate) fn unlinked(&self, id: LinkId, peer: &str, why: &str) {
+    /// Reports a closed link and, if this process monitors the peer, suspects it.
+    pub(crate) fn on_link_down(&self, id: LinkId, peer: &str, why: &str) {
         event::emit(Id::LinkDown, About::new(), &format!("link {id} to {peer}: {why}"));
         let mut state = self.state.lock();
         let Some(link) = state.links.remove(&id) else {
             return;
         };
-        if state.linked(peer) {
+        if state.has_link(peer) {
             return;
         }
-        state.homed.remove(peer);
+        state.linked_agents.remove(peer);
         let member = state.view.member(peer).filter(|it| !it.is_down());
-        let missed = member.filter(|it| !link.ended && !tick::watched_elsewhere(&state, it));
-        if let Some(version) = missed.map(|it| it.version) {
-            let (grace, verdict) = tick::sentence(link.kind, link.silent);
+        let monitored =
+            member.filter(|it| !link.closing && !tick::is_monitored_elsewhere(&state, it));
+        if let Some(version) = monitored.map(|it| it.version) {
+            let (grace, verdict) = tick::grace_and_verdict(link.kind, link.timed_out);
             state.suspects.suspect(peer, version, now_ms() + grace, verdict);
         }
         drop(state);
-        self.update_homes();
+        self.announce_homes();
     }
 
-    /// Announces the balancers that this agent is linked to, the one that reports about it first. Their zones decide
-    /// that, and may become known only after the links are up.
-    fn update_homes(&self) {
+    /// Announces the balancers that this agent is linked to, starting with the one that reports for it. The order depends
+    /// on their zones, which may be received only after the links are up.
+    fn announce_homes(&self) {
         let mut state = self.state.lock();
         if !state.is_agent() {
             return;
         }
         let alive = state.balancers();
-        let ranked = mesh::homes(state.own.name(), &self.common.place.zone, &as_peers(&alive));
+        let ranked = mesh::homes(state.own.name(), &self.common.place.zone, &mesh_peers(&alive));
         let mut homes: Vec<String> = Vec::new();
         for name in ranked {
-            if state.linked(name) {
+            if state.has_link(name) {
                 homes.push(name.to_owned());
             }
         }
@@ -234,12 +241,11 @@
         let changed = state.own.version != before;
         drop(state);
         if changed {
-            self.changed();
+            self.request_publish();
         }
     }
 
-    /// Tells the balancers which pools this agent wants to know: its own, and those of services that its own pool ever
-    /// served, because requests on their flows go there.
+    /// Subscribes to the given pools at all linked balancers.
     pub(crate) fn update_pools(&self, pools: Vec<String>) {
         let mut state = self.state.lock();
         if state.pools == pools {
@@ -254,18 +260,18 @@
     }
 }
 
-async fn dial_one(inner: Arc<Inner>, target: Target) {
+async fn dial_target(inner: Arc<Inner>, target: Target) {
     let result = link::open(Arc::clone(&inner), target.address).await;
     let now = now_ms();
     let mut dials = inner.dials.lock();
     let dial = dials.tried.entry(target.address).or_default();
-    dial.busy = false;
+    dial.in_progress = false;
     match &result {
-        Ok(()) => dial.after_ms = now + REOPEN_MS,
+        Ok(()) => dial.retry_at_ms = now + REOPEN_DELAY_MS,
         Err(e) => {
-            tracing::debug!("open a link to {}: {e:#}", target.address);
-            dial.after_ms = now + RETRY_MS;
-            dial.avoid_ms = now + AVOID_MS;
+            tracing::debug!("failed to open a link to {}: {e:#}", target.address);
+            dial.retry_at_ms = now + RETRY_DELAY_MS;
+            dial.avoid_until_ms = now + AVOID_MS;
         }
     }
     drop(dials);
@@ -277,12 +283,12 @@
 impl Inner {
     fn suspect_unreachable(&self, name: &str) {
         let mut state = self.state.lock();
-        if state.is_agent() || state.linked(name) {
+        if state.is_agent() || state.has_link(name) {
             return;
         }
         let version = state.view.member(name).filter(|it| !it.is_down()).map(|it| it.version);
         if let Some(version) = version {
-            let (grace, verdict) = tick::sentence(LinkKind::Mesh, false);
+            let (grace, verdict) = tick::grace_and_verdict(LinkKind::Mesh, false);
             state.suspects.suspect(name, version, now_ms() + grace, verdict);
         }
     }
@@ -290,67 +296,67 @@
 
 fn agent_targets(state: &State, dials: &Dials, now: u64) -> (Vec<String>, Vec<Target>) {
     let mut alive = state.balancers();
-    let avoid = |it: &SocketAddr| dials.tried.get(it).is_some_and(|dial| now < dial.avoid_ms);
-    alive.retain(|it| state.linked(&it.name) || !avoid(&it.control));
+    let avoid = |it: &SocketAddr| dials.tried.get(it).is_some_and(|dial| now < dial.avoid_until_ms);
+    alive.retain(|it| state.has_link(&it.name) || !avoid(&it.control));
     let Role::Agent { agent, .. } = &state.own.role else {
         return (Vec::new(), Vec::new());
     };
-    let wanted = mesh::homes(&agent.name, &agent.place.zone, &as_peers(&alive));
+    let desired = mesh::homes(&agent.name, &agent.place.zone, &mesh_peers(&alive));
     let mut targets = Vec::new();
     for balancer in &alive {
-        if wanted.contains(&balancer.name.as_str()) && !state.linked(&balancer.name) {
+        if desired.contains(&balancer.name.as_str()) && !state.has_link(&balancer.name) {
             targets.push(Target::new(balancer));
         }
     }
-    (wanted.into_iter().map(str::to_owned).collect(), targets)
+    (desired.into_iter().map(str::to_owned).collect(), targets)
 }
 
 fn balancer_targets(state: &State, dials: &mut Dials, now: u64) -> (Vec<String>, Vec<Target>) {
     let alive = state.balancers();
     let own = state.own.name();
-    let mut wanted = mesh::neighbours(own, &as_peers(&alive));
+    let mut desired = mesh::neighbours(own, &mesh_peers(&alive));
     let seed = state.seed(state.own.zone()).filter(|it| it.name != own);
-    wanted.extend(seed.map(|it| it.name.as_str()));
+    desired.extend(seed.map(|it| it.name.as_str()));
     let mut targets = Vec::new();
     for balancer in &alive {
         let suspect = state.suspects.contains(&balancer.name);
-        let missing = !state.linked(&balancer.name) && balancer.name != own;
-        if missing && (suspect || wanted.contains(&balancer.name.as_str())) {
+        let missing = !state.has_link(&balancer.name) && balancer.name != own;
+        if missing && (suspect || desired.contains(&balancer.name.as_str())) {
             targets.push(Target::new(balancer));
         }
     }
-    for address in &dials.found {
+    for address in &dials.discovered {
         if !alive.iter().any(|it| it.control == *address) {
             targets.push(Target { address: *address, name: None });
         }
     }
-    if now.saturating_sub(dials.revived_ms) >= REVIVE_MS {
-        dials.revived_ms = now;
-        targets.extend(dead_balancer(state));
+    if now.saturating_sub(dials.last_down_dial_ms) >= DOWN_DIAL_INTERVAL_MS {
+        dials.last_down_dial_ms = now;
+        targets.extend(random_down_balancer(state));
     }
-    (wanted.into_iter().map(str::to_owned).collect(), targets)
+    (desired.into_iter().map(str::to_owned).collect(), targets)
 }
 
-/// A balancer that was found dead, picked at random: the network between may be whole again.
-fn dead_balancer(state: &State) -> Option<Target> {
-    let mut dead = Vec::new();
+/// Picks a random balancer that is down: it may be reachable again after a partition.
+fn random_down_balancer(state: &State) -> Option<Target> {
+    let mut down = Vec::new();
     for member in state.view.members().filter(|it| it.is_down()) {
         if let Role::Balancer { balancer, .. } = &member.role {
-            dead.push(balancer.control);
+            down.push(balancer.control);
         }
     }
-    let index = rand::rng().random_range(0..dead.len().max(1));
-    dead.get(index).map(|address| Target { address: *address, name: None })
+    let index = rand::rng().random_range(0..down.len().max(1));
+    down.get(index).map(|address| Target { address: *address, name: None })
 }
 
-/// Ends links that this process opened but no longer wants, once all that it wants are up.
-fn end_surplus(state: &mut State, wanted: &[String]) {
-    if wanted.is_empty() || !wanted.iter().all(|it| state.linked(it)) {
+/// Closes links that this process opened and no longer needs, once all needed ones are up.
+fn close_surplus_links(state: &mut State, desired: &[String]) {
+    if desired.is_empty() || !desired.iter().all(|it| state.has_link(it)) {
         return;
     }
     for link in state.links.values_mut() {
-        if link.opened && !link.ended && !wanted.contains(&link.peer) {
-            link.ended = true;
+        if link.opened && !link.closing && !desired.contains(&link.peer) {
+            link.closing = true;
             link.send(Body::Bye(Bye {}));
         }
     }
--- a/crates/daemon/src/control/link.rs
+++ b/crates/daemon/src/control/link.rs
@@ -1,4 +1,4 @@
-//! Links to other processes: accepting, opening, greeting, and the tasks that read and write frames.
+//! Links to other processes: listener, handshake, and the tasks that read and write frames.
 
 use std::{
     net::SocketAddr,
@@ -37,22 +37,22 @@
     metrics,
 };
 
-/// Longest wait for a connection, its handshake and its greeting.
-const GREET_TIMEOUT: Duration = Duration::from_secs(2);
-/// Frames that may wait to be written to one peer.
-const OUTBOX: usize = 1_024;
-/// Connections that may be in their handshake at once; further ones wait in the listener's queue.
-const HANDSHAKES: usize = 256;
-/// A link that was heard of more recently goes before a second one that the peer opens, in milliseconds.
-const FRESH_MS: u64 = 1_500;
-/// Least time between two events about refused connections, in milliseconds.
-const REFUSED_GAP_MS: u64 = 10_000;
-/// Bytes that a frame adds on the wire: its length and what TLS puts around it.
-const FRAME_OVERHEAD: u64 = 4 + 22;
+/// Limit for connecting, the TLS handshake and the exchange of hello messages.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
+/// Capacity of the send queue of a link.
+const OUTBOX_FRAMES: usize = 1_024;
+/// Concurrent inbound handshakes; further connections wait in the accept backlog.
+const MAX_HANDSHAKES: usize = 256;
+/// A link with a frame received within this time wins over a second one from the same peer.
+const LIVE_LINK_MS: u64 = 1_500;
+/// Minimum interval between events about refused connections.
+const REFUSED_EVENT_INTERVAL_MS: u64 = 10_000;
+/// Length prefix and TLS record overhead of a frame.
+const FRAME_OVERHEAD_BYTES: u64 = 4 + 22;
 
 /// Accepts links until the process stops.
 pub(crate) async fn listen(inner: Arc<Inner>, listener: TcpListener) {
-    let permits = Arc::new(Semaphore::new(HANDSHAKES));
+    let permits = Arc::new(Semaphore::new(MAX_HANDSHAKES));
     loop {
         let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
             return;
@@ -67,12 +67,12 @@
         };
         let inner = Arc::clone(&inner);
         tokio::spawn(async move {
-            let result = timeout(GREET_TIMEOUT, accept(&inner, stream)).await;
+            let result = timeout(HELLO_TIMEOUT, accept(&inner, stream)).await;
             drop(permit);
             match result {
                 Ok(Ok((stream, hello))) => serve(inner, stream, hello, address).await,
-                Ok(Err(e)) => refused(address, &format!("{e:#}")),
-                Err(_) => refused(address, "no greeting in time"),
+                Ok(Err(e)) => record_refused(address, &format!("{e:#}")),
+                Err(_) => record_refused(address, "no hello message before the timeout"),
             }
         });
     }
@@ -80,18 +80,18 @@
 
 static REFUSED: LazyLock<IntCounterVec> =
     LazyLock::new(|| metrics::counter("links_refused_total", "Links refused", "at"));
-static REFUSED_MS: AtomicU64 = AtomicU64::new(0);
+static LAST_REFUSED_EVENT_MS: AtomicU64 = AtomicU64::new(0);
 
-/// Counts a refused connection; an event tells of one from time to time, since anybody can open connections.
-fn refused(address: SocketAddr, why: &str) {
+/// Counts a refused connection and emits a rate-limited event, since any host can connect.
+fn record_refused(address: SocketAddr, reason: &str) {
     REFUSED.with_label_values(&["greeting"]).inc();
     let now = now_ms();
-    let last = REFUSED_MS.load(Ordering::Relaxed);
-    if last != 0 && now.saturating_sub(last) < REFUSED_GAP_MS {
+    let last = LAST_REFUSED_EVENT_MS.load(Ordering::Relaxed);
+    if last != 0 && now.saturating_sub(last) < REFUSED_EVENT_INTERVAL_MS {
         return;
     }
-    REFUSED_MS.store(now.max(1), Ordering::Relaxed);
-    event::emit(Id::LinkRefused, About::new(), &format!("{address}: {why}"));
+    LAST_REFUSED_EVENT_MS.store(now.max(1), Ordering::Relaxed);
+    event::emit(Id::LinkRefused, About::new(), &format!("{address}: {reason}"));
 }
 
 async fn accept(inner: &Inner, stream: TcpStream) -> anyhow::Result<(Stream, Hello)> {
@@ -106,18 +106,22 @@
 }
 
 async fn read_hello(stream: &mut Stream) -> anyhow::Result<Hello> {
-    let bytes = stream.next().await.context("closed before the greeting")??;
-    metrics::control_received(bytes.len() as u64 + FRAME_OVERHEAD);
+    let bytes = stream.next().await.context("connection closed before the hello message")??;
+    metrics::control_received(bytes.len() as u64 + FRAME_OVERHEAD_BYTES);
     let Body::Hello(hello) = Frame::parse(&bytes)? else {
-        bail!("the first frame is no greeting");
+        bail!("the first frame is not a hello message");
     };
     if hello.protocol != PROTOCOL {
-        bail!("protocol {} of {:?}; this process speaks {PROTOCOL}", hello.protocol, hello.name);
+        bail!(
+            "unsupported protocol version {} of {:?}; expected {PROTOCOL}",
+            hello.protocol,
+            hello.name
+        );
     }
     Ok(hello)
 }
 
-/// Sends the greeting of this process.
+/// Sends the hello message of this process.
 pub(crate) async fn send_hello(
     inner: &Inner,
     stream: &mut Stream,
@@ -134,33 +138,35 @@
         }
     };
     let frame = Frame::new(Body::Hello(hello)).encode_to_vec();
-    metrics::control_sent(frame.len() as u64 + FRAME_OVERHEAD);
-    stream.send(Bytes::from(frame)).await.context("send the greeting")
+    metrics::control_sent(frame.len() as u64 + FRAME_OVERHEAD_BYTES);
+    stream.send(Bytes::from(frame)).await.context("send the hello message")
 }
 
 async fn serve(inner: Arc<Inner>, stream: Stream, hello: Hello, address: SocketAddr) {
-    let agent = inner.state.lock().is_agent();
+    let is_agent = inner.state.lock().is_agent();
     match hello.purpose() {
-        Purpose::Handover if agent => {
+        Purpose::Handover if is_agent => {
             let accepted = Accepted { peer: hello.name, stream };
             if inner.accepted_tx.try_send(accepted).is_err() {
-                refused(address, "too many links for requests wait");
+                record_refused(address, "too many handover links are waiting to be accepted");
             }
         }
-        Purpose::Mesh if !agent => run(inner, stream, hello, LinkKind::Mesh, false).await,
-        Purpose::Agent if !agent => run(inner, stream, hello, LinkKind::Agent, false).await,
-        other => refused(address, &format!("{other:?} is not offered here")),
+        Purpose::Mesh if !is_agent => run(inner, stream, hello, LinkKind::Mesh, false).await,
+        Purpose::Agent if !is_agent => run(inner, stream, hello, LinkKind::Agent, false).await,
+        other => {
+            record_refused(address, &format!("{other:?} links are not supported by this process"))
+        }
     }
 }
 
-/// Opens a link to a balancer and runs it until it ends. Returns an error if it could not be opened.
+/// Opens a link to a balancer and runs it until it closes. Returns an error if it could not be opened.
 pub(crate) async fn open(inner: Arc<Inner>, address: SocketAddr) -> anyhow::Result<()> {
-    let agent = inner.state.lock().is_agent();
-    let (purpose, kind) = match agent {
-        true => (Purpose::Agent, LinkKind::Home),
+    let is_agent = inner.state.lock().is_agent();
+    let (purpose, kind) = match is_agent {
+        true => (Purpose::Agent, LinkKind::Balancer),
         false => (Purpose::Mesh, LinkKind::Mesh),
     };
-    let greet = async {
+    let handshake = async {
         let stream = TcpStream::connect(address).await.context("connect")?;
         stream.set_nodelay(true)?;
         let stream = inner.tls.connect(stream).await.context("TLS handshake")?;
@@ -169,31 +175,31 @@
         let hello = read_hello(&mut stream).await?;
         anyhow::Ok((stream, hello))
     };
-    let (stream, hello) = timeout(GREET_TIMEOUT, greet).await.context("timeout")??;
+    let (stream, hello) = timeout(HELLO_TIMEOUT, handshake).await.context("timeout")??;
     run(inner, stream, hello, kind, true).await;
     Ok(())
 }
 
-/// Runs a link until either side ends it.
+/// Runs a link until either side closes it.
 async fn run(inner: Arc<Inner>, stream: Stream, hello: Hello, kind: LinkKind, opened: bool) {
     let (sink, source) = stream.split();
-    let (outbox, frames) = mpsc::channel(OUTBOX);
+    let (outbox, frames) = mpsc::channel(OUTBOX_FRAMES);
     let stop = inner.stop.child_token();
     let scope = match kind {
         LinkKind::Mesh => Scope::All,
         LinkKind::Agent => Scope::Pools(hello.pools.iter().cloned().collect()),
-        LinkKind::Home => Scope::Pools(inner.state.lock().pools.iter().cloned().collect()),
+        LinkKind::Balancer => Scope::Pools(inner.state.lock().pools.iter().cloned().collect()),
     };
     let link = Link {
         peer: hello.name.clone(),
         kind,
         opened,
         scope,
-        ended: false,
-        silent: false,
-        differs: false,
-        heard_ms: now_ms(),
-        digest_ms: now_ms(),
+        closing: false,
+        timed_out: false,
+        digest_pending: false,
+        last_received_ms: now_ms(),
+        last_digest_ms: now_ms(),
         outbox,
         stop: stop.clone(),
     };
@@ -201,14 +207,14 @@
         return;
     };
     tokio::spawn(write(sink, frames, stop.clone()));
-    inner.linked(id, &hello.name);
-    let why = read(&inner, id, source, &stop).await;
+    inner.on_link_up(id, &hello.name);
+    let reason = read(&inner, id, source, &stop).await;
     stop.cancel();
-    inner.unlinked(id, &hello.name, &why);
+    inner.on_link_down(id, &hello.name, &reason);
 }
 
-/// Adds the link unless there is one already. Of two links between the same processes that both opened at once, the one
-/// that the lower name opened stays, so that both sides decide alike.
+/// Registers the link and replaces older ones to the same peer. Of two links that both sides opened simultaneously, both
+/// keep the one opened by the process with the lower name.
 fn register(state: &mut State, link: Link) -> Option<LinkId> {
     if link.peer == state.own.name() {
         return None;
@@ -219,10 +225,10 @@
         if old.peer != link.peer {
             continue;
         }
-        let crossed = old.opened != link.opened;
-        let lower = state.own.name() < link.peer.as_str();
-        let fresh = now.saturating_sub(old.heard_ms) < FRESH_MS;
-        if crossed && fresh && link.opened != lower {
+        let simultaneous = old.opened != link.opened;
+        let opens_preferred = state.own.name() < link.peer.as_str();
+        let live = now.saturating_sub(old.last_received_ms) < LIVE_LINK_MS;
+        if simultaneous && live && link.opened != opens_preferred {
             return None;
         }
         replaced.push(*id);
@@ -250,7 +256,7 @@
         let Some(frame) = frame else {
             break;
         };
-        metrics::control_sent(frame.len() as u64 + FRAME_OVERHEAD);
+        metrics::control_sent(frame.len() as u64 + FRAME_OVERHEAD_BYTES);
         let sent = tokio::select! {
             it = sink.send(frame) => it.is_ok(),
             () = stop.cancelled() => false,
@@ -260,7 +266,7 @@
         }
     }
     stop.cancel();
-    let _ = timeout(GREET_TIMEOUT, sink.close()).await;
+    let _ = timeout(HELLO_TIMEOUT, sink.close()).await;
 }
 
 async fn read(
@@ -272,20 +278,20 @@
     loop {
         let next = tokio::select! {
             it = source.next() => it,
-            () = stop.cancelled() => return "ended here".to_owned(),
+            () = stop.cancelled() => return "closed by this process".to_owned(),
         };
         let bytes = match next {
             Some(Ok(bytes)) => bytes,
             Some(Err(e)) => return format!("read: {e}"),
-            None => return "ended by the peer".to_owned(),
+            None => return "closed by the peer".to_owned(),
         };
-        metrics::control_received(bytes.len() as u64 + FRAME_OVERHEAD);
+        metrics::control_received(bytes.len() as u64 + FRAME_OVERHEAD_BYTES);
         let body = match Frame::parse(&bytes) {
             Ok(body) => body,
-            Err(e) => return format!("faulty frame: {e}"),
+            Err(e) => return format!("invalid frame: {e}"),
         };
         if let Err(e) = inner.receive(id, body) {
-            return format!("faulty message: {e}");
+            return format!("invalid message: {e}");
         }
     }
 }
--- a/crates/daemon/src/control/peer.rs
+++ b/crates/daemon/src/control/peer.rs
@@ -1,4 +1,4 @@
-//! A link as the shared state holds it, and what is known of the peer at its other end.
+//! State of links and of the agents linked to a balancer.
 
 use bytes::Bytes;
 use camphorwinch_core::view::Scope;
@@ -9,48 +9,48 @@
 
 use crate::control::Load;
 
-/// Number of a link within the process.
+/// ID of a link, unique within the process.
 pub(crate) type LinkId = u64;
 
-/// What a link is to this process.
+/// Kind of a link, from the point of view of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkKind {
     /// Between two balancers.
     Mesh,
     /// From this agent to a balancer.
-    Home,
+    Balancer,
     /// From an agent to this balancer.
     Agent,
 }
 
-/// A link that is up.
+/// An established link.
 pub(crate) struct Link {
     /// Name of the peer.
     pub(crate) peer: String,
-    /// What it is for.
+    /// Kind of the link.
     pub(crate) kind: LinkKind,
     /// Whether this process opened it.
     pub(crate) opened: bool,
-    /// What the peer is given.
+    /// Records that are sent to the peer.
     pub(crate) scope: Scope,
-    /// Whether either side ends it because it is no longer needed.
-    pub(crate) ended: bool,
-    /// Whether it was ended because nothing arrived.
-    pub(crate) silent: bool,
-    /// When something last arrived.
-    pub(crate) heard_ms: u64,
-    /// Whether the peer's mark differed and nothing was asked yet.
-    pub(crate) differs: bool,
+    /// Whether either side is closing the link because it is no longer needed.
+    pub(crate) closing: bool,
+    /// Whether the link is closed because no frame arrived in time.
+    pub(crate) timed_out: bool,
+    /// When the last frame arrived.
+    pub(crate) last_received_ms: u64,
+    /// Whether the peer's mark differs and a digest is still to be sent.
+    pub(crate) digest_pending: bool,
     /// When a digest was last sent because of a difference.
-    pub(crate) digest_ms: u64,
-    /// Frames to be written.
+    pub(crate) last_digest_ms: u64,
+    /// Send queue.
     pub(crate) outbox: mpsc::Sender<Bytes>,
-    /// Ends the link's tasks.
+    /// Stops the tasks of the link.
     pub(crate) stop: CancellationToken,
 }
 
 impl Link {
-    /// Queues a message. A peer that does not read for so long that the queue is full loses the link.
+    /// Queues a message. Closes the link if the queue is full.
     pub(crate) fn send(&self, body: Body) {
         let frame = Bytes::from(Frame::new(body).encode_to_vec());
         if self.outbox.try_send(frame).is_err() {
@@ -59,15 +59,15 @@
     }
 }
 
-/// What a balancer knows of an agent that is linked to it.
+/// Last heartbeat of an agent linked to this balancer.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Homed {
-    /// Revision in force there.
+pub(crate) struct LinkedAgent {
+    /// Revision in force at the agent.
     pub(crate) applied: u64,
-    /// Its load.
+    /// Load of the agent.
     pub(crate) load: Load,
     /// Key epochs of its flows.
     pub(crate) epochs: Vec<u8>,
-    /// Whether this balancer is the one to report about it.
+    /// Whether this balancer reports for the agent.
     pub(crate) primary: bool,
 }
--- a/crates/daemon/src/control/receive.rs
+++ b/crates/daemon/src/control/receive.rs
@@ -1,4 +1,4 @@
-//! What a process does with a message from a peer.
+//! Handlers of messages from peers.
 
 use std::collections::BTreeSet;
 
@@ -15,16 +15,16 @@
     clock::now_ms,
     control::{
         Inner, Load,
-        peer::{Homed, LinkId, LinkKind},
+        peer::{LinkId, LinkKind, LinkedAgent},
     },
     event, report,
 };
 
 impl Inner {
-    /// Takes in a message that arrived on a link.
+    /// Handles a message that arrived on a link.
     pub(crate) fn receive(&self, id: LinkId, body: Body) -> Result<(), MessageError> {
         if let Some(link) = self.state.lock().links.get_mut(&id) {
-            link.heard_ms = now_ms();
+            link.last_received_ms = now_ms();
         }
         match body {
             Body::Hello(_) => {}
@@ -43,7 +43,7 @@
             Body::Report(it) => self.receive_report(id, it),
             Body::Bye(_) => {
                 if let Some(link) = self.state.lock().links.get_mut(&id) {
-                    link.ended = true;
+                    link.closing = true;
                     link.stop.cancel();
                 }
             }
@@ -52,7 +52,7 @@
     }
 
     fn receive_beat(&self, id: LinkId, beat: Beat) {
-        observe(beat.stamp);
+        observe_stamp(beat.stamp);
         let mut guard = self.state.lock();
         let state = &mut *guard;
         let Some(link) = state.links.get(&id) else {
@@ -62,9 +62,9 @@
             return;
         }
         let load = Load { flows: beat.flows, busy: beat.busy };
-        let homed =
-            Homed { applied: beat.applied, load, epochs: beat.epochs, primary: beat.primary };
-        let before = state.homed.insert(link.peer.clone(), homed);
+        let agent =
+            LinkedAgent { applied: beat.applied, load, epochs: beat.epochs, primary: beat.primary };
+        let before = state.linked_agents.insert(link.peer.clone(), agent);
         state.queue_events(parse_events(&beat.events));
         if before.is_none_or(|it| it.applied != beat.applied) {
             self.report.notify_one();
@@ -82,37 +82,37 @@
         let scope = link.scope.clone();
         let outcome = state.view.compare(&scope, &theirs);
         let own = state.own.name();
-        let given = |it: &&Record| match it {
+        let eligible = |it: &&Record| match it {
             Record::Member(member) => !agent || member.name() == own,
             Record::Object { .. } | Record::Deleted { .. } => true,
         };
-        let lacking: Vec<&Record> = outcome.lacking.iter().filter(given).collect();
+        let missing: Vec<&Record> = outcome.lacking.iter().filter(eligible).collect();
         if let Some(link) = state.links.get(&id) {
-            state.send_records(link, &lacking);
+            state.send_records(link, &missing);
         }
         if !outcome.deleted.is_empty() {
             state.flood(&outcome.deleted, Some(id));
             drop(guard);
-            self.changed();
+            self.request_publish();
         }
         Ok(())
     }
 
     fn receive_update(&self, id: LinkId, update: &Update) -> Result<(), MessageError> {
-        observe(update.stamp);
+        observe_stamp(update.stamp);
         let mut records = Vec::new();
         for part in &update.records {
             records.push(Record::try_from(part)?);
         }
         let mark = update.mark.as_ref().map(Mark::try_from).transpose()?;
-        // What the mark says to be deleted is news like any other.
+        // The mark carries deletions that may not be known here yet.
         for it in mark.iter().flat_map(|it| &it.deleted) {
             let Deletion { kind, name, revision } = it.clone();
             records.push(Record::Deleted { kind, name, revision });
         }
-        let news = self.state.lock().take(&records, mark, Some(id));
-        if news {
-            self.changed();
+        let changed = self.state.lock().apply(&records, mark, Some(id));
+        if changed {
+            self.request_publish();
         }
         Ok(())
     }
@@ -139,12 +139,12 @@
     }
 }
 
-fn observe(stamp: Option<Stamp>) {
+fn observe_stamp(stamp: Option<Stamp>) {
     let Some(it) = stamp else {
         return;
     };
     if !event::observe(timeline::Stamp { ms: it.ms, counter: it.counter }) {
-        tracing::debug!("a peer's clock is too far ahead: {}", it.ms);
+        tracing::debug!("ignored a stamp too far ahead of the local clock: {} ms", it.ms);
     }
 }
 
@@ -153,7 +153,7 @@
     for text in texts {
         match serde_json::from_str(text) {
             Ok(it) => events.push(it),
-            Err(e) => tracing::debug!("an event of a peer is malformed: {e}"),
+            Err(e) => tracing::debug!("ignored a malformed event from a peer: {e}"),
         }
     }
     events
--- a/crates/daemon/src/control/state.rs
+++ b/crates/daemon/src/control/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the control plane share.
+//! State shared by the tasks of the control plane.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -21,54 +21,54 @@
     config::Common,
     control::{
         Load, Role,
-        peer::{Homed, Link, LinkId},
+        peer::{Link, LinkId, LinkedAgent},
     },
     event::{self, About, Id},
 };
 
-/// Size from which an update is split.
-const SPLIT: usize = 512 << 10;
-/// Least time between two digests that were asked for by a difference, in milliseconds.
-const DIGEST_GAP_MS: u64 = 200;
-/// For how long a starting process may take over a name with a higher incarnation, in milliseconds: the wall clock of the
-/// VM that it replaces may have run ahead.
+/// Size from which an update is split into several frames.
+const MAX_UPDATE_BYTES: usize = 512 << 10;
+/// Minimum interval between digests sent on a link because of a difference.
+const MIN_DIGEST_INTERVAL_MS: u64 = 200;
+/// How long a starting process may outbid a higher incarnation of its name: the wall clock of the VM that it replaces may
+/// have been ahead.
 const NAME_GRACE_MS: u64 = 10_000;
-/// Events of other processes that may wait to be passed on.
-pub(crate) const WAITING_EVENTS: usize = 2_000;
+/// Capacity of the queue of events to forward.
+pub(crate) const MAX_QUEUED_EVENTS: usize = 2_000;
 
-/// The shared state. It is locked for short computations only, never across an await, and no other lock of the control
-/// plane is taken while it is held.
+/// Shared state. Lock it only briefly, never across an await, and take no other lock of the control plane while holding
+/// it.
 pub(crate) struct State {
-    /// What is known of the fleet.
+    /// Local view of the fleet.
     pub(crate) view: View,
-    /// The process's own announcement.
+    /// Own member record.
     pub(crate) own: Member,
-    /// Whether a newer process has taken the name.
+    /// Whether a newer process uses the same name.
     pub(crate) fenced: bool,
-    /// Revision that the data path has put in force.
+    /// Revision in force in the data path.
     pub(crate) applied: u64,
     /// Load of the upstream, if this is an agent.
     pub(crate) load: Load,
     /// Key epochs of the flows, if this is an agent.
     pub(crate) epochs: Vec<u8>,
-    /// Links that are up.
+    /// Established links.
     pub(crate) links: BTreeMap<LinkId, Link>,
-    /// Members that may be dead.
+    /// Members suspected to have failed.
     pub(crate) suspects: Suspects,
     /// Agents linked to this balancer.
-    pub(crate) homed: BTreeMap<String, Homed>,
-    /// Events of linked agents that wait to be passed on.
+    pub(crate) linked_agents: BTreeMap<String, LinkedAgent>,
+    /// Events of linked agents to forward.
     pub(crate) events: VecDeque<Event>,
-    /// Pools whose agents this agent wants to know.
+    /// Pools that this agent subscribes to.
     pub(crate) pools: Vec<String>,
     started_ms: u64,
-    settled: bool,
+    past_name_grace: bool,
     next_link: LinkId,
     assembler: Assembler,
 }
 
 impl State {
-    /// The state of a process that has just started.
+    /// Initial state.
     pub(crate) fn new(common: &Common, role: &Role) -> State {
         let wall = wall_ms();
         let pools = match role {
@@ -88,23 +88,23 @@
             epochs: Vec::new(),
             links: BTreeMap::new(),
             suspects: Suspects::new(),
-            homed: BTreeMap::new(),
+            linked_agents: BTreeMap::new(),
             events: VecDeque::new(),
             pools,
             started_ms: now_ms(),
-            settled: false,
+            past_name_grace: false,
             next_link: 0,
             assembler: Assembler::new(),
         }
     }
 
-    /// Makes the process count as one that started long ago.
+    /// Treats the name grace period as over.
     #[cfg(test)]
-    pub(crate) fn age(&mut self) {
-        self.settled = true;
+    pub(crate) fn skip_name_grace(&mut self) {
+        self.past_name_grace = true;
     }
 
-    /// Builds a snapshot; also returns faults of objects that were not seen before.
+    /// Builds a snapshot; also returns the object errors that were not returned before.
     pub(crate) fn snapshot(&mut self) -> (Snapshot, Vec<SpecError>) {
         self.assembler.snapshot(&self.view)
     }
@@ -114,7 +114,7 @@
         matches!(self.own.role, MemberRole::Agent { .. })
     }
 
-    /// Adds a link and returns its number.
+    /// Adds a link and returns its ID.
     pub(crate) fn add_link(&mut self, link: Link) -> LinkId {
         self.next_link += 1;
         self.suspects.clear(&link.peer);
@@ -122,12 +122,12 @@
         self.next_link
     }
 
-    /// Whether a link to this peer is up.
-    pub(crate) fn linked(&self, peer: &str) -> bool {
+    /// Whether there is a link to this peer.
+    pub(crate) fn has_link(&self, peer: &str) -> bool {
         self.links.values().any(|it| it.peer == peer)
     }
 
-    /// Announces a change of the own record, to all peers.
+    /// Changes the own role and sends the record to all peers if it differs.
     pub(crate) fn announce<F>(&mut self, change: F)
     where
         F: FnOnce(&mut MemberRole),
@@ -137,9 +137,9 @@
         if self.own.role == before {
             return;
         }
-        if state_of(&before) != state_of(&self.own.role) {
+        if state_name(&before) != state_name(&self.own.role) {
             self.own.since_ms = wall_ms();
-            let text = format!("{} is {}", self.own.name(), state_of(&self.own.role));
+            let text = format!("{} is {}", self.own.name(), state_name(&self.own.role));
             event::emit(Id::MemberChanged, About::new(), &text);
         }
         self.own.version = self.own.version.next();
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Sets the state that an agent announces.
+    /// Announces a new state of this agent.
     pub(crate) fn set_agent_state(&mut self, state: AgentState) {
         self.announce(|role| {
             if let MemberRole::Agent { agent, .. } = role {
@@ -162,7 +162,7 @@
         });
     }
 
-    /// Announces that the process leaves.
+    /// Announces that this process is leaving.
     pub(crate) fn set_leaving(&mut self) {
         self.announce(|role| match role {
             MemberRole::Agent { agent, .. } => agent.state = AgentState::Leaving,
@@ -173,58 +173,58 @@
         });
     }
 
-    /// Takes in records and the mark that came with them, and passes on what is news; returns whether there was any.
-    pub(crate) fn take(
+    /// Merges records and their mark and forwards the changes; returns whether anything changed.
+    pub(crate) fn apply(
         &mut self,
         records: &[Record],
         mark: Option<Mark>,
         from: Option<LinkId>,
     ) -> bool {
         let wall = wall_ms();
-        let mut news = Vec::new();
+        let mut changed = Vec::new();
         for record in records {
             if self.view.merge(record, wall) {
                 log_change(record);
-                news.push(record.clone());
+                changed.push(record.clone());
             }
         }
         let adoption = mark.map_or(Adoption::Known, |it| self.view.adopt(&it));
-        if !news.is_empty() || adoption == Adoption::Taken {
-            self.flood(&news, from);
+        if !changed.is_empty() || adoption == Adoption::Taken {
+            self.flood(&changed, from);
         }
         if let (Adoption::Differs, Some(id)) = (adoption, from) {
-            self.ask(id);
+            self.send_digest_limited(id);
         }
-        self.defend_name();
-        !news.is_empty() || adoption == Adoption::Taken
+        self.resolve_name_conflict();
+        !changed.is_empty() || adoption == Adoption::Taken
     }
 
-    /// Takes in records from the platform's watch, which are complete up to `revision`; returns whether there was news.
-    pub(crate) fn take_watched(&mut self, records: &[Record], revision: u64) -> bool {
+    /// Merges records of the platform's watch, complete up to `revision`; returns whether anything changed.
+    pub(crate) fn apply_watch(&mut self, records: &[Record], revision: u64) -> bool {
         let wall = wall_ms();
-        let mut news = Vec::new();
+        let mut changed = Vec::new();
         for record in records {
             if self.view.merge(record, wall) {
-                news.push(record.clone());
+                changed.push(record.clone());
             }
         }
         let advanced = self.view.advance(revision);
-        if advanced || !news.is_empty() {
-            self.flood(&news, None);
+        if advanced || !changed.is_empty() {
+            self.flood(&changed, None);
         }
-        advanced || !news.is_empty()
+        advanced || !changed.is_empty()
     }
 
-    /// Answers another announcement under the own name: the process was taken for dead, or replaced.
-    fn defend_name(&mut self) {
+    /// Handles a newer record under the own name: refutes a failure report, or fences this process if it was replaced.
+    fn resolve_name_conflict(&mut self) {
         let Some(seen) = self.view.member(self.own.name()).map(|it| it.version) else {
             return;
         };
         if seen <= self.own.version {
             return;
         }
-        self.settled |= now_ms().saturating_sub(self.started_ms) >= NAME_GRACE_MS;
-        let starting = !self.settled;
+        self.past_name_grace |= now_ms().saturating_sub(self.started_ms) >= NAME_GRACE_MS;
+        let starting = !self.past_name_grace;
         if seen.major > self.own.version.major && !starting {
             self.fenced = true;
             return;
@@ -233,12 +233,16 @@
             self.own.version = Version::member(seen.major.saturating_add(1), 0);
         } else {
             self.own.version = seen.next();
-            event::emit(Id::MemberBack, About::new(), "peers took this process for dead");
+            event::emit(
+                Id::MemberBack,
+                About::new(),
+                "refuted a failure report about this process",
+            );
         }
         self.publish_own();
     }
 
-    /// Passes records on to all links but the one they came from, with the mark of how complete this process is.
+    /// Forwards records and the own mark on all links except the one they came from.
     pub(crate) fn flood(&self, records: &[Record], except: Option<LinkId>) {
         let agent = self.is_agent();
         for (id, link) in &self.links {
@@ -248,16 +252,16 @@
             let own = |it: &&Record| {
                 !agent || matches!(it, Record::Member(m) if m.name() == self.own.name())
             };
-            let fitting: Vec<&Record> =
+            let selected: Vec<&Record> =
                 records.iter().filter(|it| link.scope.covers_record(it)).filter(own).collect();
-            if fitting.is_empty() && (agent || !records.is_empty()) {
+            if selected.is_empty() && (agent || !records.is_empty()) {
                 continue;
             }
-            self.send_records(link, &fitting);
+            self.send_records(link, &selected);
         }
     }
 
-    /// Sends records over one link, split into frames of moderate size, the mark with the last one.
+    /// Sends records on one link, split into frames; the last one carries the mark.
     pub(crate) fn send_records(&self, link: &Link, records: &[&Record]) {
         let mut update = Update::default();
         let mut size = 0;
@@ -265,7 +269,7 @@
             let part = RecordPart::from(*record);
             size += part.encoded_len();
             update.records.push(part);
-            if size >= SPLIT {
+            if size >= MAX_UPDATE_BYTES {
                 link.send(Body::Update(std::mem::take(&mut update)));
                 size = 0;
             }
@@ -275,28 +279,28 @@
         link.send(Body::Update(update));
     }
 
-    fn ask(&mut self, id: LinkId) {
+    fn send_digest_limited(&mut self, id: LinkId) {
         let now = now_ms();
         let Some(link) = self.links.get_mut(&id) else {
             return;
         };
-        link.differs = now.saturating_sub(link.digest_ms) < DIGEST_GAP_MS;
-        if link.differs {
+        link.digest_pending = now.saturating_sub(link.last_digest_ms) < MIN_DIGEST_INTERVAL_MS;
+        if link.digest_pending {
             return;
         }
-        link.digest_ms = now;
+        link.last_digest_ms = now;
         self.send_digest(id);
     }
 
-    /// Asks peers whose difference was found too soon after the last question.
-    pub(crate) fn ask_again(&mut self) {
-        let waiting = self.links.iter().filter(|(_, it)| it.differs).map(|(id, _)| *id);
-        for id in waiting.collect::<Vec<_>>() {
-            self.ask(id);
+    /// Sends the digests that [`MIN_DIGEST_INTERVAL_MS`] delayed.
+    pub(crate) fn send_pending_digests(&mut self) {
+        let pending = self.links.iter().filter(|(_, it)| it.digest_pending).map(|(id, _)| *id);
+        for id in pending.collect::<Vec<_>>() {
+            self.send_digest_limited(id);
         }
     }
 
-    /// Sends the digest of what the link's peer should hold.
+    /// Sends the digest of the records in the scope of a link.
     pub(crate) fn send_digest(&self, id: LinkId) {
         let Some(link) = self.links.get(&id) else {
             return;
@@ -305,7 +309,7 @@
         link.send(Body::Digest(Digest { buckets }));
     }
 
-    /// Balancers that may be linked to: ready, by what is known.
+    /// Balancers in the state ready.
     pub(crate) fn balancers(&self) -> Vec<&Balancer> {
         let mut found = Vec::new();
         for member in self.view.members() {
@@ -319,7 +323,7 @@
         found
     }
 
-    /// The holder of the zone's lease with the lowest number; of any zone's, if none of this zone is held.
+    /// Holder of the lowest-numbered lease of the zone, or of any zone if this one has no holder.
     pub(crate) fn seed(&self, zone: &str) -> Option<&Balancer> {
         let mut best: Option<(bool, u8, &Balancer)> = None;
         for member in self.view.members() {
@@ -337,23 +341,23 @@
         best.map(|(_, _, it)| it)
     }
 
-    /// Queues events of other processes to be passed on; the oldest go when there are too many.
+    /// Queues events of other processes to forward; drops the oldest above [`MAX_QUEUED_EVENTS`].
     pub(crate) fn queue_events<I>(&mut self, events: I)
     where
         I: IntoIterator<Item = Event>,
     {
         self.events.extend(events);
-        let excess = self.events.len().saturating_sub(WAITING_EVENTS);
+        let excess = self.events.len().saturating_sub(MAX_QUEUED_EVENTS);
         self.events.drain(..excess);
     }
 }
 
-/// The balancers as the core crate's choice functions take them.
-pub(crate) fn as_peers<'a>(balancers: &[&'a Balancer]) -> Vec<Peer<'a>> {
+/// Converts balancers to the input of the functions in `mesh`.
+pub(crate) fn mesh_peers<'a>(balancers: &[&'a Balancer]) -> Vec<Peer<'a>> {
     balancers.iter().map(|it| Peer { name: &it.name, zone: &it.place.zone }).collect()
 }
 
-/// Stamp of the process's clock, as sent to peers.
+/// Current stamp of the hybrid logical clock, as sent to peers.
 pub(crate) fn stamp() -> Stamp {
     let it = event::stamp();
     Stamp { ms: it.ms, counter: it.counter }
@@ -374,8 +378,8 @@
     }
 }
 
-/// Name of the state that a member is in.
-pub(crate) fn state_of(role: &MemberRole) -> &'static str {
+/// Name of the member's state.
+pub(crate) fn state_name(role: &MemberRole) -> &'static str {
     match role {
         MemberRole::Agent { agent, .. } => match agent.state {
             AgentState::Starting => "starting",
@@ -395,6 +399,6 @@
 
 fn log_change(record: &Record) {
     if let Record::Member(it) = record {
-        tracing::debug!("member {} is {}", it.name(), state_of(&it.role));
+        tracing::debug!("member {} is {}", it.name(), state_name(&it.role));
     }
 }
--- a/crates/daemon/src/control/tests.rs
+++ b/crates/daemon/src/control/tests.rs
@@ -14,21 +14,20 @@
 use super::*;
 use crate::{
     config::{FleetPem, LogForm},
-    platform::fake::Fake,
+    platform::fake::FakePlatform,
 };
 
-/// Longest wait for anything to happen. The machine may be busy.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Fleet {
-    platform: Fake,
+    platform: FakePlatform,
     address: SocketAddr,
     pem: FleetPem,
 }
 
 impl Fleet {
     async fn new() -> Fleet {
-        let (platform, address) = Fake::start().await;
+        let (platform, address) = FakePlatform::start().await;
         Fleet { platform, address, pem: fleet_pem() }
     }
 
@@ -55,7 +54,7 @@
     async fn balancer_with(&self, name: &str, zone: &str, peers: &[SocketAddr]) -> Control {
         let control =
             Control::start(&self.common(name, zone, peers), Role::Balancer).await.unwrap();
-        follow(&control);
+        apply_snapshots(&control);
         control
     }
 
@@ -73,7 +72,7 @@
             state: AgentState::Ready,
         };
         let control = Control::start(&common, Role::Agent(agent)).await.unwrap();
-        follow(&control);
+        apply_snapshots(&control);
         control
     }
 
@@ -84,19 +83,19 @@
     }
 }
 
-/// Puts every snapshot in force at once, as a data path would.
-fn follow(control: &Control) {
+/// Marks every snapshot as applied at once, in place of a data path.
+fn apply_snapshots(control: &Control) {
     let mut snapshots = control.watch();
     let control = control.clone();
     tokio::spawn(async move {
         while snapshots.changed().await.is_ok() {
             let revision = snapshots.borrow_and_update().revision;
-            control.applied(revision);
+            control.set_applied(revision);
         }
     });
 }
 
-/// Ends a process as if it was killed: its links close, it says nothing.
+/// Stops a process without announcing that it leaves, as if it was killed.
 fn kill(control: &Control) {
     control.inner.stop.cancel();
 }
@@ -115,7 +114,7 @@
     StdListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-async fn until<F>(what: &str, mut done: F)
+async fn wait_until<F>(condition: &str, mut done: F)
 where
     F: FnMut() -> bool,
 {
@@ -124,14 +123,14 @@
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(PATIENCE, wait).await.unwrap_or_else(|_| panic!("not in time: {what}"));
+    timeout(WAIT_TIMEOUT, wait).await.unwrap_or_else(|_| panic!("timed out: {condition}"));
 }
 
-async fn within<F>(what: &str, future: F) -> F::Output
+async fn with_timeout<F>(condition: &str, future: F) -> F::Output
 where
     F: Future,
 {
-    timeout(PATIENCE, future).await.unwrap_or_else(|_| panic!("not in time: {what}"))
+    timeout(WAIT_TIMEOUT, future).await.unwrap_or_else(|_| panic!("timed out: {condition}"))
 }
 
 fn snapshot(control: &Control) -> Arc<Snapshot> {
@@ -147,13 +146,13 @@
     snapshot.revision >= revision && snapshot.services.contains_key(&ServiceId::new(name))
 }
 
-fn intact() {
+fn assert_invariants() {
     assert_eq!(violations(Invariant::VersionGrows), 0);
     assert_eq!(violations(Invariant::LeaseHeld), 0);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn configuration_and_members_reach_everybody() {
+async fn configuration_and_members_reach_all_processes() {
     let fleet = Fleet::new().await;
     let first = fleet.add_service("ledger", 4433);
     let b1 = fleet.balancer("b1", "z1").await;
@@ -163,34 +162,49 @@
     let a2 = fleet.agent("a2", "z2", "ledger").await;
     let other = fleet.agent("x1", "z2", "other").await;
     let all = [&b1, &b2, &b3, &a1, &a2, &other];
-    until("the service everywhere", || all.iter().all(|it| has_service(it, "ledger", first))).await;
+    wait_until("all processes have the service", || {
+        all.iter().all(|it| has_service(it, "ledger", first))
+    })
+    .await;
     let pool = [&b1, &b2, &b3, &a1, &a2];
-    let known = |it: &Control, name: &str| state_in(it, name) == Some(AgentState::Ready);
-    until("the agents", || pool.iter().all(|it| known(it, "a1") && known(it, "a2"))).await;
-    assert_eq!(state_in(&other, "a1"), None, "an agent learns of its own pool only");
+    let is_ready = |it: &Control, name: &str| state_in(it, name) == Some(AgentState::Ready);
+    wait_until("agents are ready", || {
+        pool.iter().all(|it| is_ready(it, "a1") && is_ready(it, "a2"))
+    })
+    .await;
+    assert_eq!(state_in(&other, "a1"), None, "an agent receives its own pool only");
 
     let second = fleet.add_service("intake", 4434);
-    until("a change everywhere", || all.iter().all(|it| has_service(it, "intake", second))).await;
+    wait_until("all processes have the change", || {
+        all.iter().all(|it| has_service(it, "intake", second))
+    })
+    .await;
     fleet.platform.delete("service", "intake");
     let gone = |it: &Control| !has_service(it, "intake", 0);
-    until("a deletion everywhere", || all.iter().all(|it| gone(it))).await;
+    wait_until("all processes have the deletion", || all.iter().all(|it| gone(it))).await;
 
-    until("it is in force by the reports", || {
+    wait_until("reports show the revision in force", || {
         let zones = ["z1", "z2"].map(|zone| report_of(&fleet, zone));
         zones.iter().all(|it| it.as_ref().is_some_and(|it| it.in_force > second))
     })
     .await;
     let report = report_of(&fleet, "z1").unwrap();
-    assert!(report.upstreams.is_empty() && report.balancers.is_empty(), "a lease stays small");
-    until("the whole report", || {
+    assert!(
+        report.upstreams.is_empty() && report.balancers.is_empty(),
+        "the report in a lease is brief"
+    );
+    wait_until("the full report is written", || {
         let object = fleet.platform.read("report", "z1");
         let whole: Option<Report> = object.and_then(|it| serde_json::from_value(it.spec).ok());
         whole.is_some_and(|it| it.upstreams.iter().any(|it| it.name == "a1" && it.slots == 4))
     })
     .await;
     assert!(report.changes.iter().any(|it| it.done_ms >= it.seen_ms && it.done_ms > 0));
-    until("a timeline", || fleet.platform.read("timeline", "events-z2-0").is_some()).await;
-    intact();
+    wait_until("the timeline is written", || {
+        fleet.platform.read("timeline", "events-z2-0").is_some()
+    })
+    .await;
+    assert_invariants();
 }
 
 fn report_of(fleet: &Fleet, zone: &str) -> Option<Report> {
@@ -204,7 +218,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_killed_agent_is_found_dead_and_a_leaving_one_is_known() {
+async fn a_killed_agent_is_reported_down_and_a_leaving_one_leaving() {
     let fleet = Fleet::new().await;
     let b1 = fleet.balancer("b1", "z1").await;
     let b2 = fleet.balancer("b2", "z2").await;
@@ -212,67 +226,75 @@
     let a2 = fleet.agent("a2", "z1", "p").await;
     let both = [&b1, &b2];
     let all = |name, state| both.iter().all(|it| state_in(it, name) == Some(state));
-    until("both ready", || all("a1", AgentState::Ready) && all("a2", AgentState::Ready)).await;
+    wait_until("both agents are ready", || {
+        all("a1", AgentState::Ready) && all("a2", AgentState::Ready)
+    })
+    .await;
     a1.set_state(AgentState::Draining);
-    until("draining", || all("a1", AgentState::Draining)).await;
+    wait_until("the agent is draining", || all("a1", AgentState::Draining)).await;
     kill(&a1);
-    until("found dead", || all("a1", AgentState::Down)).await;
+    wait_until("the agent is down", || all("a1", AgentState::Down)).await;
     assert!(all("a2", AgentState::Ready));
     a2.leave().await;
-    until("leaving", || all("a2", AgentState::Leaving)).await;
-    intact();
+    wait_until("the agent is leaving", || all("a2", AgentState::Leaving)).await;
+    assert_invariants();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn agents_outlive_their_balancers() {
+async fn an_agent_moves_to_another_balancer_when_its_balancers_fail() {
     let fleet = Fleet::new().await;
     let b1 = fleet.balancer("b1", "z1").await;
     let b2 = fleet.balancer("b2", "z2").await;
     let a1 = fleet.agent("a1", "z1", "p").await;
-    until("ready", || state_in(&b2, "a1") == Some(AgentState::Ready)).await;
+    wait_until("ready", || state_in(&b2, "a1") == Some(AgentState::Ready)).await;
     let b3 = fleet.balancer("b3", "z1").await;
-    until("known to the new one", || state_in(&b3, "a1") == Some(AgentState::Ready)).await;
+    wait_until("the agent is known to the new balancer", || {
+        state_in(&b3, "a1") == Some(AgentState::Ready)
+    })
+    .await;
     let mut seen = b3.watch();
     kill(&b1);
     let dead = |it: &Control, name: &str| {
         snapshot(it).balancers.get(name).is_some_and(|it| it.state == BalancerState::Down)
     };
-    until("the balancer is found dead", || dead(&b2, "b1") && dead(&b3, "b1")).await;
+    wait_until("the balancer is down", || dead(&b2, "b1") && dead(&b3, "b1")).await;
     kill(&b2);
-    until("the other one too", || dead(&b3, "b2")).await;
-    until("the agent moved", || homes(&a1) == ["b3"]).await;
+    wait_until("the other balancer is down", || dead(&b3, "b2")).await;
+    wait_until("the agent moved to the last balancer", || home_balancers(&a1) == ["b3"]).await;
     assert_eq!(state_in(&b3, "a1"), Some(AgentState::Ready));
     assert!(seen.borrow_and_update().agents["a1"].state == AgentState::Ready);
     let lease = || fleet.platform.read("lease", "seed-z1-0").map(|it| it.spec["holder"].clone());
-    until("the lease is taken over or held", || lease() == Some(json!("b3")) || holds(&b3)).await;
+    wait_until("the last balancer holds a lease", || lease() == Some(json!("b3")) || holds(&b3))
+        .await;
     let revision = fleet.add_service("ledger", 4433);
-    until("configuration", || has_service(&a1, "ledger", revision)).await;
-    intact();
+    wait_until("the service is known", || has_service(&a1, "ledger", revision)).await;
+    assert_invariants();
 }
 
-fn homes(control: &Control) -> Vec<String> {
+fn home_balancers(control: &Control) -> Vec<String> {
     match &control.inner.state.lock().own.role {
         MemberRole::Agent { homes, .. } => homes.clone(),
         MemberRole::Balancer { .. } => Vec::new(),
     }
 }
 
-// The order of an agent's balancers decides in which zone's report it stands. It hangs on their zones, which may become
-// known only after the links are up: then the agent stood in the report of the other zone for good.
+// The first home balancer decides which zone reports the agent. The order must be updated when zones become known after
+// the links are up.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_order_of_an_agents_balancers_follows_what_becomes_known_of_them() {
+async fn home_balancers_are_reordered_when_their_zones_become_known() {
     let fleet = Fleet::new().await;
     let _b1 = fleet.balancer("b1", "z1").await;
     let _b2 = fleet.balancer("b2", "z2").await;
     let a1 = fleet.agent("a1", "z1", "p").await;
-    until("linked to both", || homes(&a1) == ["b1", "b2"]).await;
+    wait_until("linked to both balancers", || home_balancers(&a1) == ["b1", "b2"]).await;
     a1.inner.state.lock().announce(|role| {
         if let MemberRole::Agent { homes, .. } = role {
             homes.reverse();
         }
     });
-    until("the own zone's balancer first", || homes(&a1) == ["b1", "b2"]).await;
-    intact();
+    wait_until("the balancer of the own zone is first", || home_balancers(&a1) == ["b1", "b2"])
+        .await;
+    assert_invariants();
 }
 
 fn holds(control: &Control) -> bool {
@@ -281,37 +303,40 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_process_joins_through_peers_while_the_platform_is_down() {
+async fn a_process_joins_through_peers_while_the_platform_is_unavailable() {
     let fleet = Fleet::new().await;
     let b1 = fleet.balancer("b1", "z1").await;
     let revision = fleet.add_service("ledger", 4433);
-    until("configuration", || has_service(&b1, "ledger", revision)).await;
-    fleet.platform.set_down(true);
-    let lonely = fleet.balancer("lonely", "z2").await;
+    wait_until("the service is known", || has_service(&b1, "ledger", revision)).await;
+    fleet.platform.set_unavailable(true);
+    let isolated = fleet.balancer("lonely", "z2").await;
     let b2 = fleet.balancer_with("b2", "z2", &[b1.inner.common.control]).await;
-    until("joined", || has_service(&b2, "ledger", revision)).await;
+    wait_until("joined through a peer", || has_service(&b2, "ledger", revision)).await;
     assert!(b2.synced());
-    assert!(!lonely.synced(), "nothing is served that was not verified");
-    fleet.platform.set_down(false);
+    assert!(!isolated.synced(), "not synced without platform or peers");
+    fleet.platform.set_unavailable(false);
     let next = fleet.add_service("intake", 4434);
-    let all = [&b1, &b2, &lonely];
-    until("back to normal", || all.iter().all(|it| has_service(it, "intake", next))).await;
-    intact();
+    let all = [&b1, &b2, &isolated];
+    wait_until("all processes have the next change", || {
+        all.iter().all(|it| has_service(it, "intake", next))
+    })
+    .await;
+    assert_invariants();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_skipped_event_and_a_lost_answer_are_made_good() {
+async fn a_skipped_watch_event_and_a_lost_response_are_recovered() {
     let fleet = Fleet::new().await;
     let b1 = fleet.balancer("b1", "z1").await;
-    until("synced", || b1.synced()).await;
-    fleet.platform.skip_events(true);
+    wait_until("synced", || b1.synced()).await;
+    fleet.platform.skip_watch_events(true);
     fleet.add_service("ledger", 4433);
-    fleet.platform.lose_next();
+    fleet.platform.lose_next_response();
     sleep(Duration::from_secs(1)).await;
-    fleet.platform.skip_events(false);
-    until("found by a list", || has_service(&b1, "ledger", 0)).await;
-    until("the lease is still held", || holds(&b1)).await;
-    intact();
+    fleet.platform.skip_watch_events(false);
+    wait_until("the service is found by a list", || has_service(&b1, "ledger", 0)).await;
+    wait_until("the lease is still held", || holds(&b1)).await;
+    assert_invariants();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -319,18 +344,18 @@
     let fleet = Fleet::new().await;
     let b1 = fleet.balancer("b1", "z1").await;
     let old = fleet.agent("a1", "z1", "p").await;
-    until("ready", || state_in(&b1, "a1").is_some()).await;
-    old.inner.state.lock().age();
+    wait_until("ready", || state_in(&b1, "a1").is_some()).await;
+    old.inner.state.lock().skip_name_grace();
     sleep(Duration::from_millis(5)).await;
     let new = fleet.agent("a1", "z1", "p").await;
     let mut fenced = old.fenced();
-    within("fenced", fenced.wait_for(|it| *it)).await.unwrap();
+    with_timeout("fenced", fenced.wait_for(|it| *it)).await.unwrap();
     assert!(!*new.fenced().borrow());
-    intact();
+    assert_invariants();
 }
 
-/// Speaks for an agent by hand, so that it can fall silent without closing its link.
-async fn speak(fleet: &Fleet, home: &Control, agent: &Member) -> Stream {
+/// Connects as an agent that sends no heartbeats and keeps its link open.
+async fn connect_as_agent(fleet: &Fleet, home: &Control, agent: &Member) -> Stream {
     use futures::SinkExt;
 
     let tls = Tls::new(&fleet.pem).unwrap();
@@ -352,7 +377,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_silent_agent_keeps_its_flows_for_a_while() {
+async fn a_silent_agent_is_not_declared_down_at_once() {
     let fleet = Fleet::new().await;
     let b1 = fleet.balancer("b1", "z1").await;
     let common = fleet.common("a1", "z1", &[]);
@@ -369,26 +394,24 @@
     };
     let role = MemberRole::Agent { agent, homes: vec!["b1".to_owned()] };
     let mut member = Member { version: Version::member(7, 0), since_ms: 0, role };
-    let first = speak(&fleet, &b1, &member).await;
-    until("ready", || state_in(&b1, "a1") == Some(AgentState::Ready)).await;
-    until("silent", || state_in(&b1, "a1") == Some(AgentState::Silent)).await;
+    let first = connect_as_agent(&fleet, &b1, &member).await;
+    wait_until("ready", || state_in(&b1, "a1") == Some(AgentState::Ready)).await;
+    wait_until("silent", || state_in(&b1, "a1") == Some(AgentState::Silent)).await;
     assert!(AgentState::Silent.answers() && !AgentState::Silent.takes_work());
     sleep(Duration::from_secs(4)).await;
-    assert_eq!(state_in(&b1, "a1"), Some(AgentState::Silent), "its flows are not given up yet");
+    assert_eq!(state_in(&b1, "a1"), Some(AgentState::Silent), "not down within the grace period");
     member.version = Version::member(7, 2);
-    let second = speak(&fleet, &b1, &member).await;
-    until("back", || state_in(&b1, "a1") == Some(AgentState::Ready)).await;
+    let second = connect_as_agent(&fleet, &b1, &member).await;
+    wait_until("ready again", || state_in(&b1, "a1") == Some(AgentState::Ready)).await;
     drop(second);
-    until("dead once its process closed the link", || {
-        state_in(&b1, "a1") == Some(AgentState::Down)
-    })
-    .await;
+    wait_until("down after the link is closed", || state_in(&b1, "a1") == Some(AgentState::Down))
+        .await;
     drop(first);
-    intact();
+    assert_invariants();
 }
 
 #[tokio::test]
-async fn a_stranger_and_a_faulty_frame_are_refused() {
+async fn an_untrusted_peer_and_an_invalid_frame_are_refused() {
     use futures::{SinkExt, StreamExt};
     use tokio::io::AsyncWriteExt;
 
@@ -397,28 +420,27 @@
     let address = b1.inner.common.control;
     let mut plain = TcpStream::connect(address).await.unwrap();
     plain.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
-    let stranger = Tls::new(&fleet_pem()).unwrap();
+    let untrusted = Tls::new(&fleet_pem()).unwrap();
     let stream = TcpStream::connect(address).await.unwrap();
-    assert!(stranger.connect(stream).await.is_err(), "another CA");
-    let own = Tls::new(&fleet.pem).unwrap();
-    let stream = own.connect(TcpStream::connect(address).await.unwrap()).await.unwrap();
+    assert!(untrusted.connect(stream).await.is_err(), "certificate of another CA");
+    let trusted = Tls::new(&fleet.pem).unwrap();
+    let stream = trusted.connect(TcpStream::connect(address).await.unwrap()).await.unwrap();
     let mut frames = frame::frames(stream);
     frames.send(bytes::Bytes::from(vec![0xff; 64])).await.unwrap();
-    let end = within("the link ends", frames.next()).await;
+    let end = with_timeout("the link is closed", frames.next()).await;
     assert!(end.is_none_or(|it| it.is_err()));
     assert!(b1.inner.state.lock().links.is_empty());
 }
 
-/// Port of a service's address, as a process knows it.
+/// Port of a service's address in the snapshot of a process.
 fn port_of(control: &Control, name: &str) -> Option<u16> {
     let snapshot = snapshot(control);
     snapshot.services.get(&ServiceId::new(name)).map(|it| it.spec.address.port())
 }
 
-// A change that the platform had confirmed was in force nowhere, and its leases could not be taken: it had come back from an older
-// copy, and gave out again revisions that all processes held for past.
+// A restored platform reuses revisions. Without eras, processes ignored new changes and could not take leases.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn changes_are_in_force_after_the_platform_came_back_from_a_copy() {
+async fn changes_are_applied_after_the_platform_is_restored_from_a_backup() {
     let fleet = Fleet::new().await;
     fleet.add_service("ledger", 4_433);
     let b1 = fleet.balancer("b1", "z1").await;
@@ -426,25 +448,30 @@
     let a1 = fleet.agent("a1", "z1", "ledger").await;
     let all = [&b1, &b2, &a1];
     let in_force = |name, port| all.iter().all(|it| port_of(it, name) == Some(port));
-    until("the service everywhere", || in_force("ledger", 4_433)).await;
-    fleet.platform.keep_copy();
+    wait_until("all processes have the service", || in_force("ledger", 4_433)).await;
+    fleet.platform.take_backup();
     for port in 4_500..4_510 {
         fleet.add_service("ledger", port);
     }
     fleet.add_service("intake", 4_434);
-    until("the changes everywhere", || in_force("ledger", 4_509) && in_force("intake", 4_434))
-        .await;
-    fleet.platform.reset();
-    // What was confirmed holds until the operator has written it again.
+    wait_until("all processes have the changes", || {
+        in_force("ledger", 4_509) && in_force("intake", 4_434)
+    })
+    .await;
+    fleet.platform.restore_backup();
+    // Confirmed changes stay in force until they are written again.
     sleep(Duration::from_secs(1)).await;
     assert!(in_force("ledger", 4_509) && in_force("intake", 4_434));
     fleet.add_service("ledger", 4_509);
     fleet.add_service("intake", 4_434);
     let changed = fleet.add_service("ledger", 4_600);
-    until("a change everywhere", || in_force("ledger", 4_600) && in_force("intake", 4_434)).await;
-    until("the reports say so", || {
+    wait_until("all processes have the change", || {
+        in_force("ledger", 4_600) && in_force("intake", 4_434)
+    })
+    .await;
+    wait_until("reports show the change in force", || {
         report_of(&fleet, "z1").is_some_and(|it| it.in_force >= changed)
     })
     .await;
-    intact();
+    assert_invariants();
 }
--- a/crates/daemon/src/lease.rs
+++ b/crates/daemon/src/lease.rs
@@ -16,9 +16,9 @@
 
 use crate::{
     clock::{now_ms, wall_ms},
-    control::{Inner, state::as_peers},
+    control::{Inner, state::mesh_peers},
     event::{self, About, Id},
-    platform::Put,
+    platform::PutOutcome,
     report::{self, Detail},
     seed,
     timeline::TimelineWriter,
@@ -141,12 +141,12 @@
         };
         self.written_ms = now_ms();
         match self.inner.platform.put(Kind::Lease, &name, attempt.base, &json!(lease)).await {
-            Ok(Put::Done(object)) => {
+            Ok(PutOutcome::Done(object)) => {
                 self.keeper.written(now_ms(), &attempt, object.version);
             }
-            Ok(Put::Conflict(current)) => self.observe(attempt.number, current),
+            Ok(PutOutcome::Conflict(current)) => self.observe(attempt.number, current),
             Err(e) => {
-                self.inner.platform_lost(&e);
+                self.inner.platform_failed(&e);
                 self.read(attempt.number).await;
             }
         }
@@ -164,12 +164,12 @@
         let name = Lease::name(&self.zone, number);
         match self.inner.platform.get(Kind::Lease, &name).await {
             Ok(object) => {
-                self.inner.platform_back();
+                self.inner.platform_recovered();
                 self.observe(number, object);
                 true
             }
             Err(e) => {
-                self.inner.platform_lost(&e);
+                self.inner.platform_failed(&e);
                 false
             }
         }
@@ -208,7 +208,7 @@
         if held >= LEASES {
             return LOOK_MS;
         }
-        let rank = mesh::rank(&self.zone, state.own.name(), &as_peers(&in_zone)) as u64;
+        let rank = mesh::rank(&self.zone, state.own.name(), &mesh_peers(&in_zone)) as u64;
         LOOK_SOON_MS + rank * RANK_MS
     }
 
@@ -266,7 +266,7 @@
             None => match TimelineWriter::open(inner, &self.zone).await {
                 Ok(it) => it,
                 Err(e) => {
-                    inner.platform_lost(&e);
+                    inner.platform_failed(&e);
                     return None;
                 }
             },
@@ -284,7 +284,7 @@
             None => match WholeWriter::open(&self.inner, &self.zone).await {
                 Ok(it) => it,
                 Err(e) => {
-                    self.inner.platform_lost(&e);
+                    self.inner.platform_failed(&e);
                     return None;
                 }
             },
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,7 +1,7 @@
 //! Client of the platform's object API.
 //!
-//! Every call has a timeout. A write carries a fresh writer's mark: when its answer is lost, the same write is sent
-//! again, and a conflict whose object carries the mark says that the first one took effect.
+//! Every call has a timeout. Each write has a random writer ID. A write whose response was lost is retried; if the retry
+//! conflicts with an object that has the same writer ID, the first attempt took effect.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -30,71 +30,70 @@
     metrics,
 };
 
-/// Longest wait for an answer.
+/// Limit for a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest wait for a list.
+/// Limit for a list.
 const LIST_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest time for a write with its retries. It is shorter than a holder counts on its lease.
-const PUT_TIMEOUT: Duration = Duration::from_secs(6);
-/// First wait before a write is sent again.
-const RETRY_MIN: Duration = Duration::from_millis(50);
-/// Longest wait before a write is sent again.
-const RETRY_MAX: Duration = Duration::from_secs(1);
-/// Largest answer: a list of many objects.
-const MAX_ANSWER: usize = 64 << 20;
-/// Bytes of a call besides its body, about.
-const CALL_OVERHEAD: u64 = 200;
-
-/// A call that failed.
+/// Limit for a write including its retries; shorter than the duration of a lease.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(6);
+/// Initial delay before a write is retried.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Longest delay before a write is retried.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// Estimated size of the headers of a call.
+const CALL_OVERHEAD_BYTES: u64 = 200;
+
+/// A failed call.
 #[derive(Debug, Error)]
 pub(crate) enum PlatformError {
-    /// No answer, or one that says so: the outcome of a write is not known.
-    #[error("{step} at the platform {peer}: {reason}")]
-    Unavailable { step: String, peer: SocketAddr, reason: String },
-    /// The platform no longer keeps the events that were asked for, or has come back from an older copy.
-    #[error("{step} at the platform {peer}: the revision is too old")]
-    TooOld { step: String, peer: SocketAddr },
-    /// The platform refused the call.
-    #[error("{step} at the platform {peer}: {status}: {reason}")]
-    Refused { step: String, peer: SocketAddr, status: u16, reason: String },
+    /// No response, or a server error. The outcome of a write is unknown.
+    #[error("{operation} at the platform {peer}: {reason}")]
+    Unavailable { operation: String, peer: SocketAddr, reason: String },
+    /// The requested events were discarded, or the platform was restored from a backup.
+    #[error("{operation} at the platform {peer}: the revision is too old")]
+    TooOld { operation: String, peer: SocketAddr },
+    /// The platform rejected the call.
+    #[error("{operation} at the platform {peer}: {status}: {reason}")]
+    Refused { operation: String, peer: SocketAddr, status: u16, reason: String },
 }
 
-/// Whole list of a kind.
+/// All objects of a kind.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct List {
     /// Revision of the list.
     pub(crate) revision: u64,
     /// The objects.
     pub(crate) items: Vec<Object>,
-    /// Size of the answer.
+    /// Size of the response body.
     #[serde(skip)]
     pub(crate) bytes: usize,
 }
 
-/// What happened to an object.
+/// Kind of a watch event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub(crate) enum Happened {
-    /// It was created or updated.
+pub(crate) enum WatchEventKind {
+    /// The object was created or updated.
     Put,
-    /// It was deleted; its version is the revision of the deletion.
+    /// The object was deleted; its version is the revision of the deletion.
     Delete,
 }
 
 /// One event of a watch.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct WatchEvent {
-    /// What happened.
+    /// Kind of the event.
     #[serde(rename = "type")]
-    pub(crate) happened: Happened,
-    /// To which object.
+    pub(crate) kind: WatchEventKind,
+    /// The object after the event.
     pub(crate) object: Object,
 }
 
-/// Answer of a watch.
+/// Response of a watch.
 #[derive(Clone, Debug, Deserialize)]
-pub(crate) struct Watched {
-    /// Revision up to which the events go.
+pub(crate) struct WatchResponse {
+    /// Revision of the last event.
     pub(crate) revision: u64,
     /// The events.
     pub(crate) events: Vec<WatchEvent>,
@@ -104,34 +103,34 @@
 
 /// Outcome of a write.
 #[derive(Clone, Debug)]
-pub(crate) enum Put {
-    /// It took effect.
+pub(crate) enum PutOutcome {
+    /// The write took effect; the written object.
     Done(Object),
-    /// It did not: the object is another one by now, or none.
+    /// The write had no effect because the version differs; the current object, if any.
     Conflict(Option<Object>),
 }
 
 #[derive(Deserialize)]
-struct Fault {
+struct ErrorBody {
     #[serde(default)]
     error: String,
     #[serde(default)]
     current: Option<Object>,
 }
 
-struct Answer {
+struct ApiResponse {
     status: StatusCode,
-    /// Era of the platform in which it answered.
+    /// Era of the platform.
     era: u64,
     body: Bytes,
 }
 
-/// Versions in an answer are numbers of its era; packed with it they are ordered over all eras.
+/// Combines a version with the era of the response, so that versions are ordered across eras.
 fn pack(version: &mut u64, era: u64) {
     *version = Revision::new(era, *version).packed();
 }
 
-/// The client.
+/// Client of the platform.
 #[derive(Clone)]
 pub(crate) struct Platform {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -140,7 +139,7 @@
 }
 
 impl Platform {
-    /// A client of the platform at `address`.
+    /// Creates a client of the platform at `address`.
     pub(crate) fn new(address: SocketAddr) -> Platform {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -150,18 +149,18 @@
         Platform { client: builder.build(connector), address, era: watch::Sender::new(None) }
     }
 
-    /// The highest era that an answer told; none before the first.
+    /// Highest era received; `None` before the first response.
     pub(crate) fn era(&self) -> Option<u64> {
         *self.era.borrow()
     }
 
-    /// Lists a kind.
+    /// Lists the objects of a kind.
     pub(crate) async fn list(&self, kind: Kind) -> Result<List, PlatformError> {
-        let step = format!("list {kind}");
+        let operation = format!("list {kind}");
         let path = format!("/v1/objects/{kind}");
-        let answer = self.call(&step, Method::GET, &path, None, LIST_TIMEOUT).await?;
-        let (bytes, era) = (answer.body.len(), answer.era);
-        let mut list: List = self.parse(&step, answer)?;
+        let response = self.call(&operation, Method::GET, &path, None, LIST_TIMEOUT).await?;
+        let (bytes, era) = (response.body.len(), response.era);
+        let mut list: List = self.parse(&operation, response)?;
         pack(&mut list.revision, era);
         for object in &mut list.items {
             pack(&mut object.version, era);
@@ -175,208 +174,220 @@
         kind: Kind,
         name: &str,
     ) -> Result<Option<Object>, PlatformError> {
-        let step = format!("get {kind}/{name}");
+        let operation = format!("get {kind}/{name}");
         let path = format!("/v1/objects/{kind}/{name}");
-        let answer = self.call(&step, Method::GET, &path, None, CALL_TIMEOUT).await?;
-        if answer.status == StatusCode::NOT_FOUND {
+        let response = self.call(&operation, Method::GET, &path, None, CALL_TIMEOUT).await?;
+        if response.status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        self.parse_object(&step, answer).map(Some)
+        self.parse_object(&operation, response).map(Some)
     }
 
-    /// Waits for events of the configuration's kinds after `since`.
-    pub(crate) async fn watch(&self, since: u64, wait: Duration) -> Result<Watched, PlatformError> {
+    /// Waits for events of the configuration kinds after `since`.
+    pub(crate) async fn watch(
+        &self,
+        since: u64,
+        wait: Duration,
+    ) -> Result<WatchResponse, PlatformError> {
         let since = Revision::unpacked(since);
-        let step = format!("{WATCH} since {since}");
+        let operation = format!("{WATCH} since {since}");
         let mut path = format!("/v1/watch?since={}&wait={}", since.number, wait.as_secs());
         for kind in Kind::CONFIG {
             path.push_str(&format!("&kind={kind}"));
         }
-        let answer = self.call(&step, Method::GET, &path, None, wait + CALL_TIMEOUT).await?;
-        let era = answer.era;
-        // In another era the same number stands for another state, after which other events come.
-        if answer.status == StatusCode::GONE || era != since.era {
-            return Err(PlatformError::TooOld { step, peer: self.address });
+        let response = self.call(&operation, Method::GET, &path, None, wait + CALL_TIMEOUT).await?;
+        let era = response.era;
+        // Revision numbers are reused in another era.
+        if response.status == StatusCode::GONE || era != since.era {
+            return Err(PlatformError::TooOld { operation, peer: self.address });
         }
-        let mut watched: Watched = self.parse(&step, answer)?;
-        pack(&mut watched.revision, era);
-        for event in &mut watched.events {
+        let mut response: WatchResponse = self.parse(&operation, response)?;
+        pack(&mut response.revision, era);
+        for event in &mut response.events {
             pack(&mut event.object.version, era);
         }
-        Ok(watched)
+        Ok(response)
     }
 
-    /// Writes an object if its version is still `base`; 0 creates it.
+    /// Writes an object if its version equals `base`; 0 creates it.
     pub(crate) async fn put(
         &self,
         kind: Kind,
         name: &str,
         base: u64,
         spec: &Value,
-    ) -> Result<Put, PlatformError> {
-        let step = format!("put {kind}/{name}");
+    ) -> Result<PutOutcome, PlatformError> {
+        let operation = format!("put {kind}/{name}");
         let path = format!("/v1/objects/{kind}/{name}");
         let base = Revision::unpacked(base);
         if base.number > 0 && Some(base.era) < self.era() {
-            // The platform may have given the same number to another writer's object.
-            return Ok(Put::Conflict(self.get(kind, name).await?));
+            // After a restore, another writer's object may have the same version number.
+            return Ok(PutOutcome::Conflict(self.get(kind, name).await?));
         }
-        let mark = format!("{:032x}", rand::rng().random::<u128>());
-        let body = json!({ "version": base.number, "writer": mark, "spec": spec }).to_string();
+        let writer_id = format!("{:032x}", rand::rng().random::<u128>());
+        let body = json!({ "version": base.number, "writer": writer_id, "spec": spec }).to_string();
         let body = Bytes::from(body);
-        let deadline = Instant::now() + PUT_TIMEOUT;
-        let mut wait = RETRY_MIN;
-        let mut lost = false;
+        let deadline = Instant::now() + WRITE_TIMEOUT;
+        let mut delay = MIN_RETRY_DELAY;
+        let mut response_lost = false;
         loop {
-            let call = self.call(&step, Method::PUT, &path, Some(body.clone()), CALL_TIMEOUT);
+            let call = self.call(&operation, Method::PUT, &path, Some(body.clone()), CALL_TIMEOUT);
             match call.await {
-                Ok(answer) if base.number > 0 && answer.era != base.era => {
-                    let reason = "the platform was reset meanwhile".to_owned();
-                    return Err(self.unavailable(&step, reason));
+                Ok(response) if base.number > 0 && response.era != base.era => {
+                    let reason =
+                        "the platform was restored from a backup during the write".to_owned();
+                    return Err(self.unavailable(&operation, reason));
+                }
+                Ok(response) => {
+                    return self.resolve_write(&operation, response, &writer_id, response_lost);
                 }
-                Ok(answer) => return self.settle(&step, answer, &mark, lost),
-                Err(e) if Instant::now() + wait > deadline => return Err(e),
-                Err(_) => lost = true,
+                Err(e) if Instant::now() + delay > deadline => return Err(e),
+                Err(_) => response_lost = true,
             }
-            sleep(wait).await;
-            wait = (wait * 2).min(RETRY_MAX);
+            sleep(delay).await;
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    fn settle(
+    fn resolve_write(
         &self,
-        step: &str,
-        answer: Answer,
-        mark: &str,
-        lost: bool,
-    ) -> Result<Put, PlatformError> {
-        if answer.status != StatusCode::CONFLICT {
-            return self.parse_object(step, answer).map(Put::Done);
+        operation: &str,
+        response: ApiResponse,
+        writer_id: &str,
+        response_lost: bool,
+    ) -> Result<PutOutcome, PlatformError> {
+        if response.status != StatusCode::CONFLICT {
+            return self.parse_object(operation, response).map(PutOutcome::Done);
         }
-        let mut fault: Fault = self.decode(step, &answer.body)?;
-        if let Some(current) = &mut fault.current {
-            pack(&mut current.version, answer.era);
+        let mut error_body: ErrorBody = self.decode(operation, &response.body)?;
+        if let Some(current) = &mut error_body.current {
+            pack(&mut current.version, response.era);
         }
-        let own = fault.current.as_ref().is_some_and(|it| it.writer == mark);
-        match fault.current {
-            Some(current) if own && lost => {
-                event::emit(Id::WriteSettled, About::new(), &format!("{step}: took effect"));
-                Ok(Put::Done(current))
+        let own = error_body.current.as_ref().is_some_and(|it| it.writer == writer_id);
+        match error_body.current {
+            Some(current) if own && response_lost => {
+                event::emit(Id::WriteSettled, About::new(), &format!("{operation}: took effect"));
+                Ok(PutOutcome::Done(current))
             }
-            current => Ok(Put::Conflict(current)),
+            current => Ok(PutOutcome::Conflict(current)),
         }
     }
 
     async fn call(
         &self,
-        step: &str,
+        operation: &str,
         method: Method,
         path: &str,
         body: Option<Bytes>,
         limit: Duration,
-    ) -> Result<Answer, PlatformError> {
+    ) -> Result<ApiResponse, PlatformError> {
         let sent = body.as_ref().map_or(0, Bytes::len) as u64;
-        metrics::control_sent(sent + CALL_OVERHEAD);
-        metrics::platform_bytes(call_of(step), sent + CALL_OVERHEAD);
-        let answer = match timeout(limit, self.exchange(method, path, body)).await {
-            Ok(Ok(answer)) => answer,
-            Ok(Err(reason)) => return Err(self.unavailable(step, reason)),
-            Err(_) => return Err(self.unavailable(step, "timeout".to_owned())),
+        metrics::control_sent(sent + CALL_OVERHEAD_BYTES);
+        metrics::platform_bytes(call_label(operation), sent + CALL_OVERHEAD_BYTES);
+        let response = match timeout(limit, self.send_request(method, path, body)).await {
+            Ok(Ok(response)) => response,
+            Ok(Err(reason)) => return Err(self.unavailable(operation, reason)),
+            Err(_) => return Err(self.unavailable(operation, "timeout".to_owned())),
         };
-        let received = answer.body.len() as u64 + CALL_OVERHEAD;
+        let received = response.body.len() as u64 + CALL_OVERHEAD_BYTES;
         metrics::control_received(received);
-        metrics::platform_bytes(call_of(step), received);
-        let status = answer.status;
+        metrics::platform_bytes(call_label(operation), received);
+        let status = response.status;
         if status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS {
-            return Err(self.unavailable(step, status.to_string()));
+            return Err(self.unavailable(operation, status.to_string()));
         }
-        Ok(answer)
+        Ok(response)
     }
 
-    async fn exchange(
+    async fn send_request(
         &self,
         method: Method,
         path: &str,
         body: Option<Bytes>,
-    ) -> Result<Answer, String> {
+    ) -> Result<ApiResponse, String> {
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.address))
             .header(CONTENT_TYPE, "application/json")
             .body(Full::new(body.unwrap_or_default()))
             .map_err(|e| e.to_string())?;
-        let response = self.client.request(request).await.map_err(|e| chain(&e))?;
+        let response = self.client.request(request).await.map_err(|e| error_chain(&e))?;
         let status = response.status();
         let era = response.headers().get(ERA_HEADER).map(HeaderValue::as_bytes);
         let era = parse_era(ERA_HEADER, era).map_err(|e| e.to_string())?;
-        self.note_era(era);
-        let body = Limited::new(response.into_body(), MAX_ANSWER);
+        self.observe_era(era);
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
         let body = body.collect().await.map_err(|e| e.to_string())?.to_bytes();
-        Ok(Answer { status, era, body })
+        Ok(ApiResponse { status, era, body })
     }
 
-    /// Notes the era of an answer. An answer of a former era may come after one of a later era.
-    fn note_era(&self, era: u64) {
+    /// Records the era of a response. Responses of an earlier era may still arrive after one of a later era.
+    fn observe_era(&self, era: u64) {
         let mut before = None;
         self.era.send_if_modified(|known| {
             before = *known;
-            let rose = *known < Some(era);
-            if rose {
+            let raised = *known < Some(era);
+            if raised {
                 *known = Some(era);
             }
-            rose
+            raised
         });
         if let Some(before) = before.filter(|it| *it < era) {
-            let text = format!("the platform came back from a copy: era {before} to {era}");
+            let text = format!("the platform was restored from a backup: era {before} to {era}");
             event::emit(Id::PlatformReset, About::new(), &text);
         }
     }
 
-    fn parse_object(&self, step: &str, answer: Answer) -> Result<Object, PlatformError> {
-        let era = answer.era;
-        let mut object: Object = self.parse(step, answer)?;
+    fn parse_object(
+        &self,
+        operation: &str,
+        response: ApiResponse,
+    ) -> Result<Object, PlatformError> {
+        let era = response.era;
+        let mut object: Object = self.parse(operation, response)?;
         pack(&mut object.version, era);
         Ok(object)
     }
 
-    fn parse<T>(&self, step: &str, answer: Answer) -> Result<T, PlatformError>
+    fn parse<T>(&self, operation: &str, response: ApiResponse) -> Result<T, PlatformError>
     where
         T: DeserializeOwned,
     {
-        if answer.status.is_success() {
-            return self.decode(step, &answer.body);
+        if response.status.is_success() {
+            return self.decode(operation, &response.body);
         }
-        let fault: Option<Fault> = serde_json::from_slice(&answer.body).ok();
+        let error_body: Option<ErrorBody> = serde_json::from_slice(&response.body).ok();
         Err(PlatformError::Refused {
-            step: step.to_owned(),
+            operation: operation.to_owned(),
             peer: self.address,
-            status: answer.status.as_u16(),
-            reason: fault.map(|it| it.error).unwrap_or_default(),
+            status: response.status.as_u16(),
+            reason: error_body.map(|it| it.error).unwrap_or_default(),
         })
     }
 
-    fn decode<T>(&self, step: &str, body: &[u8]) -> Result<T, PlatformError>
+    fn decode<T>(&self, operation: &str, body: &[u8]) -> Result<T, PlatformError>
     where
         T: DeserializeOwned,
     {
-        serde_json::from_slice(body).map_err(|e| self.unavailable(step, format!("answer: {e}")))
+        serde_json::from_slice(body)
+            .map_err(|e| self.unavailable(operation, format!("invalid response: {e}")))
     }
 
-    fn unavailable(&self, step: &str, reason: String) -> PlatformError {
-        PlatformError::Unavailable { step: step.to_owned(), peer: self.address, reason }
+    fn unavailable(&self, operation: &str, reason: String) -> PlatformError {
+        PlatformError::Unavailable { operation: operation.to_owned(), peer: self.address, reason }
     }
 }
 
-/// What a call is in metrics: its verb and kind, without the name.
-fn call_of(step: &str) -> &str {
-    if step.starts_with(WATCH) {
+/// Metric label of a call: verb and kind, without the object name.
+fn call_label(operation: &str) -> &str {
+    if operation.starts_with(WATCH) {
         return WATCH;
     }
-    step.split('/').next().unwrap_or(step)
+    operation.split('/').next().unwrap_or(operation)
 }
 
-/// The error with its causes: the client's own text leaves them out.
-fn chain(e: &dyn std::error::Error) -> String {
+/// Formats an error with its causes, which the client's own text omits.
+fn error_chain(e: &dyn std::error::Error) -> String {
     let mut text = e.to_string();
     let mut cause = e.source();
     while let Some(it) = cause {
--- a/crates/daemon/src/platform/fake.rs
+++ b/crates/daemon/src/platform/fake.rs
@@ -1,4 +1,4 @@
-//! A small platform in memory, with the faults that the tests need.
+//! In-memory platform with fault injection for tests.
 
 use std::{
     collections::BTreeMap,
@@ -23,15 +23,15 @@
 #[derive(Default)]
 struct Store {
     data: Data,
-    /// Rises each time that the platform comes back from its copy.
+    /// Number of restores.
     era: u64,
-    copy: Data,
-    down: bool,
-    lose: bool,
-    skip: bool,
+    backup: Data,
+    unavailable: bool,
+    lose_response: bool,
+    skip_events: bool,
 }
 
-/// What the platform holds, and loses if it comes back from a copy.
+/// Stored data, replaced by a restore.
 #[derive(Clone, Default)]
 struct Data {
     revision: u64,
@@ -39,17 +39,17 @@
     events: Vec<(&'static str, Object)>,
 }
 
-/// The platform.
+/// Handle of the fake platform.
 #[derive(Clone, Default)]
-pub(crate) struct Fake {
+pub(crate) struct FakePlatform {
     store: Arc<Mutex<Store>>,
-    news: Arc<Notify>,
+    changed: Arc<Notify>,
 }
 
-impl Fake {
-    /// Serves on a free port.
-    pub(crate) async fn start() -> (Fake, SocketAddr) {
-        let fake = Fake::default();
+impl FakePlatform {
+    /// Serves on a free port of the loopback interface.
+    pub(crate) async fn start() -> (FakePlatform, SocketAddr) {
+        let fake = FakePlatform::default();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let served = fake.clone();
@@ -59,7 +59,7 @@
                 let fake = served.clone();
                 let service = service_fn(move |it| {
                     let fake = fake.clone();
-                    async move { fake.answer(it).await }
+                    async move { fake.handle(it).await }
                 });
                 let io = TokioIo::new(stream);
                 tokio::spawn(http1::Builder::new().serve_connection(io, service));
@@ -68,41 +68,41 @@
         (fake, address)
     }
 
-    /// Answers every call with 503, or no longer.
-    pub(crate) fn set_down(&self, down: bool) {
-        self.store.lock().unwrap().down = down;
-        self.news.notify_waiters();
+    /// Sets whether every call is answered with 503.
+    pub(crate) fn set_unavailable(&self, unavailable: bool) {
+        self.store.lock().unwrap().unavailable = unavailable;
+        self.changed.notify_waiters();
     }
 
-    /// Loses the answer of the next write, which takes effect.
-    pub(crate) fn lose_next(&self) {
-        self.store.lock().unwrap().lose = true;
+    /// Applies the next write but answers it with 504.
+    pub(crate) fn lose_next_response(&self) {
+        self.store.lock().unwrap().lose_response = true;
     }
 
-    /// Leaves out events from watches.
-    pub(crate) fn skip_events(&self, skip: bool) {
-        self.store.lock().unwrap().skip = skip;
+    /// Sets whether watch responses omit their events.
+    pub(crate) fn skip_watch_events(&self, skip_events: bool) {
+        self.store.lock().unwrap().skip_events = skip_events;
     }
 
-    /// Keeps a copy of all that it holds.
-    pub(crate) fn keep_copy(&self) {
+    /// Takes a backup of the data.
+    pub(crate) fn take_backup(&self) {
         let mut store = self.store.lock().unwrap();
-        store.copy = store.data.clone();
+        store.backup = store.data.clone();
     }
 
-    /// Comes back from its copy: what was written since is lost, and revisions are given out again.
-    pub(crate) fn reset(&self) {
+    /// Restores the backup in a new era: later writes are lost and their revisions are reused.
+    pub(crate) fn restore_backup(&self) {
         let mut store = self.store.lock().unwrap();
-        store.data = store.copy.clone();
+        store.data = store.backup.clone();
         store.era += 1;
         drop(store);
-        self.news.notify_waiters();
+        self.changed.notify_waiters();
     }
 
-    /// Writes an object whatever its version; returns the new one.
+    /// Writes an object unconditionally; returns its new version.
     pub(crate) fn write(&self, kind: &str, name: &str, spec: Value) -> u64 {
         let version = self.store.lock().unwrap().data.put(kind, name, "test", spec).version;
-        self.news.notify_waiters();
+        self.changed.notify_waiters();
         version
     }
 
@@ -111,11 +111,11 @@
         let mut store = self.store.lock().unwrap();
         let data = &mut store.data;
         data.revision += 1;
-        let mut gone = data.objects.remove(&(kind.to_owned(), name.to_owned())).unwrap();
-        gone.version = data.revision;
-        data.events.push(("delete", gone));
+        let mut deleted = data.objects.remove(&(kind.to_owned(), name.to_owned())).unwrap();
+        deleted.version = data.revision;
+        data.events.push(("delete", deleted));
         drop(store);
-        self.news.notify_waiters();
+        self.changed.notify_waiters();
     }
 
     /// Reads an object.
@@ -124,7 +124,7 @@
         store.data.objects.get(&(kind.to_owned(), name.to_owned())).cloned()
     }
 
-    async fn answer(
+    async fn handle(
         &self,
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
@@ -132,11 +132,11 @@
         let body = body.collect().await.unwrap().to_bytes();
         let path = head.uri.path().to_owned();
         let (status, value) = match path.strip_prefix("/v1/objects/") {
-            _ if self.store.lock().unwrap().down => (503, json!({ "error": "down" })),
+            _ if self.store.lock().unwrap().unavailable => (503, json!({ "error": "down" })),
             None => self.watch(head.uri.query().unwrap_or_default()).await,
             Some(rest) => self.object(&head.method, rest, &body),
         };
-        let status = match self.store.lock().unwrap().down {
+        let status = match self.store.lock().unwrap().unavailable {
             true => StatusCode::SERVICE_UNAVAILABLE,
             false => StatusCode::from_u16(status).unwrap(),
         };
@@ -152,19 +152,19 @@
             let items: Vec<&Object> = data.objects.values().filter(|it| it.kind == rest).collect();
             return (200, json!({ "revision": data.revision, "items": items }));
         };
-        let old = store.data.objects.get(&(kind.to_owned(), name.to_owned())).cloned();
+        let current = store.data.objects.get(&(kind.to_owned(), name.to_owned())).cloned();
         if method == Method::GET {
-            return old.map_or((404, json!({ "error": "none" })), |it| (200, json!(it)));
+            return current.map_or((404, json!({ "error": "none" })), |it| (200, json!(it)));
         }
         let write: Value = serde_json::from_slice(body).unwrap();
-        if write["version"].as_u64() != Some(old.as_ref().map_or(0, |it| it.version)) {
-            return (409, json!({ "error": "conflict", "current": old }));
+        if write["version"].as_u64() != Some(current.as_ref().map_or(0, |it| it.version)) {
+            return (409, json!({ "error": "conflict", "current": current }));
         }
         let writer = write["writer"].as_str().unwrap();
         let object = store.data.put(kind, name, writer, write["spec"].clone());
-        let lost = std::mem::take(&mut store.lose);
-        self.news.notify_waiters();
-        if lost { (504, json!({ "error": "lost" })) } else { (200, json!(object)) }
+        let response_lost = std::mem::take(&mut store.lose_response);
+        self.changed.notify_waiters();
+        if response_lost { (504, json!({ "error": "lost" })) } else { (200, json!(object)) }
     }
 
     async fn watch(&self, query: &str) -> (u16, Value) {
@@ -174,14 +174,14 @@
             .and_then(|it| it.parse().ok())
             .unwrap();
         for _ in 0..20 {
-            let news = self.news.notified();
+            let changed = self.changed.notified();
             if since > self.store.lock().unwrap().data.revision {
                 return (410, json!({ "error": "the history does not hold this revision" }));
             }
-            if let Some(value) = self.store.lock().unwrap().since(since, query) {
+            if let Some(value) = self.store.lock().unwrap().watch_response(since, query) {
                 return (200, value);
             }
-            let _ = timeout(Duration::from_millis(500), news).await;
+            let _ = timeout(Duration::from_millis(500), changed).await;
         }
         (200, json!({ "revision": since, "events": [] }))
     }
@@ -204,17 +204,17 @@
 }
 
 impl Store {
-    fn since(&self, since: u64, query: &str) -> Option<Value> {
+    fn watch_response(&self, since: u64, query: &str) -> Option<Value> {
         let wanted = |it: &Object| query.contains(&format!("kind={}", it.kind));
-        let fresh: Vec<_> =
+        let recent: Vec<_> =
             self.data.events.iter().filter(|(_, it)| it.version > since && wanted(it)).collect();
-        if fresh.is_empty() && !self.down {
+        if recent.is_empty() && !self.unavailable {
             return None;
         }
-        let events: Vec<Value> = match self.skip {
+        let events: Vec<Value> = match self.skip_events {
             true => Vec::new(),
             false => {
-                fresh.iter().map(|(it, object)| json!({ "type": it, "object": object })).collect()
+                recent.iter().map(|(it, object)| json!({ "type": it, "object": object })).collect()
             }
         };
         Some(json!({ "revision": self.data.revision, "events": events }))
--- a/crates/daemon/src/platform/tests.rs
+++ b/crates/daemon/src/platform/tests.rs
@@ -1,43 +1,44 @@
-use super::{fake::Fake, *};
+use super::{fake::FakePlatform, *};
 
-async fn start() -> (Fake, Platform) {
-    let (fake, address) = Fake::start().await;
+async fn start() -> (FakePlatform, Platform) {
+    let (fake, address) = FakePlatform::start().await;
     (fake, Platform::new(address))
 }
 
-fn done(put: Put) -> Object {
+fn expect_written(put: PutOutcome) -> Object {
     match put {
-        Put::Done(object) => object,
-        Put::Conflict(current) => panic!("conflict with {current:?}"),
+        PutOutcome::Done(object) => object,
+        PutOutcome::Conflict(current) => panic!("conflict with {current:?}"),
     }
 }
 
 #[tokio::test]
-async fn a_write_whose_answer_was_lost_is_settled() {
+async fn a_write_whose_response_was_lost_is_resolved() {
     let (fake, platform) = start().await;
-    fake.lose_next();
-    let object = done(platform.put(Kind::Lease, "l", 0, &json!({ "n": 1 })).await.unwrap());
-    assert_eq!(fake.read("lease", "l"), Some(object.clone()), "it took effect once");
+    fake.lose_next_response();
+    let object =
+        expect_written(platform.put(Kind::Lease, "l", 0, &json!({ "n": 1 })).await.unwrap());
+    assert_eq!(fake.read("lease", "l"), Some(object.clone()), "written once");
     let next = platform.put(Kind::Lease, "l", object.version, &json!({ "n": 2 })).await;
-    assert!(done(next.unwrap()).version > object.version);
+    assert!(expect_written(next.unwrap()).version > object.version);
 }
 
 #[tokio::test]
-async fn a_write_on_an_old_version_is_a_conflict_with_what_is_there() {
+async fn a_write_on_an_old_version_returns_the_current_object() {
     let (fake, platform) = start().await;
     let version = fake.write("lease", "l", json!({ "n": 1 }));
     fake.write("lease", "l", json!({ "n": 2 }));
     match platform.put(Kind::Lease, "l", version, &json!({ "n": 3 })).await.unwrap() {
-        Put::Conflict(Some(current)) => assert_eq!(current.spec["n"], 2),
+        PutOutcome::Conflict(Some(current)) => assert_eq!(current.spec["n"], 2),
         other => panic!("{other:?}"),
     }
     assert_eq!(fake.read("lease", "l").unwrap().spec["n"], 2);
 }
 
 #[tokio::test]
-async fn an_outage_is_an_error_that_names_step_and_peer() {
+async fn an_outage_error_names_the_operation_and_the_peer() {
     let (fake, platform) = start().await;
-    fake.set_down(true);
+    fake.set_unavailable(true);
     let error = platform.get(Kind::Lease, "l").await.unwrap_err().to_string();
     assert!(error.starts_with("get lease/l at the platform 127.0.0.1:"), "{error}");
     let put = platform.put(Kind::Lease, "l", 0, &json!({})).await;
@@ -45,48 +46,49 @@
 }
 
 #[tokio::test]
-async fn versions_are_ordered_over_a_reset_of_the_platform() {
+async fn versions_are_ordered_across_a_restore_of_the_platform() {
     let (fake, platform) = start().await;
     fake.write("service", "a", json!({ "n": 1 }));
-    fake.keep_copy();
+    fake.take_backup();
     fake.write("service", "a", json!({ "n": 2 }));
     let before = platform.list(Kind::Service).await.unwrap();
-    fake.reset();
+    fake.restore_backup();
     let after = platform.list(Kind::Service).await.unwrap();
     assert!(after.revision > before.revision && after.items[0].version > before.items[0].version);
     assert_eq!(platform.era(), Some(1));
     fake.write("service", "a", json!({ "n": 3 }));
-    let watched = platform.watch(after.revision, Duration::ZERO).await.unwrap();
-    assert_eq!(watched.events[0].object.version, watched.revision);
-    assert!(watched.revision > after.revision);
+    let response = platform.watch(after.revision, Duration::ZERO).await.unwrap();
+    assert_eq!(response.events[0].object.version, response.revision);
+    assert!(response.revision > after.revision);
 }
 
-// A watch that went on from the number of a former era would miss what was written below it.
+// A watch that continues across a restore would miss objects written at lower revision numbers.
 #[tokio::test]
-async fn a_watch_does_not_go_on_from_a_revision_of_a_former_era() {
+async fn a_watch_from_a_revision_of_an_earlier_era_is_too_old() {
     let (fake, platform) = start().await;
-    fake.keep_copy();
+    fake.take_backup();
     let version = fake.write("service", "a", json!({ "n": 1 }));
     assert_eq!(platform.list(Kind::Service).await.unwrap().revision, version);
-    fake.reset();
+    fake.restore_backup();
     fake.write("service", "b", json!({ "n": 1 }));
     fake.write("service", "c", json!({ "n": 1 }));
-    let watched = platform.watch(version, Duration::ZERO).await;
-    assert!(matches!(watched, Err(PlatformError::TooOld { .. })), "{watched:?}");
+    let response = platform.watch(version, Duration::ZERO).await;
+    assert!(matches!(response, Err(PlatformError::TooOld { .. })), "{response:?}");
 }
 
-// The platform gave the number on which a write was based to another writer's object: two processes held one lease.
+// After a restore, another writer's object can have the same version. Two processes then held one lease.
 #[tokio::test]
-async fn a_write_based_on_a_former_era_is_a_conflict() {
+async fn a_write_based_on_an_earlier_era_is_a_conflict() {
     let (fake, platform) = start().await;
-    fake.keep_copy();
-    let own = done(platform.put(Kind::Lease, "l", 0, &json!({ "holder": 1 })).await.unwrap());
-    fake.reset();
+    fake.take_backup();
+    let own =
+        expect_written(platform.put(Kind::Lease, "l", 0, &json!({ "holder": 1 })).await.unwrap());
+    fake.restore_backup();
     assert_eq!(fake.write("lease", "l", json!({ "holder": 2 })), own.version);
-    let seen = platform.get(Kind::Lease, "l").await.unwrap().unwrap();
+    let current_object = platform.get(Kind::Lease, "l").await.unwrap().unwrap();
     let conflict = platform.put(Kind::Lease, "l", own.version, &json!({ "holder": 1 })).await;
     match conflict.unwrap() {
-        Put::Conflict(current) => assert_eq!(current, Some(seen)),
+        PutOutcome::Conflict(current) => assert_eq!(current, Some(current_object)),
         other => panic!("{other:?}"),
     }
     assert_eq!(fake.read("lease", "l").unwrap().spec["holder"], 2);
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -1,5 +1,5 @@
-//! The balancer's packet path: opens and closes the sockets of services as the configuration changes, and gives the
-//! workers a new placer for each snapshot.
+//! Packet path of the balancer: opens and closes sockets as the configuration changes, and gives the workers a new placer
+//! for each snapshot.
 
 mod sockets;
 
@@ -29,17 +29,17 @@
 use self::sockets::Sockets;
 use crate::{clock::now_ms, config::BalanceConfig, control::Control, metrics};
 
-/// How often counters are exported and failed sockets tried again.
-const TICK: Duration = Duration::from_secs(1);
-/// Ticks between two rebuilds without a change, which let addresses of former services expire.
+/// Interval of counter exports and of retries of failed sockets.
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
+/// Ticks between rebuilds without a change, which expire the addresses of removed services.
 const REBUILD_TICKS: u64 = 60;
-/// Wait after a rebuild, in multiples of the time it took, so that a burst of changes can't fill a core.
-const REST: u32 = 100;
-/// Longest wait between a change and its being in force here.
-const MAX_REST: Duration = Duration::from_secs(1);
-/// How long no datagram must have arrived before a balancer that leaves ends.
-const QUIET: Duration = Duration::from_secs(2);
-/// Longest time a balancer that leaves goes on relaying.
+/// Pause after a rebuild, as a multiple of its duration, to bound the CPU load of a burst of changes.
+const REBUILD_PAUSE_FACTOR: u32 = 100;
+/// Longest pause after a rebuild.
+const MAX_REBUILD_PAUSE: Duration = Duration::from_secs(1);
+/// Time without a datagram after which a leaving balancer stops.
+const QUIET_PERIOD: Duration = Duration::from_secs(2);
+/// Limit for relaying after the balancer has announced that it is leaving.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(10);
 
 static PACKETS: LazyLock<IntCounterVec> = LazyLock::new(|| {
@@ -48,7 +48,7 @@
 static TABLE_BYTES: LazyLock<IntGauge> =
     LazyLock::new(|| metrics::gauge("table_bytes", "Memory of the tables that place new flows"));
 
-/// The packet path.
+/// Packet path of a balancer.
 pub(crate) struct Relay {
     shared: Arc<Shared>,
     workers: Vec<Worker>,
@@ -57,7 +57,7 @@
 }
 
 impl Relay {
-    /// Starts the workers. They have no sockets to receive from before the first snapshot.
+    /// Starts the workers, without sockets for callers until the first snapshot.
     pub(crate) fn new(config: &BalanceConfig) -> anyhow::Result<Relay> {
         let placer = ArcSwap::from_pointee(Placer::new(&Snapshot::default(), None, now_ms()));
         let shared = Arc::new(Shared { placer, tally: Tally::default() });
@@ -71,15 +71,15 @@
         Ok(Relay { shared, workers, sockets, exported: [0; Outcome::COUNT] })
     }
 
-    /// What the packet path shares with the operator address.
+    /// State shared with the operator address.
     pub(crate) fn shared(&self) -> Arc<Shared> {
         Arc::clone(&self.shared)
     }
 
-    /// Follows the snapshots until this future is dropped.
-    pub(crate) async fn follow(&mut self, control: &Control) {
+    /// Applies snapshots until this future is dropped.
+    pub(crate) async fn run(&mut self, control: &Control) {
         let mut snapshots = control.watch();
-        let mut tick = interval(TICK);
+        let mut tick = interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut ticks: u64 = 0;
         let mut in_force = false;
@@ -87,13 +87,13 @@
             tokio::select! {
                 changed = snapshots.changed() => {
                     if changed.is_err() {
-                        // The control plane has ended: what is in force stays so.
+                        // The control plane has stopped: keep the current configuration.
                         return std::future::pending().await;
                     }
                     in_force = false;
                 }
                 _ = tick.tick() => {
-                    self.export();
+                    self.export_counters();
                     ticks += 1;
                     if in_force && !ticks.is_multiple_of(REBUILD_TICKS) {
                         continue;
@@ -103,11 +103,11 @@
             if !control.synced() {
                 continue;
             }
-            in_force = self.follow_one(control, &mut snapshots).await;
+            in_force = self.apply_latest(control, &mut snapshots).await;
         }
     }
 
-    async fn follow_one(
+    async fn apply_latest(
         &mut self,
         control: &Control,
         snapshots: &mut watch::Receiver<Arc<Snapshot>>,
@@ -116,22 +116,22 @@
         let snapshot = Arc::clone(&snapshots.borrow_and_update());
         let in_force = self.apply(&snapshot, now_ms());
         if in_force {
-            control.applied(snapshot.revision);
+            control.set_applied(snapshot.revision);
         }
-        sleep((started.elapsed() * REST).min(MAX_REST)).await;
+        sleep((started.elapsed() * REBUILD_PAUSE_FACTOR).min(MAX_REBUILD_PAUSE)).await;
         in_force
     }
 
-    /// Puts a snapshot in force; false if a service's socket could not be opened.
+    /// Applies a snapshot; returns false if a socket could not be opened.
     fn apply(&mut self, snapshot: &Snapshot, now_ms: u64) -> bool {
         let placer = Placer::new(snapshot, Some(&self.shared.placer.load()), now_ms);
         TABLE_BYTES.set(placer.table_bytes() as i64);
         let placer = Arc::new(placer);
         self.shared.placer.store(Arc::clone(&placer));
-        self.sockets.adjust(&placer, snapshot, &self.workers)
+        self.sockets.reconcile(&placer, snapshot, &self.workers)
     }
 
-    fn export(&mut self) {
+    fn export_counters(&mut self) {
         for outcome in Outcome::all() {
             let count = self.shared.tally.get(outcome);
             let new = count - self.exported[outcome.index()];
@@ -140,39 +140,39 @@
         }
     }
 
-    /// Goes on relaying until no more datagrams arrive, then ends the workers.
-    pub(crate) async fn finish(mut self, control: &Control) {
+    /// Relays until no more datagrams arrive, then stops the workers.
+    pub(crate) async fn drain(mut self, control: &Control) {
         let shared = self.shared();
         tokio::select! {
-            () = quiet(&shared.tally) => {}
-            () = self.follow(control) => {}
+            () = wait_until_quiet(&shared.tally) => {}
+            () = self.run(control) => {}
         }
-        self.export();
+        self.export_counters();
         for worker in self.workers {
             worker.join();
         }
     }
 }
 
-/// Waits until no datagram has arrived for a while, or until the longest time a balancer that leaves goes on.
-async fn quiet(tally: &Tally) {
+/// Waits for [`QUIET_PERIOD`] without datagrams, at most [`LEAVE_TIMEOUT`].
+async fn wait_until_quiet(tally: &Tally) {
     let started = Instant::now();
     let mut changed = started;
-    let mut last = received(tally);
-    while started.elapsed() < LEAVE_TIMEOUT && changed.elapsed() < QUIET {
-        sleep(QUIET / 20).await;
-        let now = received(tally);
+    let mut last = received_datagrams(tally);
+    while started.elapsed() < LEAVE_TIMEOUT && changed.elapsed() < QUIET_PERIOD {
+        sleep(QUIET_PERIOD / 20).await;
+        let now = received_datagrams(tally);
         if now != last {
             (changed, last) = (Instant::now(), now);
         }
     }
 }
 
-fn received(tally: &Tally) -> u64 {
+fn received_datagrams(tally: &Tally) -> u64 {
     Outcome::all().map(|it| tally.get(it)).sum()
 }
 
-/// State of the packet path, for operators.
+/// State of the packet path for the operator address.
 pub(crate) fn status(shared: &Shared) -> Value {
     let count = |it: Outcome| (it.as_str().to_owned(), json!(shared.tally.get(it)));
     let packets: serde_json::Map<String, Value> = Outcome::all().map(count).collect();
--- a/crates/daemon/src/relay/sockets.rs
+++ b/crates/daemon/src/relay/sockets.rs
@@ -1,4 +1,4 @@
-//! Sockets at which callers' datagrams arrive: one per worker for each address of a service.
+//! Sockets for callers' datagrams: one per worker and service address.
 
 use std::{collections::BTreeMap, io, net::SocketAddr};
 
@@ -14,63 +14,63 @@
     event::{self, About, Id},
 };
 
-/// Open sockets by the address they are bound to.
+/// Open sockets by bind address.
 pub(crate) struct Sockets {
     mode: AddressMode,
     data: SocketAddr,
-    open: BTreeMap<SocketAddr, Open>,
-    // What was reported, by the address of the service.
+    open: BTreeMap<SocketAddr, OpenSocket>,
+    // Reported failures by service address.
     failed: BTreeMap<SocketAddr, String>,
 }
 
-struct Open {
+struct OpenSocket {
     address: SocketAddr,
     service: Option<ServiceId>,
     name: String,
-    // Dropping them ends the workers' intakes.
+    // Dropping a sender closes the socket of a worker.
     _closers: Vec<oneshot::Sender<()>>,
 }
 
-/// A service's address that should be served.
-struct Wanted {
+/// A service address to serve.
+struct DesiredSocket {
     address: SocketAddr,
     service: Option<ServiceId>,
     name: String,
 }
 
 impl Sockets {
-    /// No sockets yet. In mode `own` they are bound to the IP of `data` with the service's port.
+    /// Creates an empty set. In mode `own`, sockets are bound to the IP of `data` with the service's port.
     pub(crate) fn new(mode: AddressMode, data: SocketAddr) -> Sockets {
         Sockets { mode, data, open: BTreeMap::new(), failed: BTreeMap::new() }
     }
 
-    /// Opens and closes sockets to fit the placer; false if one could not be opened.
-    pub(crate) fn adjust(
+    /// Opens and closes sockets to match the placer; returns false if one could not be opened.
+    pub(crate) fn reconcile(
         &mut self,
         placer: &Placer,
         snapshot: &Snapshot,
         workers: &[Worker],
     ) -> bool {
-        let (wanted, refused) = self.wanted(placer, snapshot);
-        self.close(&wanted);
+        let (desired, refused) = self.desired(placer, snapshot);
+        self.close(&desired);
         let mut failed = BTreeMap::new();
         for it in refused {
-            let why = format!(
-                "{} is taken by another service or by --data",
+            let reason = format!(
+                "{} is in use by another service or by --data",
                 self.bind_address(it.address)
             );
-            failed.insert(it.address, self.report_failed(&it, why));
+            failed.insert(it.address, self.report_failed(&it, reason));
         }
-        for (bind, it) in wanted {
+        for (bind, it) in desired {
             if let Some(open) = self.open.get_mut(&bind) {
-                open.follow(it);
+                open.set_service(it);
                 continue;
             }
             match open_all(bind, it.address, workers) {
                 Ok(closers) => self.add(bind, it, closers),
                 Err(e) => {
-                    let why = self.report_failed(&it, format!("listen on {bind}: {e}"));
-                    failed.insert(it.address, why);
+                    let reason = self.report_failed(&it, format!("listen on {bind}: {e}"));
+                    failed.insert(it.address, reason);
                 }
             }
         }
@@ -78,31 +78,31 @@
         self.failed.is_empty()
     }
 
-    /// Addresses to serve by the address to bind, and those that can't be served: two services may want one address in
-    /// mode `own`, where a packet could then reach the wrong one.
-    fn wanted(
+    /// Addresses to serve by bind address, and addresses that conflict: in mode `own`, two services with the same port need
+    /// the same bind address.
+    fn desired(
         &self,
         placer: &Placer,
         snapshot: &Snapshot,
-    ) -> (BTreeMap<SocketAddr, Wanted>, Vec<Wanted>) {
-        let mut wanted = BTreeMap::new();
+    ) -> (BTreeMap<SocketAddr, DesiredSocket>, Vec<DesiredSocket>) {
+        let mut desired = BTreeMap::new();
         let mut refused = Vec::new();
         let listeners = placer.listeners().iter();
-        let (current, former): (Vec<_>, Vec<_>) =
+        let (current, removed): (Vec<_>, Vec<_>) =
             listeners.partition(|(_, it)| it.service().is_some());
-        for (&address, listener) in current.into_iter().chain(former) {
+        for (&address, listener) in current.into_iter().chain(removed) {
             let service = listener.service();
             let entry = service.and_then(|it| snapshot.services.get(&it));
             let name = entry.map(|it| it.name.clone()).unwrap_or_default();
-            let it = Wanted { address, service, name };
+            let it = DesiredSocket { address, service, name };
             let bind = self.bind_address(address);
-            if !wanted.contains_key(&bind) && bind != self.data {
-                wanted.insert(bind, it);
+            if !desired.contains_key(&bind) && bind != self.data {
+                desired.insert(bind, it);
             } else if service.is_some() {
                 refused.push(it);
             }
         }
-        (wanted, refused)
+        (desired, refused)
     }
 
     fn bind_address(&self, address: SocketAddr) -> SocketAddr {
@@ -112,9 +112,9 @@
         }
     }
 
-    fn close(&mut self, wanted: &BTreeMap<SocketAddr, Wanted>) {
+    fn close(&mut self, desired: &BTreeMap<SocketAddr, DesiredSocket>) {
         self.open.retain(|bind, open| {
-            let keep = wanted.get(bind).is_some_and(|it| it.address == open.address);
+            let keep = desired.get(bind).is_some_and(|it| it.address == open.address);
             if !keep {
                 open.report_closed();
             }
@@ -122,32 +122,32 @@
         });
     }
 
-    fn add(&mut self, bind: SocketAddr, wanted: Wanted, closers: Vec<oneshot::Sender<()>>) {
-        let Wanted { address, service, name } = wanted;
-        let open = Open { address, service, name, _closers: closers };
+    fn add(&mut self, bind: SocketAddr, desired: DesiredSocket, closers: Vec<oneshot::Sender<()>>) {
+        let DesiredSocket { address, service, name } = desired;
+        let open = OpenSocket { address, service, name, _closers: closers };
         open.report_opened();
         self.open.insert(bind, open);
     }
 
-    /// Reports a failure once, not at each retry.
-    fn report_failed(&self, wanted: &Wanted, why: String) -> String {
-        if self.failed.get(&wanted.address) != Some(&why) {
-            let text = format!("{} is not served: {why}", wanted.address);
-            event::emit(Id::ServiceBindFailed, About::new().with_service(&wanted.name), &text);
+    /// Reports a failure once instead of at each retry.
+    fn report_failed(&self, desired: &DesiredSocket, reason: String) -> String {
+        if self.failed.get(&desired.address) != Some(&reason) {
+            let text = format!("{} is not served: {reason}", desired.address);
+            event::emit(Id::ServiceBindFailed, About::new().with_service(&desired.name), &text);
         }
-        why
+        reason
     }
 }
 
-impl Open {
-    /// Takes note that the address has another service now. The workers find it in the placer.
-    fn follow(&mut self, wanted: Wanted) {
-        if self.service == wanted.service {
+impl OpenSocket {
+    /// Updates the service of the address. The workers look it up in the placer.
+    fn set_service(&mut self, desired: DesiredSocket) {
+        if self.service == desired.service {
             return;
         }
         self.report_closed();
-        self.service = wanted.service;
-        self.name = wanted.name;
+        self.service = desired.service;
+        self.name = desired.name;
         self.report_opened();
     }
 
@@ -160,7 +160,7 @@
 
     fn report_closed(&self) {
         if self.service.is_some() {
-            let text = format!("no longer takes new flows on {}", self.address);
+            let text = format!("stopped accepting new flows on {}", self.address);
             event::emit(Id::ServiceClosed, About::new().with_service(&self.name), &text);
         }
     }
@@ -176,7 +176,7 @@
         let socket = socket::bind(bind)?;
         let (closer, closed) = oneshot::channel();
         if !worker.open(Intake { address, socket, closed }) {
-            return Err(io::Error::other("the worker has ended"));
+            return Err(io::Error::other("the worker has stopped"));
         }
         closers.push(closer);
     }
--- a/crates/daemon/src/relay/tests.rs
+++ b/crates/daemon/src/relay/tests.rs
@@ -1,4 +1,4 @@
-//! Sockets follow the configuration.
+//! Tests of opening and closing sockets.
 
 use std::{
     net::{SocketAddr, UdpSocket},
@@ -24,7 +24,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// A port that was free a moment ago.
+/// A port that was free when checked.
 fn free_port() -> u16 {
     let socket = UdpSocket::bind(loopback(0)).expect("bind");
     socket.local_addr().expect("an address").port()
@@ -49,68 +49,68 @@
     snapshot
 }
 
-struct Rig {
+struct Fixture {
     sockets: Sockets,
     workers: Vec<Worker>,
     placer: Placer,
 }
 
-impl Rig {
-    fn new(mode: AddressMode) -> Rig {
+impl Fixture {
+    fn new(mode: AddressMode) -> Fixture {
         let data = socket::bind(loopback(0)).expect("bind");
         let address = data.local_addr().expect("an address");
         let placer = || Placer::new(&Snapshot::default(), None, 0);
         let shared = Shared { placer: ArcSwap::from_pointee(placer()), tally: Tally::default() };
         let worker = Worker::new("test", data, Arc::new(shared)).expect("start");
         let sockets = Sockets::new(mode, address);
-        Rig { sockets, workers: vec![worker], placer: placer() }
+        Fixture { sockets, workers: vec![worker], placer: placer() }
     }
 
-    fn adjust(&mut self, services: &[(&str, SocketAddr)], now_ms: u64) -> bool {
+    fn reconcile(&mut self, services: &[(&str, SocketAddr)], now_ms: u64) -> bool {
         let snapshot = snapshot(services);
         self.placer = Placer::new(&snapshot, Some(&self.placer), now_ms);
-        self.sockets.adjust(&self.placer, &snapshot, &self.workers)
+        self.sockets.reconcile(&self.placer, &snapshot, &self.workers)
     }
 }
 
-/// Whether something listens on `address`: without address sharing, a second bind fails then.
-fn listens(address: SocketAddr) -> bool {
+/// Whether a socket is bound to `address`: a second bind without address sharing fails.
+fn is_bound(address: SocketAddr) -> bool {
     UdpSocket::bind(address).is_err()
 }
 
 #[test]
-fn an_address_that_is_taken_is_tried_again() {
-    let mut rig = Rig::new(AddressMode::Service);
+fn binding_is_retried_while_the_address_is_in_use() {
+    let mut fixture = Fixture::new(AddressMode::Service);
     let other = UdpSocket::bind(loopback(0)).expect("bind");
     let address = other.local_addr().expect("an address");
-    assert!(!rig.adjust(&[("ledger", address)], 0));
+    assert!(!fixture.reconcile(&[("ledger", address)], 0));
     drop(other);
-    assert!(rig.adjust(&[("ledger", address)], 0));
-    assert!(listens(address));
+    assert!(fixture.reconcile(&[("ledger", address)], 0));
+    assert!(is_bound(address));
 }
 
 #[test]
 fn two_services_never_share_a_socket() {
-    let mut rig = Rig::new(AddressMode::Own);
+    let mut fixture = Fixture::new(AddressMode::Own);
     let port = free_port();
     let ledger = SocketAddr::from(([192, 0, 2, 1], port));
     let intake = SocketAddr::from(([192, 0, 2, 2], port));
-    assert!(rig.adjust(&[("ledger", ledger)], 0));
-    assert!(!rig.adjust(&[("ledger", ledger), ("intake", intake)], 0));
-    assert!(rig.adjust(&[("intake", intake)], 0));
+    assert!(fixture.reconcile(&[("ledger", ledger)], 0));
+    assert!(!fixture.reconcile(&[("ledger", ledger), ("intake", intake)], 0));
+    assert!(fixture.reconcile(&[("intake", intake)], 0));
 }
 
 #[test]
-fn a_removed_service_keeps_its_socket_while_flows_may_live() {
-    let mut rig = Rig::new(AddressMode::Own);
+fn a_removed_service_keeps_its_socket_until_its_flows_expire() {
+    let mut fixture = Fixture::new(AddressMode::Own);
     let port = free_port();
     let ledger = SocketAddr::from(([192, 0, 2, 1], port));
-    assert!(rig.adjust(&[("ledger", ledger)], 0));
-    assert!(rig.adjust(&[], 1));
-    assert!(listens(loopback(port)));
-    assert!(rig.adjust(&[], 1 + camphorwinch_core::place::FORMER_MS));
+    assert!(fixture.reconcile(&[("ledger", ledger)], 0));
+    assert!(fixture.reconcile(&[], 1));
+    assert!(is_bound(loopback(port)));
+    assert!(fixture.reconcile(&[], 1 + camphorwinch_core::place::FORMER_MS));
     let deadline = Instant::now() + TIMEOUT;
-    while listens(loopback(port)) {
+    while is_bound(loopback(port)) {
         assert!(Instant::now() < deadline, "the socket is still open");
         sleep(Duration::from_millis(5));
     }
--- a/crates/daemon/src/report.rs
+++ b/crates/daemon/src/report.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     clock::{now_ms, wall_ms},
-    control::{Inner, peer::LinkId, state::State, tick::waiting_events},
+    control::{Inner, peer::LinkId, state::State, tick::take_event_batch},
 };
 
 /// Least time between two reports.
@@ -250,7 +250,7 @@
         let whole = told.link != Some(id)
             || now.saturating_sub(told.whole_ms) >= load_ms(processes(&state));
         let mut report = make_report(&state, (!whole).then_some(&told.agents));
-        report.events = waiting_events();
+        report.events = take_event_batch();
         let count = state.events.len().min(REPORT_EVENTS);
         for event in state.events.drain(..count) {
             report.events.extend(serde_json::to_string(&event).ok());
@@ -295,7 +295,7 @@
 /// The report of this balancer, without the agents whose revision is as `told`.
 fn make_report(state: &State, told: Option<&BTreeMap<String, u64>>) -> message::Report {
     let mut report = message::Report { applied: state.applied, ..message::Report::default() };
-    for (name, it) in &state.homed {
+    for (name, it) in &state.linked_agents {
         let known = told.is_some_and(|told| told.get(name) == Some(&it.applied));
         if !it.primary || known {
             continue;
--- a/crates/daemon/src/seed.rs
+++ b/crates/daemon/src/seed.rs
@@ -13,7 +13,7 @@
 use crate::{
     clock::now_ms,
     control::Inner,
-    platform::{Happened, List, PlatformError, WatchEvent},
+    platform::{List, PlatformError, WatchEvent, WatchEventKind},
 };
 
 /// Longest wait of one watch.
@@ -69,7 +69,7 @@
         match round(inner, &mut era).await {
             Ok(()) => wait = RETRY_MIN,
             Err(e) => {
-                inner.platform_lost(&e);
+                inner.platform_failed(&e);
                 sleep(wait).await;
                 wait = (wait * 2).min(RETRY_MAX);
             }
@@ -80,7 +80,7 @@
 /// One list, and the watches after it until the next list is due.
 async fn round(inner: &Inner, era: &mut Era) -> Result<(), PlatformError> {
     let (mut since, bytes) = list(inner, era).await?;
-    inner.platform_back();
+    inner.platform_recovered();
     let pause = (bytes as u64 * 1_000 / LIST_RATE).clamp(LIST_MIN_MS, LIST_MAX_MS);
     let until = now_ms() + if era.unsettled_ms() > 0 { LIST_MIN_MS } else { pause };
     loop {
@@ -89,13 +89,13 @@
             return Ok(());
         }
         let wait = WATCH.min(Duration::from_secs(left));
-        let watched = match inner.platform.watch(since, wait).await {
+        let response = match inner.platform.watch(since, wait).await {
             Ok(it) => it,
             Err(PlatformError::TooOld { .. }) => return Ok(()),
             Err(e) => return Err(e),
         };
-        take_events(inner, &watched.events);
-        since = since.max(watched.revision);
+        take_events(inner, &response.events);
+        since = since.max(response.revision);
     }
 }
 
@@ -127,7 +127,7 @@
     if news || !changed.is_empty() {
         state.flood(&changed, None);
         drop(state);
-        inner.changed();
+        inner.request_publish();
     }
     Ok((revision, bytes))
 }
@@ -161,7 +161,7 @@
     if news || !changed.is_empty() {
         state.flood(&changed, None);
         drop(state);
-        inner.changed();
+        inner.request_publish();
     }
 }
 
@@ -174,9 +174,9 @@
             continue;
         };
         newest = newest.max(event.object.version);
-        records.push(match event.happened {
-            Happened::Put => Record::Object { kind, object: event.object.clone() },
-            Happened::Delete => Record::Deleted {
+        records.push(match event.kind {
+            WatchEventKind::Put => Record::Object { kind, object: event.object.clone() },
+            WatchEventKind::Delete => Record::Deleted {
                 kind,
                 name: event.object.name.clone(),
                 revision: event.object.version,
@@ -186,7 +186,7 @@
     if records.is_empty() {
         return;
     }
-    if inner.state.lock().take_watched(&records, newest) {
-        inner.changed();
+    if inner.state.lock().apply_watch(&records, newest) {
+        inner.request_publish();
     }
 }
--- a/crates/daemon/src/timeline.rs
+++ b/crates/daemon/src/timeline.rs
@@ -11,7 +11,7 @@
     clock::now_ms,
     control::Inner,
     event,
-    platform::{PlatformError, Put},
+    platform::{PlatformError, PutOutcome},
 };
 
 /// Objects of a zone's ring.
@@ -95,7 +95,7 @@
         match self.put(inner).await {
             Ok(()) => Some(self),
             Err(e) => {
-                inner.platform_lost(&e);
+                inner.platform_failed(&e);
                 inner.state.lock().queue_events(self.pending);
                 None
             }
@@ -112,14 +112,14 @@
         let bytes = spec.to_string().len();
         let name = self.name(self.segment);
         match inner.platform.put(Kind::Timeline, &name, self.version, &spec).await? {
-            Put::Done(object) => {
+            PutOutcome::Done(object) => {
                 self.version = object.version;
                 self.events = merged;
                 self.pending.drain(..count);
                 self.touched = true;
                 self.after_ms = now_ms() + gap_ms(bytes);
             }
-            Put::Conflict(current) => {
+            PutOutcome::Conflict(current) => {
                 self.version = version(current.as_ref());
                 self.events = events(current.as_ref());
             }
--- a/crates/daemon/src/whole.rs
+++ b/crates/daemon/src/whole.rs
@@ -11,7 +11,7 @@
     clock::now_ms,
     control::Inner,
     lease::differs,
-    platform::{PlatformError, Put},
+    platform::{PlatformError, PutOutcome},
 };
 
 /// Least time between two writes, in milliseconds.
@@ -51,17 +51,17 @@
         }
         let spec = json!(report);
         match inner.platform.put(Kind::Report, &self.name, self.version, &spec).await {
-            Ok(Put::Done(object)) => {
+            Ok(PutOutcome::Done(object)) => {
                 self.version = object.version;
                 self.after_ms = now_ms() + gap_ms(spec.to_string().len());
                 self.written = Some(report);
             }
-            Ok(Put::Conflict(current)) => {
+            Ok(PutOutcome::Conflict(current)) => {
                 self.version = version(current.as_ref());
                 self.after_ms = now_ms() + GAP_MS;
             }
             Err(e) => {
-                inner.platform_lost(&e);
+                inner.platform_failed(&e);
                 return None;
             }
         }
