--- a/crates/daemon/src/cmd/agent.rs
+++ b/crates/daemon/src/cmd/agent.rs
@@ -1,4 +1,4 @@
-//! `camphorwinchd agent`.
+//! The `agent` subcommand.
 
 use std::sync::Arc;
 
@@ -21,9 +21,10 @@
     signal, violations,
 };
 
-/// Serve flows for one upstream: run this beside it.
+/// Run an agent next to an upstream.
 ///
-/// Ends the callers' QUIC connections, runs their requests against the upstream and answers them directly.
+/// Terminates callers' QUIC connections, forwards their requests to the upstream and sends the responses directly to
+/// the callers.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(command("agent"))]
 pub(crate) struct Agent {
@@ -46,11 +47,11 @@
     let node = Node::new(Settings::new(&config), Arc::new(control.clone()))?;
     let (applied, in_force) = watch::channel(0);
     let mut running = Running::start(Arc::clone(&node), control.watch(), applied);
-    let links = tokio::spawn(running.links(control.accepted()));
-    let announcing = tokio::spawn(announce(control.clone(), Arc::clone(&node), in_force));
-    let inspect = Inspected { control: control.clone(), node };
+    let link_tasks = tokio::spawn(running.links(control.accepted()));
+    let publisher = tokio::spawn(publish_agent_state(control.clone(), Arc::clone(&node), in_force));
+    let inspect = AgentInspector { control: control.clone(), node };
     operator::serve(config.common.operator, Arc::new(inspect)).await?;
-    tokio::spawn(violations::follow());
+    tokio::spawn(violations::run());
     event::emit(Id::ProcessStarted, About::new(), &format!("agent {}", config.common.name));
 
     let mut fenced = control.fenced();
@@ -60,9 +61,9 @@
     }
     event::emit(Id::ProcessStopping, About::new(), "waiting for flows to end");
     running.drain(config.drain_timeout).await;
-    announcing.abort();
+    publisher.abort();
     control.leave().await;
-    links.abort();
+    link_tasks.abort();
     running.stop().await;
     event::emit(Id::ProcessStopped, About::new(), "stopped");
     Ok(())
@@ -82,8 +83,12 @@
     }
 }
 
-/// Tells the fleet the agent's state and load whenever they change.
-async fn announce(control: Control, node: Arc<Node>, mut in_force: watch::Receiver<u64>) {
+/// Publishes the state and load of the agent when they change.
+async fn publish_agent_state(
+    control: Control,
+    node: Arc<Node>,
+    mut in_force: watch::Receiver<u64>,
+) {
     let mut changed = node.changed();
     let mut state = AgentState::Starting;
     loop {
@@ -106,19 +111,19 @@
     }
 }
 
-struct Inspected {
+struct AgentInspector {
     control: Control,
     node: Arc<Node>,
 }
 
-impl Inspect for Inspected {
+impl Inspect for AgentInspector {
     fn health(&self) -> Result<(), String> {
         if !self.control.synced() {
-            return Err("the configuration is not known yet".to_owned());
+            return Err("the configuration has not been received yet".to_owned());
         }
         match self.node.intake() {
             Intake::Open => Ok(()),
-            Intake::Closed => Err("the upstream takes no requests".to_owned()),
+            Intake::Closed => Err("the upstream accepts no requests".to_owned()),
             Intake::Draining => Err("draining".to_owned()),
         }
     }
--- a/crates/daemon/src/cmd/balance.rs
+++ b/crates/daemon/src/cmd/balance.rs
@@ -1,4 +1,4 @@
-//! `camphorwinchd balance`.
+//! The `balance` subcommand.
 
 use std::sync::Arc;
 
@@ -19,9 +19,9 @@
     signal, violations,
 };
 
-/// Place callers' packets: run this on an entry VM.
+/// Run a balancer on an entry VM.
 ///
-/// Listens on the address of every service, and sends each packet to the agent that its flow belongs to.
+/// Listens on the address of every service and forwards each packet to the agent that serves its flow.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(command("balance"))]
 pub(crate) struct Balance {
@@ -43,9 +43,9 @@
     let control = Control::start(&config.common, Role::Balancer).await?;
     let mut relay = Relay::new(&config)?;
     let shared = relay.shared();
-    let inspect = Balancer { control: control.clone(), shared, stop: stop.clone() };
+    let inspect = BalancerInspector { control: control.clone(), shared, stop: stop.clone() };
     operator::serve(config.common.operator, Arc::new(inspect)).await?;
-    tokio::spawn(violations::follow());
+    tokio::spawn(violations::run());
     event::emit(Id::ProcessStarted, About::new(), &format!("balancer {}", config.common.name));
 
     let mut fenced = control.fenced();
@@ -54,28 +54,28 @@
         () = stop.cancelled() => {}
         _ = fenced.wait_for(|it| *it) => {}
     }
-    // Cancelled in each case, so that the fabric's health checks fail.
+    // Makes the fabric's health checks fail from now on.
     stop.cancel();
-    event::emit(Id::ProcessStopping, About::new(), "relaying until no more datagrams arrive");
+    event::emit(Id::ProcessStopping, About::new(), "relaying until datagrams stop arriving");
     control.leave().await;
     relay.drain(&control).await;
     event::emit(Id::ProcessStopped, About::new(), "stopped");
     Ok(())
 }
 
-struct Balancer {
+struct BalancerInspector {
     control: Control,
     shared: Arc<Shared>,
     stop: CancellationToken,
 }
 
-impl Inspect for Balancer {
+impl Inspect for BalancerInspector {
     fn health(&self) -> Result<(), String> {
         if self.stop.is_cancelled() {
             return Err("leaving".to_owned());
         }
         if !self.control.synced() {
-            return Err("the configuration is not known yet".to_owned());
+            return Err("the configuration has not been received yet".to_owned());
         }
         Ok(())
     }
--- a/crates/daemon/src/cmd/mod.rs
+++ b/crates/daemon/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! Subcommands, one file each.
+//! Subcommands.
 
 pub(crate) mod agent;
 pub(crate) mod balance;
@@ -7,6 +7,6 @@
 
 /// A subcommand.
 pub(crate) trait Run {
-    /// Runs until a signal ends the process or an error does.
+    /// Runs until a signal or an error stops the process.
     fn run(&self) -> anyhow::Result<()>;
 }
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -1,6 +1,6 @@
-//! Settings: the flags, their environment variables and the rules they must obey.
+//! Command-line flags, their environment variables and validation.
 //!
-//! Flags are read as text and checked together, so that a start with several faults lists them all at once.
+//! Flags are parsed as text and validated together, so that all invalid settings are reported at once.
 
 use std::{
     collections::BTreeSet,
@@ -41,49 +41,49 @@
 const DEFAULT_WORKERS: usize = 2;
 const DEFAULT_SLOTS: u32 = 8;
 const DEFAULT_CONNECTIONS: u32 = 2_000;
-const DEFAULT_DRAIN: u64 = 3_600;
+const DEFAULT_DRAIN_TIMEOUT_S: u64 = 3_600;
 const MAX_WORKERS: usize = 256;
 
-/// Flags that both roles have.
+/// Flags common to both roles.
 #[derive(Clone, Debug, Bpaf)]
 pub(crate) struct CommonFlags {
     /// Name of this process, unique in the fleet
     #[bpaf(argument("NAME"), env(ENV_NAME), optional)]
     pub(crate) name: Option<String>,
-    /// VM that this process runs on
+    /// Name of the VM that this process runs on
     #[bpaf(argument("NAME"), env(ENV_VM), optional)]
     pub(crate) vm: Option<String>,
     /// Availability zone of the VM
     #[bpaf(argument("NAME"), env(ENV_ZONE), optional)]
     pub(crate) zone: Option<String>,
-    /// Region of the VM, "default" if not given
+    /// Region of the VM, default "default"
     #[bpaf(argument("NAME"), env(ENV_REGION), optional)]
     pub(crate) region: Option<String>,
-    /// Object API that keeps configuration and leases
+    /// URL of the object API that stores configuration and leases
     #[bpaf(argument("http://IP:PORT"), env(ENV_PLATFORM), optional)]
     pub(crate) platform: Option<String>,
-    /// Address for the other processes of the system (TCP, mutual TLS)
+    /// Address for links from other processes (TCP, mutual TLS)
     #[bpaf(argument("IP:PORT"), env(ENV_CONTROL), optional)]
     pub(crate) control: Option<String>,
     /// Address for operators (HTTP, read-only): /health, /metrics, /status, /timeline
     #[bpaf(argument("IP:PORT"), env(ENV_OPERATOR), optional)]
     pub(crate) operator: Option<String>,
-    /// Control addresses of balancers to join by while the object API is down, separated by commas
+    /// Control addresses of balancers to join through while the object API is unavailable, separated by commas
     #[bpaf(argument("IP:PORT,..."), env(ENV_PEER), optional)]
     pub(crate) peer: Option<String>,
-    /// CA of the fleet: PEM text or the path of a file with it
+    /// CA certificate of the fleet: PEM text or the path of a PEM file
     #[bpaf(argument("PEM"), env(ENV_FLEET_CA), optional, hide_usage)]
     pub(crate) fleet_ca: Option<String>,
-    /// This process's certificate, signed by the CA of the fleet: PEM text or a path
+    /// This process's certificate, signed by the CA of the fleet: PEM text or the path of a PEM file
     #[bpaf(argument("PEM"), env(ENV_FLEET_CERT), optional, hide_usage)]
     pub(crate) fleet_cert: Option<String>,
-    /// Private key of the certificate: PEM text or a path; never logged
+    /// Private key of the certificate: PEM text or the path of a PEM file; never logged
     #[bpaf(argument("PEM"), env(ENV_FLEET_KEY), optional, hide_usage)]
     pub(crate) fleet_key: Option<String>,
-    /// Form of the log: text or json, default text
+    /// Log format: text or json, default text
     #[bpaf(argument("FORM"), env(ENV_LOG), optional)]
     pub(crate) log: Option<String>,
-    /// Least level logged: error, warn, info, debug or trace, default info
+    /// Minimum log level: error, warn, info, debug or trace, default info
     #[bpaf(argument("LEVEL"), env(ENV_LOG_LEVEL), optional)]
     pub(crate) log_level: Option<String>,
 }
@@ -93,14 +93,14 @@
 pub(crate) struct BalanceFlags {
     #[bpaf(external(common_flags))]
     pub(crate) common: CommonFlags,
-    /// Address that packets to agents are sent from
+    /// Source address of encapsulated packets to agents
     #[bpaf(argument("IP:PORT"), env(ENV_DATA), optional)]
     pub(crate) data: Option<String>,
     /// Where to listen for callers: "service" for each service's own address, "own" for the IP of --data with the
     /// service's port, behind a fabric that rewrites the destination; default service
     #[bpaf(argument("MODE"), env(ENV_BIND), optional)]
     pub(crate) bind: Option<String>,
-    /// Threads that place packets, 1 to 256, default 2
+    /// Number of packet worker threads, 1 to 256, default 2
     #[bpaf(argument("N"), env(ENV_WORKERS), optional)]
     pub(crate) workers: Option<String>,
 }
@@ -110,26 +110,26 @@
 pub(crate) struct AgentFlags {
     #[bpaf(external(common_flags))]
     pub(crate) common: CommonFlags,
-    /// Pool that the upstream belongs to; services name the pool
+    /// Pool of the upstream, as referenced by services
     #[bpaf(argument("NAME"), env(ENV_POOL), optional)]
     pub(crate) pool: Option<String>,
-    /// IPv4 address at which encapsulated packets arrive
+    /// IPv4 address for encapsulated packets from balancers and agents
     #[bpaf(argument("IP:PORT"), env(ENV_DATA), optional)]
     pub(crate) data: Option<String>,
     /// Address of the upstream (HTTP/1.1)
     #[bpaf(argument("IP:PORT"), env(ENV_UPSTREAM), optional)]
     pub(crate) upstream: Option<String>,
-    /// Requests that the upstream runs at once, default 8
+    /// Maximum number of concurrent requests to the upstream, default 8
     #[bpaf(argument("N"), env(ENV_SLOTS), optional)]
     pub(crate) slots: Option<String>,
-    /// Flows that the upstream takes, default 2000
+    /// Maximum number of open flows, default 2000
     #[bpaf(argument("N"), env(ENV_CONNECTIONS), optional)]
     pub(crate) connections: Option<String>,
     /// Share of new flows relative to the pool's other agents, 0 to 1000, default 1
     #[bpaf(argument("W"), env(ENV_WEIGHT), optional)]
     pub(crate) weight: Option<String>,
-    /// Source of answers: "service" for the service's address, "own" for the --data address, behind a fabric that puts
-    /// the service's address back; default service
+    /// Source address of responses: "service" for the service's address, "own" for the --data address, behind a fabric
+    /// that restores the service's address; default service
     #[bpaf(argument("MODE"), env(ENV_REPLY), optional)]
     pub(crate) reply: Option<String>,
     /// Longest wait for requests in progress when stopping, in seconds, default 3600
@@ -137,15 +137,15 @@
     pub(crate) drain_timeout: Option<String>,
 }
 
-/// One faulty setting.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Fault {
+pub(crate) struct SettingError {
     flag: &'static str,
     value: Option<String>,
     allowed: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SettingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.value {
             Some(value) => {
@@ -156,28 +156,28 @@
     }
 }
 
-/// All faulty settings of a start.
+/// All invalid settings of a command line.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub(crate) struct Faults(Vec<Fault>);
+pub(crate) struct ConfigError(Vec<SettingError>);
 
-impl fmt::Display for Faults {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} faulty setting(s)", self.0.len())?;
-        for fault in &self.0 {
-            write!(f, "\n  {fault}")?;
+        for error in &self.0 {
+            write!(f, "\n  {error}")?;
         }
         Ok(())
     }
 }
 
-/// Form of the log.
+/// Log format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LogForm {
+pub(crate) enum LogFormat {
     Text,
     Json,
 }
 
-/// Address that a process uses towards callers.
+/// Address that a process uses in packets to and from callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AddressMode {
     /// The service's own address.
@@ -200,9 +200,9 @@
     }
 }
 
-/// Checked settings that both roles have.
+/// Validated settings common to both roles.
 #[derive(Clone, Debug)]
-pub(crate) struct Common {
+pub(crate) struct CommonConfig {
     pub(crate) name: String,
     pub(crate) place: Place,
     pub(crate) platform: SocketAddr,
@@ -210,23 +210,23 @@
     pub(crate) operator: SocketAddr,
     pub(crate) peers: Vec<SocketAddr>,
     pub(crate) fleet: FleetPem,
-    pub(crate) log: LogForm,
+    pub(crate) log: LogFormat,
     pub(crate) log_level: String,
 }
 
-/// Checked settings of a balancer.
+/// Validated settings of a balancer.
 #[derive(Clone, Debug)]
 pub(crate) struct BalanceConfig {
-    pub(crate) common: Common,
+    pub(crate) common: CommonConfig,
     pub(crate) data: SocketAddr,
     pub(crate) bind: AddressMode,
     pub(crate) workers: usize,
 }
 
-/// Checked settings of an agent.
+/// Validated settings of an agent.
 #[derive(Clone, Debug)]
 pub(crate) struct AgentConfig {
-    pub(crate) common: Common,
+    pub(crate) common: CommonConfig,
     pub(crate) pool: String,
     pub(crate) data: SocketAddr,
     pub(crate) upstream: SocketAddr,
@@ -238,45 +238,45 @@
 }
 
 impl BalanceConfig {
-    /// Checks the flags of a balancer; lists every fault.
-    pub(crate) fn new(flags: &BalanceFlags) -> Result<BalanceConfig, Faults> {
-        let mut check = Check::default();
-        let common = check.common(&flags.common);
-        let data = check.address("data", flags.data.as_deref());
-        let bind = check.mode("bind", flags.bind.as_deref());
+    /// Validates the flags of a balancer; the error lists all invalid ones.
+    pub(crate) fn new(flags: &BalanceFlags) -> Result<BalanceConfig, ConfigError> {
+        let mut validator = Validator::default();
+        let common = validator.common(&flags.common);
+        let data = validator.address("data", flags.data.as_deref());
+        let bind = validator.address_mode("bind", flags.bind.as_deref());
         let workers =
-            check.number("workers", flags.workers.as_deref(), DEFAULT_WORKERS, 1, MAX_WORKERS);
-        check.done(BalanceConfig { common, data, bind, workers })
+            validator.number("workers", flags.workers.as_deref(), DEFAULT_WORKERS, 1, MAX_WORKERS);
+        validator.finish(BalanceConfig { common, data, bind, workers })
     }
 }
 
 impl AgentConfig {
-    /// Checks the flags of an agent; lists every fault.
-    pub(crate) fn new(flags: &AgentFlags) -> Result<AgentConfig, Faults> {
-        let mut check = Check::default();
-        let common = check.common(&flags.common);
-        let pool = check.name("pool", flags.pool.as_deref());
-        let data = check.ipv4_address("data", flags.data.as_deref());
-        let upstream = check.address("upstream", flags.upstream.as_deref());
-        let slots = check.number("slots", flags.slots.as_deref(), DEFAULT_SLOTS, 1, 1_000_000);
-        let connections = check.number(
+    /// Validates the flags of an agent; the error lists all invalid ones.
+    pub(crate) fn new(flags: &AgentFlags) -> Result<AgentConfig, ConfigError> {
+        let mut validator = Validator::default();
+        let common = validator.common(&flags.common);
+        let pool = validator.name("pool", flags.pool.as_deref());
+        let data = validator.ipv4_address("data", flags.data.as_deref());
+        let upstream = validator.address("upstream", flags.upstream.as_deref());
+        let slots = validator.number("slots", flags.slots.as_deref(), DEFAULT_SLOTS, 1, 1_000_000);
+        let connections = validator.number(
             "connections",
             flags.connections.as_deref(),
             DEFAULT_CONNECTIONS,
             1,
             10_000_000,
         );
-        let weight = check.number("weight", flags.weight.as_deref(), 1.0, 0.0, 1_000.0);
-        let reply = check.mode("reply", flags.reply.as_deref());
-        let drain = check.number(
+        let weight = validator.number("weight", flags.weight.as_deref(), 1.0, 0.0, 1_000.0);
+        let reply = validator.address_mode("reply", flags.reply.as_deref());
+        let drain_timeout_s = validator.number(
             "drain-timeout",
             flags.drain_timeout.as_deref(),
-            DEFAULT_DRAIN,
+            DEFAULT_DRAIN_TIMEOUT_S,
             0,
             7 * 86_400,
         );
-        let drain_timeout = Duration::from_secs(drain);
-        check.done(AgentConfig {
+        let drain_timeout = Duration::from_secs(drain_timeout_s);
+        validator.finish(AgentConfig {
             common,
             pool,
             data,
@@ -290,22 +290,26 @@
     }
 }
 
-/// Collects faults while settings are read; a faulty setting gets a value that is never used.
+/// Collects the errors of settings. An invalid setting yields a placeholder that is never used.
 #[derive(Default)]
-struct Check {
-    faults: Vec<Fault>,
+struct Validator {
+    errors: Vec<SettingError>,
 }
 
-impl Check {
-    fn done<T>(self, value: T) -> Result<T, Faults> {
-        if self.faults.is_empty() { Ok(value) } else { Err(Faults(self.faults)) }
+impl Validator {
+    fn finish<T>(self, value: T) -> Result<T, ConfigError> {
+        if self.errors.is_empty() { Ok(value) } else { Err(ConfigError(self.errors)) }
     }
 
-    fn fault(&mut self, flag: &'static str, value: Option<&str>, allowed: impl Into<String>) {
-        self.faults.push(Fault { flag, value: value.map(str::to_owned), allowed: allowed.into() });
+    fn reject(&mut self, flag: &'static str, value: Option<&str>, allowed: impl Into<String>) {
+        self.errors.push(SettingError {
+            flag,
+            value: value.map(str::to_owned),
+            allowed: allowed.into(),
+        });
     }
 
-    fn common(&mut self, flags: &CommonFlags) -> Common {
+    fn common(&mut self, flags: &CommonFlags) -> CommonConfig {
         let name = self.name("name", flags.name.as_deref());
         let vm = self.name("vm", flags.vm.as_deref());
         let zone = self.name("zone", flags.zone.as_deref());
@@ -319,16 +323,16 @@
             cert: self.pem("fleet-cert", flags.fleet_cert.as_deref(), "CERTIFICATE-----"),
             key: self.pem("fleet-key", flags.fleet_key.as_deref(), "PRIVATE KEY-----"),
         };
-        let log = self.log_form(flags.log.as_deref());
+        let log = self.log_format(flags.log.as_deref());
         let log_level = self.log_level(flags.log_level.as_deref());
         let place = Place { vm, zone, region };
-        Common { name, place, platform, control, operator, peers, fleet, log, log_level }
+        CommonConfig { name, place, platform, control, operator, peers, fleet, log, log_level }
     }
 
     fn name(&mut self, flag: &'static str, value: Option<&str>) -> String {
         let text = value.unwrap_or_default();
         if check_name(text).is_err() {
-            self.fault(
+            self.reject(
                 flag,
                 value,
                 "1 to 63 of a-z, 0-9, '.', '-', with a letter or digit at both ends",
@@ -340,19 +344,19 @@
     fn address(&mut self, flag: &'static str, value: Option<&str>) -> SocketAddr {
         let parsed = value.and_then(|it| SocketAddr::from_str(it).ok()).filter(|it| it.port() != 0);
         if parsed.is_none() {
-            self.fault(flag, value, "IP:PORT with a port of 1 to 65535, such as 127.0.0.1:7001");
+            self.reject(flag, value, "IP:PORT with a port of 1 to 65535, such as 127.0.0.1:7001");
         }
         parsed.unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0)))
     }
 
-    /// A connection ID has room for an IPv4 address only.
+    /// Parses an IPv4 address: connection IDs have no space for an IPv6 one.
     fn ipv4_address(&mut self, flag: &'static str, value: Option<&str>) -> SocketAddr {
         let address = self.address(flag, value);
         if !matches!(address.ip(), IpAddr::V4(_)) {
-            self.fault(
+            self.reject(
                 flag,
                 value,
-                "an IPv4 address and port: connection IDs have no room for IPv6",
+                "an IPv4 address and port: connection IDs have no space for IPv6",
             );
         }
         address
@@ -363,7 +367,7 @@
             value.and_then(|it| it.strip_prefix("http://")).map(|it| it.trim_end_matches('/'));
         let parsed = rest.and_then(|it| SocketAddr::from_str(it).ok());
         if parsed.is_none() {
-            self.fault("platform", value, "http://IP:PORT");
+            self.reject("platform", value, "http://IP:PORT");
         }
         parsed.unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0)))
     }
@@ -378,13 +382,13 @@
                 Ok(it) => {
                     peers.insert(it);
                 }
-                Err(_) => self.fault("peer", Some(part), "IP:PORT, several separated by commas"),
+                Err(_) => self.reject("peer", Some(part), "IP:PORT, several separated by commas"),
             }
         }
         peers.into_iter().collect()
     }
 
-    /// Reads PEM text, or the file whose path it is. The value is a secret or long: a fault never shows it.
+    /// Reads PEM text or a PEM file. Errors omit the value, which may be a secret.
     fn pem(&mut self, flag: &'static str, value: Option<&str>, marker: &str) -> String {
         let text = match value {
             Some(it) if it.contains("-----BEGIN") => it.to_owned(),
@@ -393,33 +397,33 @@
         };
         if !text.contains(marker) {
             let shown = value.map(|_| "(not shown)");
-            self.fault(
+            self.reject(
                 flag,
                 shown,
-                format!("PEM text holding \"{marker}\", or the path of a file with it"),
+                format!("PEM text with \"{marker}\", or the path of a PEM file"),
             );
         }
         text
     }
 
-    fn mode(&mut self, flag: &'static str, value: Option<&str>) -> AddressMode {
+    fn address_mode(&mut self, flag: &'static str, value: Option<&str>) -> AddressMode {
         match value {
             None | Some("service") => AddressMode::Service,
             Some("own") => AddressMode::Own,
             Some(_) => {
-                self.fault(flag, value, "service, own");
+                self.reject(flag, value, "service, own");
                 AddressMode::Service
             }
         }
     }
 
-    fn log_form(&mut self, value: Option<&str>) -> LogForm {
+    fn log_format(&mut self, value: Option<&str>) -> LogFormat {
         match value {
-            None | Some("text") => LogForm::Text,
-            Some("json") => LogForm::Json,
+            None | Some("text") => LogFormat::Text,
+            Some("json") => LogFormat::Json,
             Some(_) => {
-                self.fault("log", value, "text, json");
-                LogForm::Text
+                self.reject("log", value, "text, json");
+                LogFormat::Text
             }
         }
     }
@@ -427,7 +431,7 @@
     fn log_level(&mut self, value: Option<&str>) -> String {
         let level = value.unwrap_or("info");
         if !["error", "warn", "info", "debug", "trace"].contains(&level) {
-            self.fault("log-level", value, "error, warn, info, debug, trace");
+            self.reject("log-level", value, "error, warn, info, debug, trace");
         }
         level.to_owned()
     }
@@ -437,8 +441,8 @@
         flag: &'static str,
         value: Option<&str>,
         default: T,
-        least: T,
-        most: T,
+        min: T,
+        max: T,
     ) -> T
     where
         T: FromStr + PartialOrd + fmt::Display + Copy,
@@ -447,9 +451,9 @@
             return default;
         };
         match text.parse::<T>() {
-            Ok(it) if it >= least && it <= most => it,
+            Ok(it) if it >= min && it <= max => it,
             Ok(_) | Err(_) => {
-                self.fault(flag, value, format!("a number from {least} to {most}"));
+                self.reject(flag, value, format!("a number from {min} to {max}"));
                 default
             }
         }
--- a/crates/daemon/src/config/tests.rs
+++ b/crates/daemon/src/config/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn good_settings_pass() {
+fn valid_flags_are_accepted() {
     let config = AgentConfig::new(&flags()).unwrap();
     assert_eq!(config.common.peers.len(), 2);
     assert_eq!(config.weight, 2.5);
@@ -41,15 +41,15 @@
 }
 
 #[test]
-fn every_fault_is_listed() {
-    let mut bad = flags();
-    bad.common.name = Some("No Name".to_owned());
-    bad.common.platform = None;
-    bad.data = Some("[::1]:5".to_owned());
-    bad.slots = Some("0".to_owned());
-    bad.weight = Some("NaN".to_owned());
-    bad.reply = Some("other".to_owned());
-    let text = AgentConfig::new(&bad).unwrap_err().to_string();
+fn all_invalid_flags_are_listed() {
+    let mut invalid = flags();
+    invalid.common.name = Some("No Name".to_owned());
+    invalid.common.platform = None;
+    invalid.data = Some("[::1]:5".to_owned());
+    invalid.slots = Some("0".to_owned());
+    invalid.weight = Some("NaN".to_owned());
+    invalid.reply = Some("other".to_owned());
+    let text = AgentConfig::new(&invalid).unwrap_err().to_string();
     for flag in ["--name", "--platform", "--data", "--slots", "--weight", "--reply"] {
         assert!(text.contains(flag), "{flag} not in {text}");
     }
@@ -57,10 +57,10 @@
 }
 
 #[test]
-fn secrets_are_not_shown() {
-    let mut bad = flags();
-    bad.common.fleet_key = Some("-----BEGIN hunter2".to_owned());
-    let text = AgentConfig::new(&bad).unwrap_err().to_string();
+fn secrets_are_not_printed() {
+    let mut invalid = flags();
+    invalid.common.fleet_key = Some("-----BEGIN hunter2".to_owned());
+    let text = AgentConfig::new(&invalid).unwrap_err().to_string();
     assert!(!text.contains("hunter2"));
     assert!(!format!("{:?}", AgentConfig::new(&flags()).unwrap()).contains("PRIVATE"));
 }
--- a/crates/daemon/src/seed.rs
+++ b/crates/daemon/src/config_watch.rs
@@ -1,4 +1,4 @@
-//! Watching the platform's configuration on behalf of the fleet: what the holder of a lease does.
+//! Watches the configuration in the platform and distributes it to the fleet. Runs on lease holders.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,44 +16,45 @@
     platform::{List, PlatformError, WatchEvent, WatchEventKind},
 };
 
-/// Longest wait of one watch.
-const WATCH: Duration = Duration::from_secs(20);
-/// Least time between two lists, in milliseconds.
-const LIST_MIN_MS: u64 = 10_000;
-/// Longest time between two lists, in milliseconds.
-const LIST_MAX_MS: u64 = 1_800_000;
-/// Bytes a second that lists may cost on average.
-const LIST_RATE: u64 = 1_000;
-/// First wait after a failure.
-const RETRY_MIN: Duration = Duration::from_millis(100);
-/// Longest wait after a failure.
-const RETRY_MAX: Duration = Duration::from_secs(2);
+/// Longest wait of one watch call.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(20);
+/// Minimum interval between lists.
+const MIN_LIST_INTERVAL_MS: u64 = 10_000;
+/// Maximum interval between lists.
+const MAX_LIST_INTERVAL_MS: u64 = 1_800_000;
+/// Average bandwidth budget for lists.
+const LIST_BYTES_PER_S: u64 = 1_000;
+/// Initial delay after a failure.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Longest delay after a failure.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Runs until the lease is lost: lists everything, then watches; lists again at times, because a watch may skip an event.
+/// Runs until `stop` is cancelled. Lists everything and then watches; lists again periodically in case a watch skipped
+/// an event.
 pub(crate) async fn run(inner: Arc<Inner>, stop: CancellationToken) {
     tokio::select! {
-        () = follow(&inner) => {}
+        () = list_and_watch(&inner) => {}
         () = stop.cancelled() => {}
     }
 }
 
-/// The era of the platform in which the first list came, and when.
+/// Current era of the platform, and when its first list was received.
 #[derive(Clone, Copy, Debug, Default)]
-struct Era {
+struct CurrentEra {
     number: u64,
     since_ms: u64,
 }
 
-impl Era {
-    /// Takes in the era of a list.
+impl CurrentEra {
+    /// Updates the era from a list.
     fn observe(&mut self, number: u64) {
         if number > self.number {
-            *self = Era { number, since_ms: now_ms() };
+            *self = CurrentEra { number, since_ms: now_ms() };
         }
     }
 
-    /// Time for which lists may lack what their writers have yet to write again: the platform may just have come back from a copy.
-    /// In the first era it has not.
+    /// Remaining time in which lists may lack objects that were lost in a restore and that their writers are still
+    /// rewriting; 0 in the first era.
     fn unsettled_ms(&self) -> u64 {
         if self.number == 0 {
             return 0;
@@ -62,53 +63,55 @@
     }
 }
 
-async fn follow(inner: &Inner) {
-    let mut wait = RETRY_MIN;
-    let mut era = Era::default();
+async fn list_and_watch(inner: &Inner) {
+    let mut wait = MIN_RETRY_DELAY;
+    let mut era = CurrentEra::default();
     loop {
-        match round(inner, &mut era).await {
-            Ok(()) => wait = RETRY_MIN,
+        match sync_once(inner, &mut era).await {
+            Ok(()) => wait = MIN_RETRY_DELAY,
             Err(e) => {
                 inner.platform_failed(&e);
                 sleep(wait).await;
-                wait = (wait * 2).min(RETRY_MAX);
+                wait = (wait * 2).min(MAX_RETRY_DELAY);
             }
         }
     }
 }
 
-/// One list, and the watches after it until the next list is due.
-async fn round(inner: &Inner, era: &mut Era) -> Result<(), PlatformError> {
+/// Lists once, then watches until the next list is due.
+async fn sync_once(inner: &Inner, era: &mut CurrentEra) -> Result<(), PlatformError> {
     let (mut since, bytes) = list(inner, era).await?;
     inner.platform_recovered();
-    let pause = (bytes as u64 * 1_000 / LIST_RATE).clamp(LIST_MIN_MS, LIST_MAX_MS);
-    let until = now_ms() + if era.unsettled_ms() > 0 { LIST_MIN_MS } else { pause };
+    let interval_ms =
+        (bytes as u64 * 1_000 / LIST_BYTES_PER_S).clamp(MIN_LIST_INTERVAL_MS, MAX_LIST_INTERVAL_MS);
+    let next_list_ms =
+        now_ms() + if era.unsettled_ms() > 0 { MIN_LIST_INTERVAL_MS } else { interval_ms };
     loop {
-        let left = until.saturating_sub(now_ms()) / 1_000;
-        if left == 0 {
+        let remaining_s = next_list_ms.saturating_sub(now_ms()) / 1_000;
+        if remaining_s == 0 {
             return Ok(());
         }
-        let wait = WATCH.min(Duration::from_secs(left));
+        let wait = MAX_WATCH_WAIT.min(Duration::from_secs(remaining_s));
         let response = match inner.platform.watch(since, wait).await {
             Ok(it) => it,
             Err(PlatformError::TooOld { .. }) => return Ok(()),
             Err(e) => return Err(e),
         };
-        take_events(inner, &response.events);
+        apply_events(inner, &response.events);
         since = since.max(response.revision);
     }
 }
 
-async fn list(inner: &Inner, era: &mut Era) -> Result<(u64, usize), PlatformError> {
+async fn list(inner: &Inner, era: &mut CurrentEra) -> Result<(u64, usize), PlatformError> {
     let mut lists = list_all(inner).await?;
-    while !are_of_one_era(&lists) {
+    while !same_era(&lists) {
         lists = list_all(inner).await?;
     }
     let revision = lists.iter().map(|(_, it)| it.revision).min().unwrap_or(0);
     let bytes = lists.iter().map(|(_, it)| it.bytes).sum();
     era.observe(Revision::unpacked(revision).era);
     if era.unsettled_ms() > 0 {
-        take_copy(inner, &lists, revision);
+        apply_restored_lists(inner, &lists, revision);
         return Ok((revision, bytes));
     }
     let mut state = inner.state.lock();
@@ -116,15 +119,15 @@
     for (kind, list) in &lists {
         changed.extend(state.view.take_list(*kind, &list.items, list.revision));
     }
-    let news = match changed.is_empty() && state.view.synced() {
-        // Nothing new: the floor rises, but there is no need to tell everybody.
+    let advanced = match changed.is_empty() && state.view.synced() {
+        // No changes: raise the floor without sending it to peers.
         true => {
             let revision = state.view.revision().min(revision);
             state.view.confirm(revision)
         }
         false => state.view.confirm(revision),
     };
-    if news || !changed.is_empty() {
+    if advanced || !changed.is_empty() {
         state.flood(&changed, None);
         drop(state);
         inner.request_publish();
@@ -140,32 +143,32 @@
     Ok(lists)
 }
 
-/// Whether the platform did not come back from a copy between the lists: they would not belong together.
-fn are_of_one_era(lists: &[(Kind, List)]) -> bool {
+/// Whether all lists are of one era. After a restore between them they would be inconsistent.
+fn same_era(lists: &[(Kind, List)]) -> bool {
     let mut eras = lists.iter().map(|(_, it)| Revision::unpacked(it.revision).era);
     let first = eras.next();
     eras.all(|it| Some(it) == first)
 }
 
-/// Takes in lists of a platform that may have just come back from a copy.
-fn take_copy(inner: &Inner, lists: &[(Kind, List)], revision: u64) {
+/// Applies the lists of a platform that may just have been restored from a backup.
+fn apply_restored_lists(inner: &Inner, lists: &[(Kind, List)], revision: u64) {
     let mut state = inner.state.lock();
     let known = Revision::unpacked(state.view.revision()).era;
-    let former = Revision::unpacked(revision).era.saturating_sub(1);
-    let former = if state.view.synced() { former.min(known) } else { former };
+    let previous = Revision::unpacked(revision).era.saturating_sub(1);
+    let previous = if state.view.synced() { previous.min(known) } else { previous };
     let mut changed = Vec::new();
     for (kind, list) in lists {
-        changed.extend(state.view.take_copy(*kind, &list.items, former));
+        changed.extend(state.view.take_copy(*kind, &list.items, previous));
     }
-    let news = state.view.advance(revision);
-    if news || !changed.is_empty() {
+    let advanced = state.view.advance(revision);
+    if advanced || !changed.is_empty() {
         state.flood(&changed, None);
         drop(state);
         inner.request_publish();
     }
 }
 
-fn take_events(inner: &Inner, events: &[WatchEvent]) {
+fn apply_events(inner: &Inner, events: &[WatchEvent]) {
     let mut records = Vec::new();
     let mut newest = 0;
     for event in events {
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -1,6 +1,6 @@
 //! Control plane of the process: membership, replicated configuration, and links to other processes.
 
-mod join;
+mod dial;
 mod link;
 pub(crate) mod peer;
 mod receive;
@@ -38,8 +38,8 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    config::Common,
-    control::{join::Dials, state::State},
+    config::CommonConfig,
+    control::{dial::Dials, state::State},
     event::{self, About, Id},
     lease,
     platform::{Platform, PlatformError},
@@ -98,7 +98,7 @@
 
 /// Shared by the tasks of the control plane. Lock order: `dials`, `reports`, `state`.
 pub(crate) struct Inner {
-    pub(crate) common: Common,
+    pub(crate) common: CommonConfig,
     pub(crate) tls: Tls,
     pub(crate) platform: Platform,
     pub(crate) dials: Mutex<Dials>,
@@ -125,7 +125,7 @@
 
 impl Control {
     /// Starts the control plane: listens, joins the fleet and publishes snapshots.
-    pub(crate) async fn start(common: &Common, role: Role) -> anyhow::Result<Control> {
+    pub(crate) async fn start(common: &CommonConfig, role: Role) -> anyhow::Result<Control> {
         let address = common.control;
         let listener = TcpListener::bind(address)
             .await
@@ -135,7 +135,7 @@
         tokio::spawn(publish(Arc::clone(&inner)));
         tokio::spawn(link::listen(Arc::clone(&inner), listener));
         tokio::spawn(tick::run(Arc::clone(&inner)));
-        tokio::spawn(join::run(Arc::clone(&inner)));
+        tokio::spawn(dial::run(Arc::clone(&inner)));
         match role {
             Role::Balancer => {
                 tokio::spawn(lease::run(Arc::clone(&inner)));
@@ -255,7 +255,7 @@
 }
 
 impl Inner {
-    fn new(common: &Common, role: &Role) -> anyhow::Result<Inner> {
+    fn new(common: &CommonConfig, role: &Role) -> anyhow::Result<Inner> {
         let (snapshot, _) = watch::channel(Arc::default());
         let (fenced, _) = watch::channel(false);
         let (accepted_tx, accepted) = mpsc::channel(MAX_ACCEPTED_LINKS);
@@ -333,7 +333,7 @@
             }
             changed
         });
-        report::note(self);
+        report::record_changes(self);
     }
 }
 
--- a/crates/daemon/src/control/join.rs
+++ b/crates/daemon/src/control/dial.rs
@@ -45,7 +45,7 @@
 const DISCOVERY_INTERVAL: Duration = Duration::from_secs(1);
 /// Longest interval between discoveries while the platform does not respond.
 const MAX_DISCOVERY_INTERVAL: Duration = Duration::from_secs(5);
-/// Interval between discoveries by a lease holder, which reconnect a partitioned fleet.
+/// Interval between discoveries by a lease holder.
 const HEAL_INTERVAL: Duration = Duration::from_secs(30);
 /// The same within [`STARTUP_MS`].
 const STARTUP_HEAL_INTERVAL: Duration = Duration::from_secs(5);
@@ -80,8 +80,8 @@
     }
 }
 
-/// Discovers balancers through the platform's leases: frequently while there is no link; otherwise only lease holders do
-/// so, at a low rate, to heal a partition of the fleet.
+/// Discovers balancers through the platform's leases: frequently while there is no link; otherwise only lease holders
+/// do so, at a low rate, to heal a partition of the fleet.
 pub(crate) async fn run(inner: Arc<Inner>) {
     let mut wait = DISCOVERY_INTERVAL;
     loop {
@@ -212,8 +212,8 @@
         self.announce_homes();
     }
 
-    /// Announces the balancers that this agent is linked to, starting with the one that reports for it. The order depends
-    /// on their zones, which may be received only after the links are up.
+    /// Announces the balancers that this agent is linked to, starting with the one that reports for it. The order
+    /// depends on their zones, which may be received only after the links are up.
     fn announce_homes(&self) {
         let mut state = self.state.lock();
         if !state.is_agent() {
@@ -315,8 +315,8 @@
     let alive = state.balancers();
     let own = state.own.name();
     let mut desired = mesh::neighbours(own, &mesh_peers(&alive));
-    let seed = state.seed(state.own.zone()).filter(|it| it.name != own);
-    desired.extend(seed.map(|it| it.name.as_str()));
+    let holder = state.lease_holder(state.own.zone()).filter(|it| it.name != own);
+    desired.extend(holder.map(|it| it.name.as_str()));
     let mut targets = Vec::new();
     for balancer in &alive {
         let suspect = state.suspects.contains(&balancer.name);
--- a/crates/daemon/src/control/link.rs
+++ b/crates/daemon/src/control/link.rs
@@ -213,8 +213,8 @@
     inner.on_link_down(id, &hello.name, &reason);
 }
 
-/// Registers the link and replaces older ones to the same peer. Of two links that both sides opened simultaneously, both
-/// keep the one opened by the process with the lower name.
+/// Registers the link and replaces older ones to the same peer. Of two links that both sides opened simultaneously,
+/// both keep the one opened by the process with the lower name.
 fn register(state: &mut State, link: Link) -> Option<LinkId> {
     if link.peer == state.own.name() {
         return None;
--- a/crates/daemon/src/control/receive.rs
+++ b/crates/daemon/src/control/receive.rs
@@ -133,8 +133,8 @@
             return;
         };
         let events = parse_events(&report.events);
-        self.reports.lock().take(&peer, &report, now_ms());
-        report::note(self);
+        self.reports.lock().record(&peer, &report, now_ms());
+        report::record_changes(self);
         self.state.lock().queue_events(events);
     }
 }
@@ -143,7 +143,7 @@
     let Some(it) = stamp else {
         return;
     };
-    if !event::observe(timeline::Stamp { ms: it.ms, counter: it.counter }) {
+    if !event::observe_stamp(timeline::Stamp { ms: it.ms, counter: it.counter }) {
         tracing::debug!("ignored a stamp too far ahead of the local clock: {} ms", it.ms);
     }
 }
--- a/crates/daemon/src/control/state.rs
+++ b/crates/daemon/src/control/state.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     clock::{now_ms, wall_ms},
-    config::Common,
+    config::CommonConfig,
     control::{
         Load, Role,
         peer::{Link, LinkId, LinkedAgent},
@@ -30,8 +30,8 @@
 const MAX_UPDATE_BYTES: usize = 512 << 10;
 /// Minimum interval between digests sent on a link because of a difference.
 const MIN_DIGEST_INTERVAL_MS: u64 = 200;
-/// How long a starting process may outbid a higher incarnation of its name: the wall clock of the VM that it replaces may
-/// have been ahead.
+/// How long a starting process may outbid a higher incarnation of its name: the wall clock of the VM that it replaces
+/// may have been ahead.
 const NAME_GRACE_MS: u64 = 10_000;
 /// Capacity of the queue of events to forward.
 pub(crate) const MAX_QUEUED_EVENTS: usize = 2_000;
@@ -69,7 +69,7 @@
 
 impl State {
     /// Initial state.
-    pub(crate) fn new(common: &Common, role: &Role) -> State {
+    pub(crate) fn new(common: &CommonConfig, role: &Role) -> State {
         let wall = wall_ms();
         let pools = match role {
             Role::Agent(agent) => vec![agent.pool.clone()],
@@ -324,7 +324,7 @@
     }
 
     /// Holder of the lowest-numbered lease of the zone, or of any zone if this one has no holder.
-    pub(crate) fn seed(&self, zone: &str) -> Option<&Balancer> {
+    pub(crate) fn lease_holder(&self, zone: &str) -> Option<&Balancer> {
         let mut best: Option<(bool, u8, &Balancer)> = None;
         for member in self.view.members() {
             let MemberRole::Balancer { balancer, lease: Some(lease) } = &member.role else {
@@ -363,7 +363,7 @@
     Stamp { ms: it.ms, counter: it.counter }
 }
 
-fn own_role(common: &Common, role: &Role) -> MemberRole {
+fn own_role(common: &CommonConfig, role: &Role) -> MemberRole {
     match role {
         Role::Agent(agent) => MemberRole::Agent { agent: agent.clone(), homes: Vec::new() },
         Role::Balancer => MemberRole::Balancer {
--- a/crates/daemon/src/control/tests.rs
+++ b/crates/daemon/src/control/tests.rs
@@ -13,7 +13,7 @@
 
 use super::*;
 use crate::{
-    config::{FleetPem, LogForm},
+    config::{FleetPem, LogFormat},
     platform::fake::FakePlatform,
 };
 
@@ -31,10 +31,10 @@
         Fleet { platform, address, pem: fleet_pem() }
     }
 
-    fn common(&self, name: &str, zone: &str, peers: &[SocketAddr]) -> Common {
+    fn common(&self, name: &str, zone: &str, peers: &[SocketAddr]) -> CommonConfig {
         let place =
             Place { vm: format!("vm-{name}"), zone: zone.to_owned(), region: "r".to_owned() };
-        Common {
+        CommonConfig {
             name: name.to_owned(),
             place,
             platform: self.address,
@@ -42,7 +42,7 @@
             operator: free_address(),
             peers: peers.to_vec(),
             fleet: self.pem.clone(),
-            log: LogForm::Text,
+            log: LogFormat::Text,
             log_level: "info".to_owned(),
         }
     }
--- a/crates/daemon/src/control/tick.rs
+++ b/crates/daemon/src/control/tick.rs
@@ -139,9 +139,9 @@
 
 /// Takes up to [`MAX_HEARTBEAT_EVENTS`] pending events of this process, as JSON.
 pub(crate) fn take_event_batch() -> Vec<String> {
-    let mut events = event::take_waiting();
+    let mut events = event::take_pending();
     if events.len() > MAX_HEARTBEAT_EVENTS {
-        event::put_back(events.split_off(MAX_HEARTBEAT_EVENTS));
+        event::requeue(events.split_off(MAX_HEARTBEAT_EVENTS));
     }
     events.iter().filter_map(|it| serde_json::to_string(it).ok()).collect()
 }
@@ -200,8 +200,8 @@
     event::emit(id, about, &format!("{} {text}", member.name()));
 }
 
-/// Suspects silent agents that this balancer monitors, and orphaned agents, whose balancers are all down. A balancer that
-/// sees only a minority of the balancers skips orphans, because it may be the partitioned one.
+/// Suspects silent agents that this balancer monitors, and orphaned agents, whose balancers are all down. A balancer
+/// that sees only a minority of the balancers skips orphans, because it may be the partitioned one.
 fn suspect_unmonitored(state: &mut State, now: u64) {
     let alive = state.balancers();
     let known = state.view.members().filter(|it| matches!(it.role, Role::Balancer { .. })).count();
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -1,6 +1,6 @@
-//! Numbered events: what the process reports to its log and to the timeline.
+//! Numbered events, written to the log and to the timeline.
 //!
-//! The catalogue stands in `docs/EVENTS.md`; a test holds the two equal.
+//! A test compares the catalogue with `docs/EVENTS.md`.
 
 use std::{
     collections::VecDeque,
@@ -11,12 +11,12 @@
 
 use crate::clock::wall_ms;
 
-/// Events kept for the operator address.
-const KEPT: usize = 1_000;
-/// Events that may wait for the timeline; further ones are dropped and counted.
-const WAITING: usize = 1_000;
+/// Recent events kept for the operator address.
+const MAX_RECENT_EVENTS: usize = 1_000;
+/// Capacity of the queue to the timeline; the oldest events above it are dropped and counted.
+const MAX_PENDING_EVENTS: usize = 1_000;
 
-/// Level at which an event is logged.
+/// Log level of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Level {
     Info,
@@ -38,17 +38,17 @@
             #[cfg(test)]
             pub(crate) const ALL: &[Id] = &[$(Id::$variant,)*];
 
-            /// Name, as in the catalogue.
+            /// Name in the catalogue.
             pub(crate) fn name(self) -> &'static str {
                 match self { $(Id::$variant => $name,)* }
             }
 
-            /// Level.
+            /// Log level.
             pub(crate) fn level(self) -> Level {
                 match self { $(Id::$variant => Level::$level,)* }
             }
 
-            /// Meaning, as in the catalogue.
+            /// Meaning in the catalogue.
             #[cfg(test)]
             pub(crate) fn meaning(self) -> &'static str {
                 match self { $(Id::$variant => $meaning,)* }
@@ -96,7 +96,7 @@
     503 ServiceBindFailed "service-bind-failed" Error "the balancer can't listen on a service's address; it tries again";
 }
 
-/// What an event is about. All parts are optional.
+/// Optional context of an event.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct About {
     service: Option<String>,
@@ -107,30 +107,30 @@
 
 #[allow(dead_code, reason = "roles emit different kinds")]
 impl About {
-    /// About the process itself.
+    /// Empty context: the event concerns the process itself.
     pub(crate) fn new() -> About {
         About::default()
     }
 
-    /// Names the service.
+    /// Sets the service.
     pub(crate) fn with_service(mut self, name: &str) -> About {
         self.service = Some(name.to_owned());
         self
     }
 
-    /// Names the flow.
+    /// Sets the flow.
     pub(crate) fn with_flow(mut self, flow: &str) -> About {
         self.flow = Some(flow.to_owned());
         self
     }
 
-    /// Names the request.
+    /// Sets the request.
     pub(crate) fn with_request(mut self, request: &str) -> About {
         self.request = Some(request.to_owned());
         self
     }
 
-    /// Names the upstream.
+    /// Sets the upstream.
     pub(crate) fn with_upstream(mut self, name: &str) -> About {
         self.upstream = Some(name.to_owned());
         self
@@ -141,8 +141,8 @@
     process: String,
     clock: Hlc,
     next: u64,
-    kept: VecDeque<Event>,
-    waiting: VecDeque<Event>,
+    recent: VecDeque<Event>,
+    pending: VecDeque<Event>,
     dropped: u64,
 }
 
@@ -150,8 +150,8 @@
     process: String::new(),
     clock: Hlc::new(),
     next: 0,
-    kept: VecDeque::new(),
-    waiting: VecDeque::new(),
+    recent: VecDeque::new(),
+    pending: VecDeque::new(),
     dropped: 0,
 });
 
@@ -159,7 +159,7 @@
     RECORDER.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Sets the name under which this process's events appear.
+/// Sets the process name in events.
 pub(crate) fn init(process: &str) {
     recorder().process = process.to_owned();
 }
@@ -170,61 +170,61 @@
     log(id.level(), &event);
 }
 
-/// Records and logs an event that every process has at the same time: it stays out of the timeline, where the event of
-/// the process that reports for the zone stands for all.
+/// Records and logs an event without sending it to the timeline. For events that every process emits at the same time;
+/// the zone's lease holder emits one for all.
 pub(crate) fn emit_local(id: Id, about: About, text: &str) {
-    let event = recorder().keep(id, about, text);
+    let event = recorder().record_local(id, about, text);
     log(id.level(), &event);
 }
 
-/// The newest events, oldest first.
+/// Recent events, oldest first.
 pub(crate) fn recent() -> Vec<Event> {
-    recorder().kept.iter().cloned().collect()
+    recorder().recent.iter().cloned().collect()
 }
 
-/// Takes the events that wait to be sent to the timeline.
-pub(crate) fn take_waiting() -> Vec<Event> {
-    recorder().waiting.drain(..).collect()
+/// Takes the events pending for the timeline.
+pub(crate) fn take_pending() -> Vec<Event> {
+    recorder().pending.drain(..).collect()
 }
 
-/// Puts back events that could not be sent, before those that came since.
+/// Puts back events that could not be sent, ahead of newer ones.
 #[allow(dead_code, reason = "used by the control plane")]
-pub(crate) fn put_back(events: Vec<Event>) {
+pub(crate) fn requeue(events: Vec<Event>) {
     let mut recorder = recorder();
     for event in events.into_iter().rev() {
-        recorder.waiting.push_front(event);
+        recorder.pending.push_front(event);
     }
     recorder.trim();
 }
 
-/// Events that were dropped because too many waited.
+/// Number of events dropped because the queue was full.
 #[allow(dead_code, reason = "used by the control plane")]
 pub(crate) fn dropped() -> u64 {
     recorder().dropped
 }
 
-/// Stamp for a message to another process.
+/// Current stamp for a message to another process.
 #[allow(dead_code, reason = "used by the control plane")]
 pub(crate) fn stamp() -> Stamp {
     recorder().clock.tick(wall_ms())
 }
 
-/// Takes in the stamp of another process's message; false if it is too far ahead.
+/// Updates the clock from a peer's stamp; returns false if the stamp is too far ahead.
 #[allow(dead_code, reason = "used by the control plane")]
-pub(crate) fn observe(stamp: Stamp) -> bool {
+pub(crate) fn observe_stamp(stamp: Stamp) -> bool {
     recorder().clock.observe(wall_ms(), stamp)
 }
 
 impl Recorder {
     fn record(&mut self, id: Id, about: About, text: &str) -> Event {
-        let event = self.keep(id, about, text);
-        self.waiting.push_back(event.clone());
+        let event = self.record_local(id, about, text);
+        self.pending.push_back(event.clone());
         self.trim();
         event
     }
 
-    /// Records an event that is not sent to the timeline.
-    fn keep(&mut self, id: Id, about: About, text: &str) -> Event {
+    /// Records an event without queueing it for the timeline.
+    fn record_local(&mut self, id: Id, about: About, text: &str) -> Event {
         let event = Event {
             stamp: self.clock.tick(wall_ms()),
             process: self.process.clone(),
@@ -238,17 +238,17 @@
             text: text.to_owned(),
         };
         self.next += 1;
-        self.kept.push_back(event.clone());
+        self.recent.push_back(event.clone());
         self.trim();
         event
     }
 
     fn trim(&mut self) {
-        while self.kept.len() > KEPT {
-            self.kept.pop_front();
+        while self.recent.len() > MAX_RECENT_EVENTS {
+            self.recent.pop_front();
         }
-        while self.waiting.len() > WAITING {
-            self.waiting.pop_front();
+        while self.pending.len() > MAX_PENDING_EVENTS {
+            self.pending.pop_front();
             self.dropped += 1;
         }
     }
--- a/crates/daemon/src/event/tests.rs
+++ b/crates/daemon/src/event/tests.rs
@@ -12,31 +12,31 @@
 }
 
 #[test]
-fn catalogue_matches_the_docs() {
+fn event_catalogue_matches_the_docs() {
     let expected: Vec<String> = Id::ALL.iter().map(|&it| row(it)).collect();
     let starts_with_number =
         |line: &&str| line.starts_with("| ") && line.as_bytes()[2].is_ascii_digit();
-    // Those of opaque flows are held equal by the tests of their own crate.
-    let (own, _) = CATALOGUE.split_once("## Opaque flows").unwrap();
-    let found: Vec<&str> = own.lines().filter(starts_with_number).collect();
+    // The section on opaque flows is checked by the tests of that crate.
+    let (daemon_rows, _) = CATALOGUE.split_once("## Opaque flows").unwrap();
+    let found: Vec<&str> = daemon_rows.lines().filter(starts_with_number).collect();
     assert_eq!(found, expected);
 }
 
 #[test]
-fn waiting_events_are_bounded_and_counted() {
+fn pending_events_are_bounded_and_dropped_events_counted() {
     let mut recorder = Recorder {
         process: "p".to_owned(),
         clock: Hlc::new(),
         next: 0,
-        kept: VecDeque::new(),
-        waiting: VecDeque::new(),
+        recent: VecDeque::new(),
+        pending: VecDeque::new(),
         dropped: 0,
     };
-    for _ in 0..WAITING + 5 {
+    for _ in 0..MAX_PENDING_EVENTS + 5 {
         recorder.record(Id::LinkUp, About::new(), "");
     }
-    assert_eq!(recorder.waiting.len(), WAITING);
+    assert_eq!(recorder.pending.len(), MAX_PENDING_EVENTS);
     assert_eq!(recorder.dropped, 5);
-    let stamps: Vec<Stamp> = recorder.kept.iter().map(|it| it.stamp).collect();
+    let stamps: Vec<Stamp> = recorder.recent.iter().map(|it| it.stamp).collect();
     assert!(stamps.is_sorted());
 }
--- a/crates/daemon/src/help.rs
+++ b/crates/daemon/src/help.rs
@@ -1,4 +1,4 @@
-//! Prints what the command line's parser has to say: help, completion or a fault.
+//! Prints help, completions and errors of the command-line parser.
 
 use std::{
     io::{self, Write},
@@ -7,14 +7,14 @@
 
 use bpaf::ParseFailure;
 
-/// Prints the message and gives the exit code. A reader that has gone away, as in `--help | head`, is no fault.
-pub(crate) fn show(failure: &ParseFailure) -> ExitCode {
-    let done = match failure {
+/// Prints the message and returns the exit code. A closed pipe, as in `--help | head`, is not an error.
+pub(crate) fn print_failure(failure: &ParseFailure) -> ExitCode {
+    let written = match failure {
         ParseFailure::Stdout(help, full) => writeln!(io::stdout(), "{}", help.monochrome(*full)),
         ParseFailure::Completion(text) => write!(io::stdout(), "{text}"),
-        ParseFailure::Stderr(fault) => writeln!(io::stderr(), "Error: {}", fault.monochrome(true)),
+        ParseFailure::Stderr(error) => writeln!(io::stderr(), "Error: {}", error.monochrome(true)),
     };
-    match (done.and_then(|()| io::stdout().flush()), failure) {
+    match (written.and_then(|()| io::stdout().flush()), failure) {
         (Err(e), _) if e.kind() != io::ErrorKind::BrokenPipe => ExitCode::FAILURE,
         (_, ParseFailure::Stderr(_)) => ExitCode::FAILURE,
         _ => ExitCode::SUCCESS,
--- a/crates/daemon/src/lease.rs
+++ b/crates/daemon/src/lease.rs
@@ -1,4 +1,4 @@
-//! The process's lease in the platform: taking it, renewing it together with the zone's report, and what its holder does.
+//! Acquires, renews and releases the lease of this process, and runs the tasks of its holder.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,77 +16,76 @@
 
 use crate::{
     clock::{now_ms, wall_ms},
+    config_watch,
     control::{Inner, state::mesh_peers},
     event::{self, About, Id},
     platform::PutOutcome,
     report::{self, Detail},
-    seed,
+    report_writer::ReportWriter,
     timeline::TimelineWriter,
-    whole::WholeWriter,
 };
 
-/// Time between two looks at what is to be done.
-const STEP: Duration = Duration::from_millis(500);
-/// Least time between two writes of a lease, in milliseconds.
-const WRITE_MS: u64 = 1_000;
-/// Time between looks at the leases while both are held as far as the peers know, in milliseconds.
-const LOOK_MS: u64 = 30_000;
-/// Time between looks while a lease of the zone may be free, in milliseconds.
-const LOOK_SOON_MS: u64 = 2_000;
-/// How much later each further balancer of the zone looks, in milliseconds.
-const RANK_MS: u64 = 200;
+const STEP_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum interval between writes of a lease.
+const MIN_WRITE_INTERVAL_MS: u64 = 1_000;
+/// Interval between checks of the leases while all of the zone are held, as far as known.
+const CHECK_INTERVAL_MS: u64 = 30_000;
+/// Interval between checks while a lease of the zone may be free.
+const FREE_CHECK_INTERVAL_MS: u64 = 2_000;
+/// Additional delay per rank of the balancer, which spreads the checks.
+const CHECK_STAGGER_MS: u64 = 200;
 
-/// Runs until the process stops; then gives the lease back.
+/// Runs until the process stops; then releases the lease.
 pub(crate) async fn run(inner: Arc<Inner>) {
-    let mut holder = Holder::new(Arc::clone(&inner));
+    let mut task = LeaseTask::new(Arc::clone(&inner));
     loop {
-        holder.step().await;
+        task.step().await;
         let jitter = rand::rng().random_range(0.8..1.2);
         tokio::select! {
-            () = sleep(STEP.mul_f64(jitter)) => {}
+            () = sleep(STEP_INTERVAL.mul_f64(jitter)) => {}
             () = inner.leaving.cancelled() => break,
             () = inner.stop.cancelled() => return,
         }
     }
-    holder.release().await;
+    task.release().await;
     inner.released.cancel();
 }
 
-struct Holder {
+struct LeaseTask {
     inner: Arc<Inner>,
     keeper: Keeper,
     zone: String,
-    written_ms: u64,
-    looked_ms: Option<u64>,
-    /// Ends the watch of the platform.
+    last_write_ms: u64,
+    last_check_ms: Option<u64>,
+    /// Stops the watch of the platform.
     watch: Option<CancellationToken>,
-    timeline: Option<TimelineWriter>,
-    whole: Option<WholeWriter>,
-    written: Option<Report>,
-    /// Era of the platform that is known.
+    timeline_writer: Option<TimelineWriter>,
+    report_writer: Option<ReportWriter>,
+    written_report: Option<Report>,
+    /// Last known era of the platform.
     era: Option<u64>,
 }
 
-impl Holder {
-    fn new(inner: Arc<Inner>) -> Holder {
+impl LeaseTask {
+    fn new(inner: Arc<Inner>) -> LeaseTask {
         let zone = inner.common.place.zone.clone();
         let keeper = Keeper::new(&inner.common.name);
-        Holder {
+        LeaseTask {
             inner,
             keeper,
             zone,
-            written_ms: 0,
-            looked_ms: None,
+            last_write_ms: 0,
+            last_check_ms: None,
             watch: None,
-            timeline: None,
-            whole: None,
-            written: None,
+            timeline_writer: None,
+            report_writer: None,
+            written_report: None,
             era: None,
         }
     }
 
-    /// Takes in that the platform came back from a copy.
-    fn note_reset(&mut self) {
+    /// Resets the lease state after the platform was restored from a backup.
+    fn detect_restore(&mut self) {
         let era = self.inner.platform.era();
         let known = std::mem::replace(&mut self.era, era);
         if known.is_some() && known < era {
@@ -95,35 +94,35 @@
     }
 
     async fn step(&mut self) {
-        self.note_reset();
+        self.detect_restore();
         match self.keeper.renew(now_ms()) {
             Some(attempt) => self.renew(attempt).await,
-            None => self.look().await,
+            None => self.try_acquire().await,
         }
-        self.settle();
+        self.apply_lease_change();
         if self.keeper.holds(now_ms()).is_some() {
             self.write_objects().await;
         }
     }
 
     async fn renew(&mut self, attempt: Attempt) {
-        let since = now_ms().saturating_sub(self.written_ms);
-        if since < WRITE_MS {
+        let since = now_ms().saturating_sub(self.last_write_ms);
+        if since < MIN_WRITE_INTERVAL_MS {
             return;
         }
         let report = report::current(&self.inner, Detail::Brief).map(|it| it.brief());
-        if since < RENEW_MS && !differs(report.as_ref(), self.written.as_ref()) {
+        if since < RENEW_MS && !has_changed(report.as_ref(), self.written_report.as_ref()) {
             return;
         }
-        self.note_in_force(report.as_ref());
-        self.written.clone_from(&report);
+        self.emit_zone_in_force(report.as_ref());
+        self.written_report.clone_from(&report);
         self.write(attempt, report).await;
     }
 
-    /// Records that a revision is in force in the whole zone. The processes' own events of this stay with them, as a
-    /// change would fill the timeline with them.
-    fn note_in_force(&self, report: Option<&Report>) {
-        let before = self.written.as_ref().map_or(0, |it| it.in_force);
+    /// Emits an event when a revision is in force in the whole zone. The timeline has this event instead of one event
+    /// per process.
+    fn emit_zone_in_force(&self, report: Option<&Report>) {
+        let before = self.written_report.as_ref().map_or(0, |it| it.in_force);
         let Some(report) = report.filter(|it| it.in_force > before) else {
             return;
         };
@@ -139,7 +138,7 @@
             taken_ms: attempt.term.taken_ms,
             report,
         };
-        self.written_ms = now_ms();
+        self.last_write_ms = now_ms();
         match self.inner.platform.put(Kind::Lease, &name, attempt.base, &json!(lease)).await {
             Ok(PutOutcome::Done(object)) => {
                 self.keeper.written(now_ms(), &attempt, object.version);
@@ -175,14 +174,15 @@
         }
     }
 
-    /// Looks whether a lease may be taken, when it is time, and takes it.
-    async fn look(&mut self) {
+    /// Checks the leases if a check is due, and takes one that is free.
+    async fn try_acquire(&mut self) {
         let now = now_ms();
-        let due = self.looked_ms.is_none_or(|it| now.saturating_sub(it) >= self.interval());
+        let due =
+            self.last_check_ms.is_none_or(|it| now.saturating_sub(it) >= self.check_interval_ms());
         if !due {
             return;
         }
-        self.looked_ms = Some(now);
+        self.last_check_ms = Some(now);
         for number in 0..LEASES {
             if !self.read(number).await {
                 return;
@@ -194,9 +194,9 @@
         self.write(attempt, None).await;
     }
 
-    fn interval(&self) -> u64 {
+    fn check_interval_ms(&self) -> u64 {
         if self.keeper.last().is_some() {
-            return WRITE_MS;
+            return MIN_WRITE_INTERVAL_MS;
         }
         let state = self.inner.state.lock();
         let alive = state.balancers();
@@ -206,33 +206,33 @@
             held += u8::from(matches!(member.role, Role::Balancer { lease: Some(_), .. }));
         }
         if held >= LEASES {
-            return LOOK_MS;
+            return CHECK_INTERVAL_MS;
         }
         let rank = mesh::rank(&self.zone, state.own.name(), &mesh_peers(&in_zone)) as u64;
-        LOOK_SOON_MS + rank * RANK_MS
+        FREE_CHECK_INTERVAL_MS + rank * CHECK_STAGGER_MS
     }
 
-    /// Brings what the process announces and does into line with the lease.
-    fn settle(&mut self) {
+    /// Updates the announcement and the tasks of a holder after the lease was taken or lost.
+    fn apply_lease_change(&mut self) {
         let held = self.keeper.holds(now_ms());
         let before = self.inner.set_lease(held);
         match (before, held) {
             (None, Some(n)) => {
-                self.written = None;
+                self.written_report = None;
                 event::emit(Id::SeedTaken, About::new(), &Lease::name(&self.zone, n));
             }
             (Some(n), None) => {
-                self.timeline = None;
-                self.whole = None;
+                self.timeline_writer = None;
+                self.report_writer = None;
                 event::emit(Id::SeedLost, About::new(), &Lease::name(&self.zone, n));
             }
             _ => {}
         }
-        // A watch only reads: it goes on while the lease lapsed and nobody else is known to have taken it.
+        // The watch only reads, so it continues after the lease expired until another holder is known.
         match (&self.watch, self.keeper.last()) {
             (None, Some(_)) => {
                 let token = self.inner.stop.child_token();
-                tokio::spawn(seed::run(Arc::clone(&self.inner), token.clone()));
+                tokio::spawn(config_watch::run(Arc::clone(&self.inner), token.clone()));
                 self.watch = Some(token);
             }
             (Some(token), None) => {
@@ -243,20 +243,21 @@
         }
     }
 
-    /// Writes the zone's timeline and whole report, both at once, as the platform may be slow and the lease must not lapse.
+    /// Writes the timeline and the full report concurrently, so that a slow platform does not delay the lease renewal.
     async fn write_objects(&mut self) {
-        let (timeline, whole) = (self.timeline.take(), self.whole.take());
-        let (timeline, whole) =
-            tokio::join!(self.write_timeline(timeline), self.write_whole(whole));
-        self.timeline = timeline;
-        self.whole = whole;
+        let (timeline_writer, report_writer) =
+            (self.timeline_writer.take(), self.report_writer.take());
+        let (timeline_writer, report_writer) =
+            tokio::join!(self.write_timeline(timeline_writer), self.write_report(report_writer));
+        self.timeline_writer = timeline_writer;
+        self.report_writer = report_writer;
     }
 
     async fn write_timeline(&self, writer: Option<TimelineWriter>) -> Option<TimelineWriter> {
         let inner = &self.inner;
         let reporting = {
             let state = inner.state.lock();
-            state.seed(&self.zone).is_some_and(|it| it.name == state.own.name())
+            state.lease_holder(&self.zone).is_some_and(|it| it.name == state.own.name())
         };
         if !reporting {
             return None;
@@ -274,14 +275,14 @@
         writer.write(inner, || self.keeper.holds(now_ms()).is_some()).await
     }
 
-    async fn write_whole(&self, writer: Option<WholeWriter>) -> Option<WholeWriter> {
-        if writer.as_ref().is_some_and(|it| !it.due()) {
+    async fn write_report(&self, writer: Option<ReportWriter>) -> Option<ReportWriter> {
+        if writer.as_ref().is_some_and(|it| !it.is_due()) {
             return writer;
         }
-        let report = report::current(&self.inner, Detail::Whole)?;
+        let report = report::current(&self.inner, Detail::Full)?;
         let writer = match writer {
             Some(it) => it,
-            None => match WholeWriter::open(&self.inner, &self.zone).await {
+            None => match ReportWriter::open(&self.inner, &self.zone).await {
                 Ok(it) => it,
                 Err(e) => {
                     self.inner.platform_failed(&e);
@@ -303,8 +304,8 @@
     }
 }
 
-/// Whether two reports differ in more than their time.
-pub(crate) fn differs(new: Option<&Report>, old: Option<&Report>) -> bool {
+/// Whether two reports differ, ignoring their time.
+pub(crate) fn has_changed(new: Option<&Report>, old: Option<&Report>) -> bool {
     match (new, old) {
         (Some(new), Some(old)) => Report { at_ms: old.at_ms, ..new.clone() } != *old,
         (new, old) => new.is_some() != old.is_some(),
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,9 +1,10 @@
-//! The camphorwinch daemon: `balance` on an entry VM, `agent` beside an upstream.
+//! The camphorwinch daemon: `balance` on an entry VM, `agent` next to an upstream.
 
 mod agent;
 mod clock;
 mod cmd;
 mod config;
+mod config_watch;
 mod control;
 mod event;
 mod help;
@@ -14,12 +15,11 @@
 mod platform;
 mod relay;
 mod report;
-mod seed;
+mod report_writer;
 mod signal;
 mod timeline;
 mod tls;
 mod violations;
-mod whole;
 
 use std::process::ExitCode;
 
@@ -29,8 +29,8 @@
 
 /// Layer-4 load balancer for QUIC.
 ///
-/// Every flag can also be given as an environment variable: CAMPHORWINCH_ and the flag's name in upper case, with '_'
-/// for '-'. A flag goes before its variable.
+/// Every flag can also be set by an environment variable: CAMPHORWINCH_ and the flag's name in upper case, with '_' for
+/// '-'. A flag overrides its variable.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Command {
@@ -42,7 +42,7 @@
     let result = match command().run_inner(bpaf::Args::current_args()) {
         Ok(Command::Balance(it)) => it.run(),
         Ok(Command::Agent(it)) => it.run(),
-        Err(failure) => return help::show(&failure),
+        Err(failure) => return help::print_failure(&failure),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operator address: health, metrics, status and recent events over HTTP, read-only.
+//! Read-only HTTP server for operators: health, metrics, status and recent events.
 
 use std::{convert::Infallible, net::SocketAddr, sync::Arc};
 
@@ -13,9 +13,9 @@
 
 use crate::{event, metrics};
 
-/// What the operator address asks of the process.
+/// Process state that the operator address exposes.
 pub(crate) trait Inspect: Send + Sync + 'static {
-    /// Whether the process serves; the text says why not.
+    /// Returns the reason if the process is not serving.
     fn health(&self) -> Result<(), String>;
     /// State of the process.
     fn status(&self) -> Value;
@@ -28,7 +28,7 @@
 {
     let listener = TcpListener::bind(address)
         .await
-        .with_context(|| format!("listen for operators on {address}"))?;
+        .with_context(|| format!("listen on the operator address {address}"))?;
     tokio::spawn(async move {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
@@ -45,45 +45,48 @@
     I: Inspect,
 {
     let service = service_fn(move |request: Request<Incoming>| {
-        let response = answer(&request, inspect.as_ref());
+        let response = handle(&request, inspect.as_ref());
         async move { Ok::<_, Infallible>(response) }
     });
     if let Err(e) = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await {
-        tracing::debug!("operator connection: {e}");
+        tracing::debug!("operator connection failed: {e}");
     }
 }
 
-fn answer<I>(request: &Request<Incoming>, inspect: &I) -> Response<Full<Bytes>>
+fn handle<I>(request: &Request<Incoming>, inspect: &I) -> Response<Full<Bytes>>
 where
     I: Inspect,
 {
     if request.method() != Method::GET {
-        return text(StatusCode::METHOD_NOT_ALLOWED, "this address is read-only: use GET\n");
+        return text_response(
+            StatusCode::METHOD_NOT_ALLOWED,
+            "this address is read-only: use GET\n",
+        );
     }
     match request.uri().path() {
         "/health" => match inspect.health() {
-            Ok(()) => text(StatusCode::OK, "ok\n"),
-            Err(why) => text(StatusCode::SERVICE_UNAVAILABLE, &format!("{why}\n")),
+            Ok(()) => text_response(StatusCode::OK, "ok\n"),
+            Err(reason) => text_response(StatusCode::SERVICE_UNAVAILABLE, &format!("{reason}\n")),
         },
         "/metrics" => match metrics::render() {
-            Ok(body) => respond(StatusCode::OK, "text/plain; version=0.0.4", body),
-            Err(e) => text(StatusCode::INTERNAL_SERVER_ERROR, &format!("{e:#}\n")),
+            Ok(body) => build_response(StatusCode::OK, "text/plain; version=0.0.4", body),
+            Err(e) => text_response(StatusCode::INTERNAL_SERVER_ERROR, &format!("{e:#}\n")),
         },
-        "/status" => as_json(&inspect.status()),
-        "/timeline" => as_json(&json!({ "events": event::recent() })),
-        _ => text(StatusCode::NOT_FOUND, "paths: /health /metrics /status /timeline\n"),
+        "/status" => json_response(&inspect.status()),
+        "/timeline" => json_response(&json!({ "events": event::recent() })),
+        _ => text_response(StatusCode::NOT_FOUND, "paths: /health /metrics /status /timeline\n"),
     }
 }
 
-fn as_json(value: &Value) -> Response<Full<Bytes>> {
-    respond(StatusCode::OK, "application/json", value.to_string().into_bytes())
+fn json_response(value: &Value) -> Response<Full<Bytes>> {
+    build_response(StatusCode::OK, "application/json", value.to_string().into_bytes())
 }
 
-fn text(status: StatusCode, body: &str) -> Response<Full<Bytes>> {
-    respond(status, "text/plain", body.as_bytes().to_vec())
+fn text_response(status: StatusCode, body: &str) -> Response<Full<Bytes>> {
+    build_response(status, "text/plain", body.as_bytes().to_vec())
 }
 
-fn respond(status: StatusCode, kind: &str, body: Vec<u8>) -> Response<Full<Bytes>> {
-    let builder = Response::builder().status(status).header(CONTENT_TYPE, kind);
+fn build_response(status: StatusCode, content_type: &str, body: Vec<u8>) -> Response<Full<Bytes>> {
+    let builder = Response::builder().status(status).header(CONTENT_TYPE, content_type);
     builder.body(Full::new(Bytes::from(body))).expect("status and header are valid")
 }
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,7 +1,7 @@
 //! Client of the platform's object API.
 //!
-//! Every call has a timeout. Each write has a random writer ID. A write whose response was lost is retried; if the retry
-//! conflicts with an object that has the same writer ID, the first attempt took effect.
+//! Every call has a timeout. Each write has a random writer ID. A write whose response was lost is retried; if the
+//! retry conflicts with an object that has the same writer ID, the first attempt took effect.
 
 use std::{net::SocketAddr, time::Duration};
 
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -1,5 +1,5 @@
-//! Packet path of the balancer: opens and closes sockets as the configuration changes, and gives the workers a new placer
-//! for each snapshot.
+//! Packet path of the balancer: opens and closes sockets as the configuration changes, and gives the workers a new
+//! placer for each snapshot.
 
 mod sockets;
 
--- a/crates/daemon/src/relay/sockets.rs
+++ b/crates/daemon/src/relay/sockets.rs
@@ -78,8 +78,8 @@
         self.failed.is_empty()
     }
 
-    /// Addresses to serve by bind address, and addresses that conflict: in mode `own`, two services with the same port need
-    /// the same bind address.
+    /// Addresses to serve by bind address, and addresses that conflict: in mode `own`, two services with the same port
+    /// need the same bind address.
     fn desired(
         &self,
         placer: &Placer,
--- a/crates/daemon/src/report.rs
+++ b/crates/daemon/src/report.rs
@@ -1,5 +1,5 @@
-//! Reports: each balancer tells the holder of its zone's lease what is in force and how loaded the agents are; the
-//! holder keeps the zone's report.
+//! Reports: each balancer sends the revisions in force and the load of its agents to the lease holder of its zone,
+//! which builds the report of the zone.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -21,71 +21,72 @@
     control::{Inner, peer::LinkId, state::State, tick::take_event_batch},
 };
 
-/// Least time between two reports.
-const MIN_GAP: Duration = Duration::from_millis(100);
-/// Time between reports of load in a small zone, in milliseconds.
-const LOAD_MS: u64 = 2_000;
-/// The same in a large one; well below [`STALE_MS`].
-const LOAD_MAX_MS: u64 = 10_000;
-/// Time between reports of load for each process of the zone, in milliseconds.
-const LOAD_EACH_MS: u64 = 10;
-/// A report that was not repeated for so long no longer counts, in milliseconds.
-const STALE_MS: u64 = 15_000;
-/// For how long a member may be without a report before it counts as lagging, in milliseconds.
-const UNREPORTED_MS: u64 = 5_000;
-/// For how long the process that makes the zone's report listens first, in milliseconds.
-const WARM_MS: u64 = LOAD_MS + 1_000;
-/// Revisions whose times are kept.
-const CHANGES: usize = 20;
-/// Events sent with one report.
-const REPORT_EVENTS: usize = 40;
+/// Minimum interval between reports.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between full reports in a small zone.
+const LOAD_INTERVAL_MS: u64 = 2_000;
+/// Interval between full reports in a large zone; well below [`REPORT_TTL_MS`].
+const MAX_LOAD_INTERVAL_MS: u64 = 10_000;
+/// Interval between full reports per process of the zone.
+const LOAD_INTERVAL_PER_PROCESS_MS: u64 = 10;
+/// The status of a process expires after this time without a report.
+const REPORT_TTL_MS: u64 = 15_000;
+/// A member without a report counts as lagging only after this time.
+const NEW_MEMBER_MS: u64 = 5_000;
+/// How long a new lease holder collects reports before it builds the zone's report.
+const WARMUP_MS: u64 = LOAD_INTERVAL_MS + 1_000;
+/// Revisions in the change history.
+const MAX_CHANGES: usize = 20;
+/// Events in one report.
+const MAX_REPORT_EVENTS: usize = 40;
 
-/// How much a report says.
+/// Level of detail of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Detail {
-    /// What is in force, of bounded size.
+    /// Revisions in force; of bounded size.
     Brief,
-    /// Also the state of each upstream and balancer.
-    Whole,
+    /// Additionally the state of each upstream and balancer.
+    Full,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Process {
+struct ProcessStatus {
     applied: u64,
     flows: u32,
     busy: u32,
     epochs: Vec<u8>,
-    heard_ms: u64,
+    received_ms: u64,
 }
 
-/// What the processes of a zone have reported.
+/// Reported status of the processes of a zone.
 #[derive(Debug, Default)]
 pub(crate) struct Reports {
-    processes: BTreeMap<String, Process>,
+    processes: BTreeMap<String, ProcessStatus>,
     changes: VecDeque<Applied>,
-    /// Since when this process is the one that makes the zone's report.
+    /// Since when this process builds the zone's report.
     since_ms: Option<u64>,
 }
 
 impl Reports {
-    /// Takes in the report of the balancer `name`.
-    pub(crate) fn take(&mut self, name: &str, report: &message::Report, now: u64) {
-        let own = Process { applied: report.applied, heard_ms: now, ..Process::default() };
+    /// Records the report of the balancer `name`.
+    pub(crate) fn record(&mut self, name: &str, report: &message::Report, now: u64) {
+        let own =
+            ProcessStatus { applied: report.applied, received_ms: now, ..ProcessStatus::default() };
         self.processes.insert(name.to_owned(), own);
         for it in &report.agents {
-            let agent = Process {
+            let agent = ProcessStatus {
                 applied: it.applied,
                 flows: it.flows,
                 busy: it.busy,
                 epochs: it.epochs.clone(),
-                heard_ms: now,
+                received_ms: now,
             };
             self.processes.insert(it.name.clone(), agent);
         }
     }
 
-    /// Makes the report of `zone`: of its balancers and of the agents that they report about.
-    pub(crate) fn make(
+    /// Builds the report of `zone` from its balancers and the agents that they report.
+    pub(crate) fn build(
         &mut self,
         zone: &str,
         state: &State,
@@ -94,13 +95,13 @@
         now: u64,
         wall: u64,
     ) -> Report {
-        self.processes.retain(|_, it| now.saturating_sub(it.heard_ms) < STALE_MS);
-        self.note(zone, state, wall);
+        self.processes.retain(|_, it| now.saturating_sub(it.received_ms) < REPORT_TTL_MS);
+        self.record_changes(zone, state, wall);
         let known = state.view.revision();
         let mut report = Report { zone: zone.to_owned(), at_ms: wall, known, ..Report::default() };
         report.in_force = known;
-        for member in state.view.members().filter(|it| reported_in(it, zone, state)) {
-            if detail == Detail::Whole {
+        for member in state.view.members().filter(|it| belongs_to(it, zone, state)) {
+            if detail == Detail::Full {
                 self.add_status(&mut report, member, snapshot);
             }
             let Some(applied) = self.applied(member, known, wall) else {
@@ -117,20 +118,20 @@
         report
     }
 
-    /// Takes note of a revision that is new here, and of those that are in force in the whole zone now.
-    fn note(&mut self, zone: &str, state: &State, wall: u64) {
+    /// Adds a new revision to the change history, and marks the revisions that are in force in the whole zone.
+    fn record_changes(&mut self, zone: &str, state: &State, wall: u64) {
         let known = state.view.revision();
         let newest = self.changes.back().map_or(0, |it| it.revision);
         if known > newest {
             self.changes.push_back(Applied { revision: known, seen_ms: wall, done_ms: 0 });
         }
-        while self.changes.len() > CHANGES {
+        while self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
         if self.changes.iter().all(|it| it.done_ms > 0) {
             return;
         }
-        let members = state.view.members().filter(|it| reported_in(it, zone, state));
+        let members = state.view.members().filter(|it| belongs_to(it, zone, state));
         let applied = members.filter_map(|it| self.applied(it, known, wall));
         let in_force = applied.min().unwrap_or(known);
         for change in &mut self.changes {
@@ -140,13 +141,13 @@
         }
     }
 
-    /// Revision in force at a member; `None` if it is dead, or so new that it can't have reported yet.
+    /// Revision in force at a member; `None` if it is down, or new and without a report.
     fn applied(&self, member: &Member, known: u64, wall: u64) -> Option<u64> {
         if member.is_down() {
             return None;
         }
         let applied = self.processes.get(member.name()).map_or(0, |it| it.applied);
-        let new = wall.saturating_sub(member.since_ms) < UNREPORTED_MS;
+        let new = wall.saturating_sub(member.since_ms) < NEW_MEMBER_MS;
         (applied > 0 || known == 0 || !new).then_some(applied.min(known))
     }
 
@@ -176,9 +177,9 @@
     }
 }
 
-/// Whether a member belongs to the report of `zone`: a balancer by its zone, an agent by that of its first balancer, or by
-/// its own once it has none.
-fn reported_in(member: &Member, zone: &str, state: &State) -> bool {
+/// Whether a member belongs to the report of `zone`: a balancer by its own zone, an agent by the zone of its first home
+/// balancer, or by its own zone without one.
+fn belongs_to(member: &Member, zone: &str, state: &State) -> bool {
     let Role::Agent { homes, .. } = &member.role else {
         return member.zone() == zone;
     };
@@ -206,72 +207,73 @@
     }
 }
 
-/// What the holder of the zone's lease has been told, and over which link.
+/// Revisions already reported to the lease holder, and the link used.
 #[derive(Debug, Default)]
-struct Told {
+struct SentReports {
     link: Option<LinkId>,
-    whole_ms: u64,
+    full_ms: u64,
     applied: u64,
     agents: BTreeMap<String, u64>,
 }
 
-/// Sends this balancer's report to the holder of its zone's lease: what is newly in force at once, and everything when
-/// it is due for the load, or when the link is another one than before.
+/// Sends reports to the lease holder of the zone: changed revisions at once, and a full report periodically and after a
+/// change of the link.
 pub(crate) async fn run(inner: Arc<Inner>) {
-    let mut told = Told::default();
+    let mut sent = SentReports::default();
     loop {
-        inner.report(&mut told);
+        inner.report(&mut sent);
         tokio::select! {
-            () = inner.report.notified() => sleep(MIN_GAP).await,
-            () = sleep(Duration::from_millis(LOAD_MS)) => {}
+            () = inner.report.notified() => sleep(MIN_REPORT_INTERVAL).await,
+            () = sleep(Duration::from_millis(LOAD_INTERVAL_MS)) => {}
             () = inner.stop.cancelled() => return,
         }
     }
 }
 
 impl Inner {
-    fn report(&self, told: &mut Told) {
+    fn report(&self, sent: &mut SentReports) {
         let mut state = self.state.lock();
         let own = state.own.name().to_owned();
-        let Some(seed) = state.seed(state.own.zone()).map(|it| it.name.clone()) else {
+        let Some(holder) = state.lease_holder(state.own.zone()).map(|it| it.name.clone()) else {
             return;
         };
-        if seed == own {
-            let report = make_report(&state, None);
+        if holder == own {
+            let report = build_report(&state, None);
             drop(state);
-            self.reports.lock().take(&own, &report, now_ms());
-            note(self);
+            self.reports.lock().record(&own, &report, now_ms());
+            record_changes(self);
             return;
         }
-        let Some(id) = state.links.iter().find(|(_, it)| it.peer == seed).map(|(id, _)| *id) else {
+        let Some(id) = state.links.iter().find(|(_, it)| it.peer == holder).map(|(id, _)| *id)
+        else {
             return;
         };
         let now = now_ms();
-        let whole = told.link != Some(id)
-            || now.saturating_sub(told.whole_ms) >= load_ms(processes(&state));
-        let mut report = make_report(&state, (!whole).then_some(&told.agents));
+        let full = sent.link != Some(id)
+            || now.saturating_sub(sent.full_ms) >= load_interval_ms(processes(&state));
+        let mut report = build_report(&state, (!full).then_some(&sent.agents));
         report.events = take_event_batch();
-        let count = state.events.len().min(REPORT_EVENTS);
+        let count = state.events.len().min(MAX_REPORT_EVENTS);
         for event in state.events.drain(..count) {
             report.events.extend(serde_json::to_string(&event).ok());
         }
-        let news = told.applied != report.applied
+        let changed = sent.applied != report.applied
             || !report.agents.is_empty()
             || !report.events.is_empty();
-        if !whole && !news {
+        if !full && !changed {
             return;
         }
-        told.note(id, &report, whole.then_some(now));
+        sent.update(id, &report, full.then_some(now));
         if let Some(link) = state.links.get(&id) {
             link.send(Body::Report(report));
         }
     }
 }
 
-impl Told {
-    fn note(&mut self, link: LinkId, report: &message::Report, whole_ms: Option<u64>) {
-        if let Some(now) = whole_ms {
-            self.whole_ms = now;
+impl SentReports {
+    fn update(&mut self, link: LinkId, report: &message::Report, full_ms: Option<u64>) {
+        if let Some(now) = full_ms {
+            self.full_ms = now;
             self.agents.clear();
         }
         self.link = Some(link);
@@ -282,9 +284,9 @@
     }
 }
 
-/// Time between reports of load in a zone with so many processes.
-fn load_ms(processes: usize) -> u64 {
-    (processes as u64 * LOAD_EACH_MS).clamp(LOAD_MS, LOAD_MAX_MS)
+/// Interval between full reports in a zone with this many processes.
+fn load_interval_ms(processes: usize) -> u64 {
+    (processes as u64 * LOAD_INTERVAL_PER_PROCESS_MS).clamp(LOAD_INTERVAL_MS, MAX_LOAD_INTERVAL_MS)
 }
 
 fn processes(state: &State) -> usize {
@@ -292,11 +294,11 @@
     state.view.members().filter(|it| it.zone() == zone).count()
 }
 
-/// The report of this balancer, without the agents whose revision is as `told`.
-fn make_report(state: &State, told: Option<&BTreeMap<String, u64>>) -> message::Report {
+/// Builds the report of this balancer, without the agents whose revision equals the one in `sent`.
+fn build_report(state: &State, sent: Option<&BTreeMap<String, u64>>) -> message::Report {
     let mut report = message::Report { applied: state.applied, ..message::Report::default() };
     for (name, it) in &state.linked_agents {
-        let known = told.is_some_and(|told| told.get(name) == Some(&it.applied));
+        let known = sent.is_some_and(|sent| sent.get(name) == Some(&it.applied));
         if !it.primary || known {
             continue;
         }
@@ -311,27 +313,27 @@
     report
 }
 
-/// Takes note of what is in force in the zone now, if this process makes its report.
-pub(crate) fn note(inner: &Inner) {
+/// Updates the change history if this process builds the zone's report.
+pub(crate) fn record_changes(inner: &Inner) {
     let mut reports = inner.reports.lock();
     if reports.since_ms.is_some() {
         let state = inner.state.lock();
-        reports.note(state.own.zone(), &state, wall_ms());
+        reports.record_changes(state.own.zone(), &state, wall_ms());
     }
 }
 
-/// The zone's report as of now; none while another process makes it, or while this one has not yet heard of all.
+/// Current report of the zone; `None` if another process builds it, or during the warm-up.
 pub(crate) fn current(inner: &Inner, detail: Detail) -> Option<Report> {
     let snapshot = inner.snapshot.borrow().clone();
     let mut reports = inner.reports.lock();
     let state = inner.state.lock();
     let zone = state.own.zone().to_owned();
     let now = now_ms();
-    if state.seed(&zone).is_none_or(|it| it.name != state.own.name()) {
+    if state.lease_holder(&zone).is_none_or(|it| it.name != state.own.name()) {
         reports.since_ms = None;
         return None;
     }
     let since = *reports.since_ms.get_or_insert(now);
-    let warm = now.saturating_sub(since) >= WARM_MS;
-    warm.then(|| reports.make(&zone, &state, &snapshot, detail, now, wall_ms()))
+    let warmed_up = now.saturating_sub(since) >= WARMUP_MS;
+    warmed_up.then(|| reports.build(&zone, &state, &snapshot, detail, now, wall_ms()))
 }
--- a/crates/daemon/src/signal.rs
+++ b/crates/daemon/src/signal.rs
@@ -1,10 +1,10 @@
-//! Signals that ask the process to stop.
+//! Signals that stop the process.
 
 use anyhow::Context;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio_util::sync::CancellationToken;
 
-/// A token that is cancelled at the first SIGTERM or SIGINT. Later ones change nothing.
+/// Returns a token that is cancelled by the first SIGTERM or SIGINT. Later signals are ignored.
 pub(crate) fn stop_token() -> anyhow::Result<CancellationToken> {
     let mut term = signal(SignalKind::terminate()).context("listen for SIGTERM")?;
     let mut int = signal(SignalKind::interrupt()).context("listen for SIGINT")?;
--- a/crates/daemon/src/timeline.rs
+++ b/crates/daemon/src/timeline.rs
@@ -1,4 +1,5 @@
-//! The timeline of a zone: a ring of small objects, so that a write costs the same however many events are kept.
+//! The timeline of a zone: a ring of small objects, so that the cost of a write does not depend on the number of
+//! events.
 
 use camphorwinch_core::{
     object::{Kind, Object},
@@ -14,34 +15,34 @@
     platform::{PlatformError, PutOutcome},
 };
 
-/// Objects of a zone's ring.
+/// Objects in the ring of a zone.
 const SEGMENTS: usize = 32;
-/// Events of one object.
-const SEGMENT_EVENTS: usize = 32;
-/// Largest object, in bytes, unless a single event is larger.
-const SEGMENT_BYTES: usize = 32_768;
-/// Least time between two writes, in milliseconds.
-const GAP_MS: u64 = 2_000;
-/// Bytes a second that the writes may cost on average, the platform's answers with the object included.
-const RATE: u64 = 2_000;
-/// How often an object crosses the wire at a write: in the call and in its answer.
-const CROSSINGS: u64 = 2;
+/// Events in one object.
+const MAX_SEGMENT_EVENTS: usize = 32;
+/// Size limit of an object, unless a single event is larger.
+const MAX_SEGMENT_BYTES: usize = 32_768;
+/// Minimum interval between writes.
+const MIN_WRITE_INTERVAL_MS: u64 = 2_000;
+/// Average bandwidth budget for writes and their responses.
+const WRITE_BYTES_PER_S: u64 = 2_000;
+/// Transfers of the object per write: in the request and in the response.
+const TRANSFERS_PER_WRITE: u64 = 2;
 
-/// Writes the timeline. The object in use is written once when the lease is taken: from then on a former holder's write,
-/// based on an older version, fails.
+/// Writes the timeline. The first write after taking the lease changes the version of the current object, which fences
+/// writes of the previous holder.
 pub(crate) struct TimelineWriter {
     zone: String,
     segment: usize,
     version: u64,
-    /// Events of the object in use.
+    /// Events in the current object.
     events: Vec<Event>,
     pending: Vec<Event>,
-    touched: bool,
-    after_ms: u64,
+    has_written: bool,
+    next_write_ms: u64,
 }
 
 impl TimelineWriter {
-    /// Reads the ring and goes on where it ended.
+    /// Reads the ring and continues at the object with the newest event.
     pub(crate) async fn open(inner: &Inner, zone: &str) -> Result<TimelineWriter, PlatformError> {
         let mut writer = TimelineWriter {
             zone: zone.to_owned(),
@@ -49,8 +50,8 @@
             version: 0,
             events: Vec::new(),
             pending: Vec::new(),
-            touched: false,
-            after_ms: 0,
+            has_written: false,
+            next_write_ms: 0,
         };
         let reads = (0..SEGMENTS).map(|segment| {
             let name = writer.name(segment);
@@ -73,22 +74,22 @@
         format!("events-{}-{segment}", self.zone)
     }
 
-    /// Writes what waits, if it is time; none if the write failed or `held` says that the lease is not held, so that the
-    /// ring is to be read again.
-    pub(crate) async fn write<F>(mut self, inner: &Inner, held: F) -> Option<TimelineWriter>
+    /// Writes pending events if a write is due. Returns `None` if the write failed or the lease is not held; the ring
+    /// must then be read again.
+    pub(crate) async fn write<F>(mut self, inner: &Inner, holds_lease: F) -> Option<TimelineWriter>
     where
         F: Fn() -> bool,
     {
-        if now_ms() < self.after_ms {
+        if now_ms() < self.next_write_ms {
             return Some(self);
         }
-        self.pending.extend(event::take_waiting());
+        self.pending.extend(event::take_pending());
         self.pending.extend(inner.state.lock().events.drain(..));
         self.pending = timeline::merge([std::mem::take(&mut self.pending)]);
-        if self.pending.is_empty() && self.touched {
+        if self.pending.is_empty() && self.has_written {
             return Some(self);
         }
-        if !held() {
+        if !holds_lease() {
             inner.state.lock().queue_events(self.pending);
             return None;
         }
@@ -103,10 +104,10 @@
     }
 
     async fn put(&mut self, inner: &Inner) -> Result<(), PlatformError> {
-        if self.touched && fitting(&self.events, &self.pending) == 0 {
-            self.advance(inner).await?;
+        if self.has_written && count_fitting(&self.events, &self.pending) == 0 {
+            self.advance_segment(inner).await?;
         }
-        let count = fitting(&self.events, &self.pending);
+        let count = count_fitting(&self.events, &self.pending);
         let merged = timeline::merge([self.events.clone(), self.pending[..count].to_vec()]);
         let spec = json!(Timeline { events: merged.clone() });
         let bytes = spec.to_string().len();
@@ -116,8 +117,8 @@
                 self.version = object.version;
                 self.events = merged;
                 self.pending.drain(..count);
-                self.touched = true;
-                self.after_ms = now_ms() + gap_ms(bytes);
+                self.has_written = true;
+                self.next_write_ms = now_ms() + write_interval_ms(bytes);
             }
             PutOutcome::Conflict(current) => {
                 self.version = version(current.as_ref());
@@ -127,8 +128,8 @@
         Ok(())
     }
 
-    /// Goes on to the next object of the ring, whose events are the oldest.
-    async fn advance(&mut self, inner: &Inner) -> Result<(), PlatformError> {
+    /// Moves to the next object of the ring, which has the oldest events, and discards them.
+    async fn advance_segment(&mut self, inner: &Inner) -> Result<(), PlatformError> {
         let next = (self.segment + 1) % SEGMENTS;
         let object = inner.platform.get(Kind::Timeline, &self.name(next)).await?;
         self.segment = next;
@@ -148,15 +149,15 @@
     timeline.events
 }
 
-/// How many of the pending events go into an object that holds some already; at least one into an empty object.
-fn fitting(held: &[Event], pending: &[Event]) -> usize {
+/// Number of pending events that fit into an object with the `held` events; at least one if it is empty.
+fn count_fitting(held: &[Event], pending: &[Event]) -> usize {
     let size = |it: &Event| serde_json::to_string(it).map_or(0, |it| it.len() + 1);
     let mut bytes: usize = held.iter().map(size).sum();
-    let room = SEGMENT_EVENTS.saturating_sub(held.len());
+    let free = MAX_SEGMENT_EVENTS.saturating_sub(held.len());
     let mut count = 0;
-    for event in pending.iter().take(room) {
+    for event in pending.iter().take(free) {
         bytes += size(event);
-        if bytes > SEGMENT_BYTES && !(held.is_empty() && count == 0) {
+        if bytes > MAX_SEGMENT_BYTES && !(held.is_empty() && count == 0) {
             break;
         }
         count += 1;
@@ -164,7 +165,7 @@
     count
 }
 
-/// Time until the next write after one of this many bytes.
-fn gap_ms(bytes: usize) -> u64 {
-    (bytes as u64 * CROSSINGS * 1_000 / RATE).max(GAP_MS)
+/// Interval until the next write after a write of `bytes`.
+fn write_interval_ms(bytes: usize) -> u64 {
+    (bytes as u64 * TRANSFERS_PER_WRITE * 1_000 / WRITE_BYTES_PER_S).max(MIN_WRITE_INTERVAL_MS)
 }
--- a/crates/daemon/src/tls.rs
+++ b/crates/daemon/src/tls.rs
@@ -1,4 +1,4 @@
-//! Mutual TLS between the system's processes, under the fleet's own CA.
+//! Mutual TLS between the processes of a fleet, with the fleet's own CA.
 
 use std::sync::Arc;
 
@@ -20,20 +20,20 @@
 
 use crate::config::FleetPem;
 
-/// Name sent in the handshake. It is not checked: a certificate signed by the fleet's CA belongs to the fleet.
+/// Server name sent in the handshake. It is not verified: any certificate signed by the fleet's CA is accepted.
 const SERVER_NAME: &str = "fleet.camphorwinch";
 
-/// TLS settings for links to other processes of the system.
+/// TLS configuration for links to other processes.
 #[derive(Clone)]
 pub(crate) struct Tls {
-    /// For links that this process accepts.
+    /// Configuration for inbound links.
     pub(crate) server: Arc<ServerConfig>,
-    /// For links that this process opens.
+    /// Configuration for outbound links.
     pub(crate) client: Arc<ClientConfig>,
 }
 
 impl Tls {
-    /// Reads the settings from PEM text.
+    /// Builds the configuration from PEM text.
     pub(crate) fn new(pem: &FleetPem) -> anyhow::Result<Tls> {
         let provider = Arc::new(ring::default_provider());
         let roots = roots(&pem.ca).context("read --fleet-ca")?;
@@ -44,13 +44,13 @@
         Ok(Tls { server: Arc::new(server), client: Arc::new(client) })
     }
 
-    /// Does the handshake of an accepted connection.
+    /// Performs the server side of the handshake.
     pub(crate) async fn accept(&self, stream: TcpStream) -> std::io::Result<TlsStream<TcpStream>> {
         let acceptor = TlsAcceptor::from(Arc::clone(&self.server));
         Ok(TlsStream::Server(acceptor.accept(stream).await?))
     }
 
-    /// Does the handshake of an opened connection.
+    /// Performs the client side of the handshake.
     pub(crate) async fn connect(&self, stream: TcpStream) -> std::io::Result<TlsStream<TcpStream>> {
         let connector = TlsConnector::from(Arc::clone(&self.client));
         let name = ServerName::try_from(SERVER_NAME).expect("the name is a valid constant");
@@ -66,7 +66,7 @@
 ) -> anyhow::Result<ServerConfig> {
     let verifier = WebPkiClientVerifier::builder_with_provider(roots.clone(), provider.clone())
         .build()
-        .context("use --fleet-ca for clients")?;
+        .context("verify clients with --fleet-ca")?;
     ServerConfig::builder_with_provider(provider.clone())
         .with_protocol_versions(&[&TLS13])?
         .with_client_cert_verifier(verifier)
@@ -82,7 +82,7 @@
 ) -> anyhow::Result<ClientConfig> {
     let inner = WebPkiServerVerifier::builder_with_provider(roots.clone(), provider.clone())
         .build()
-        .context("use --fleet-ca for servers")?;
+        .context("verify servers with --fleet-ca")?;
     ClientConfig::builder_with_provider(provider.clone())
         .with_protocol_versions(&[&TLS13])?
         .dangerous()
@@ -107,7 +107,7 @@
     Ok(chain)
 }
 
-/// Checks that a server's certificate comes from the fleet's CA, whatever name it carries.
+/// Verifies that a server certificate is signed by the fleet's CA, and ignores its name.
 #[derive(Debug)]
 struct FleetVerifier {
     inner: Arc<WebPkiServerVerifier>,
@@ -123,7 +123,7 @@
         now: UnixTime,
     ) -> Result<ServerCertVerified, Error> {
         match self.inner.verify_server_cert(end_entity, intermediates, name, ocsp, now) {
-            // The chain and the dates are checked before the name.
+            // The name is checked last, after the chain and the validity period.
             Err(Error::InvalidCertificate(
                 CertificateError::NotValidForName | CertificateError::NotValidForNameContext { .. },
             )) => Ok(ServerCertVerified::assertion()),
--- a/crates/daemon/src/violations.rs
+++ b/crates/daemon/src/violations.rs
@@ -1,4 +1,4 @@
-//! Tells of violated invariants in the log and the timeline.
+//! Emits events for violated invariants.
 
 use std::time::Duration;
 
@@ -7,41 +7,40 @@
 
 use crate::event::{self, About, Id};
 
-/// Time between two looks at the counts.
-const LOOK: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Counts that have been told of.
+/// Violation counts already reported.
 #[derive(Debug, Default)]
-struct Told {
+struct ReportedCounts {
     counts: [u64; Invariant::ALL.len()],
 }
 
-impl Told {
-    /// Invariants violated since the last call, with how often.
-    fn news<F>(&mut self, count: F) -> Vec<(Invariant, u64)>
+impl ReportedCounts {
+    /// Returns the invariants violated since the last call and their number of violations.
+    fn take_new<F>(&mut self, count: F) -> Vec<(Invariant, u64)>
     where
         F: Fn(Invariant) -> u64,
     {
-        let mut news = Vec::new();
-        for (invariant, told) in Invariant::ALL.into_iter().zip(&mut self.counts) {
+        let mut violations = Vec::new();
+        for (invariant, reported) in Invariant::ALL.into_iter().zip(&mut self.counts) {
             let now = count(invariant);
-            if now > *told {
-                news.push((invariant, now - *told));
-                *told = now;
+            if now > *reported {
+                violations.push((invariant, now - *reported));
+                *reported = now;
             }
         }
-        news
+        violations
     }
 }
 
-/// Emits an event for each invariant that is violated, until this future is dropped.
-pub(crate) async fn follow() {
-    let mut told = Told::default();
-    let mut ticks = interval(LOOK);
+/// Emits an event for each violated invariant until this future is dropped.
+pub(crate) async fn run() {
+    let mut reported = ReportedCounts::default();
+    let mut ticks = interval(CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        for (invariant, times) in told.news(invariant::violations) {
+        for (invariant, times) in reported.take_new(invariant::violations) {
             event::emit(
                 Id::InvariantViolated,
                 About::new(),
--- a/crates/daemon/src/violations/tests.rs
+++ b/crates/daemon/src/violations/tests.rs
@@ -1,16 +1,16 @@
-//! Tests of what is told of violated invariants.
+//! Tests of the reports of violated invariants.
 
 use camphorwinch_core::invariant::Invariant;
 
-use super::Told;
+use super::ReportedCounts;
 
 #[test]
-fn each_violation_is_told_once() {
-    let mut told = Told::default();
-    assert_eq!(told.news(|_| 0), []);
+fn each_violation_is_reported_once() {
+    let mut reported = ReportedCounts::default();
+    assert_eq!(reported.take_new(|_| 0), []);
     let twice = |it: Invariant| if it == Invariant::LeaseHeld { 2 } else { 0 };
-    assert_eq!(told.news(twice), [(Invariant::LeaseHeld, 2)]);
-    assert_eq!(told.news(twice), []);
+    assert_eq!(reported.take_new(twice), [(Invariant::LeaseHeld, 2)]);
+    assert_eq!(reported.take_new(twice), []);
     let more = |it: Invariant| if it == Invariant::LeaseHeld { 5 } else { 0 };
-    assert_eq!(told.news(more), [(Invariant::LeaseHeld, 3)]);
+    assert_eq!(reported.take_new(more), [(Invariant::LeaseHeld, 3)]);
 }
