--- a/crates/daemon/src/cmd/mod.rs
+++ b/crates/daemon/src/cmd/mod.rs
@@ -5,7 +5,6 @@
 
 pub(crate) use self::{agent::Agent, balance::Balance};
 
-/// A subcommand.
 pub(crate) trait Run {
     /// Runs until a signal or an error stops the process.
     fn run(&self) -> anyhow::Result<()>;
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -137,7 +137,6 @@
     pub(crate) drain_timeout: Option<String>,
 }
 
-/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct SettingError {
     flag: &'static str,
@@ -170,7 +169,6 @@
     }
 }
 
-/// Log format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LogFormat {
     Text,
--- a/crates/daemon/src/config_watch.rs
+++ b/crates/daemon/src/config_watch.rs
@@ -16,17 +16,12 @@
     platform::{List, PlatformError, WatchEvent, WatchEventKind},
 };
 
-/// Longest wait of one watch call.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(20);
-/// Minimum interval between lists.
 const MIN_LIST_INTERVAL_MS: u64 = 10_000;
-/// Maximum interval between lists.
 const MAX_LIST_INTERVAL_MS: u64 = 1_800_000;
 /// Average bandwidth budget for lists.
 const LIST_BYTES_PER_S: u64 = 1_000;
-/// Initial delay after a failure.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Longest delay after a failure.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// Runs until `stop` is cancelled. Lists everything and then watches; lists again periodically in case a watch skipped
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -51,7 +51,6 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Capacity of the queue of accepted handover links.
 const MAX_ACCEPTED_LINKS: usize = 64;
-/// Minimum interval between snapshots.
 const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(10);
 /// Pause after building a snapshot, as a multiple of the time that it took.
 const PUBLISH_DELAY_FACTOR: u32 = 20;
@@ -63,11 +62,9 @@
 /// A framed TLS connection to another process.
 pub(crate) type Stream = Frames<TlsStream<TcpStream>>;
 
-/// Role of the process.
 #[derive(Clone, Debug)]
 #[expect(clippy::large_enum_variant, reason = "there is one in each process")]
 pub(crate) enum Role {
-    /// A balancer.
     Balancer,
     /// An agent, with its initial member data.
     Agent(Agent),
@@ -86,7 +83,6 @@
 pub(crate) struct Accepted {
     /// Name of the agent that opened it.
     pub(crate) peer: String,
-    /// The link.
     pub(crate) stream: Stream,
 }
 
@@ -109,9 +105,9 @@
     accepted_tx: mpsc::Sender<Accepted>,
     accepted: Mutex<Option<mpsc::Receiver<Accepted>>>,
     dirty: Notify,
-    /// Triggers a heartbeat.
+    /// Triggers an immediate heartbeat.
     pub(crate) heartbeat: Notify,
-    /// Triggers a report.
+    /// Triggers an immediate report.
     pub(crate) report: Notify,
     /// Whether the last platform call failed.
     platform_unreachable: AtomicBool,
--- a/crates/daemon/src/control/dial.rs
+++ b/crates/daemon/src/control/dial.rs
@@ -29,9 +29,7 @@
     event::{self, About, Id},
 };
 
-/// Delay before a failed dial is retried.
 const RETRY_DELAY_MS: u64 = 1_000;
-/// Delay before a closed link is reopened.
 const REOPEN_DELAY_MS: u64 = 200;
 /// How long an agent avoids a balancer that it failed to reach.
 const AVOID_MS: u64 = 5_000;
@@ -47,12 +45,10 @@
 const MAX_DISCOVERY_INTERVAL: Duration = Duration::from_secs(5);
 /// Interval between discoveries by a lease holder.
 const HEAL_INTERVAL: Duration = Duration::from_secs(30);
-/// The same within [`STARTUP_MS`].
+/// Interval between discoveries by a lease holder during startup.
 const STARTUP_HEAL_INTERVAL: Duration = Duration::from_secs(5);
-/// Duration of the startup phase.
 const STARTUP_MS: u64 = 60_000;
 
-/// Dial state of one address.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Dial {
     in_progress: bool,
@@ -191,8 +187,8 @@
     }
 
     /// Reports a closed link and, if this process monitors the peer, suspects it.
-    pub(crate) fn on_link_down(&self, id: LinkId, peer: &str, why: &str) {
-        event::emit(Id::LinkDown, About::new(), &format!("link {id} to {peer}: {why}"));
+    pub(crate) fn on_link_down(&self, id: LinkId, peer: &str, reason: &str) {
+        event::emit(Id::LinkDown, About::new(), &format!("link {id} to {peer}: {reason}"));
         let mut state = self.state.lock();
         let Some(link) = state.links.remove(&id) else {
             return;
--- a/crates/daemon/src/control/link.rs
+++ b/crates/daemon/src/control/link.rs
@@ -45,7 +45,6 @@
 const MAX_HANDSHAKES: usize = 256;
 /// A link with a frame received within this time wins over a second one from the same peer.
 const LIVE_LINK_MS: u64 = 1_500;
-/// Minimum interval between events about refused connections.
 const REFUSED_EVENT_INTERVAL_MS: u64 = 10_000;
 /// Length prefix and TLS record overhead of a frame.
 const FRAME_OVERHEAD_BYTES: u64 = 4 + 22;
@@ -121,7 +120,6 @@
     Ok(hello)
 }
 
-/// Sends the hello message of this process.
 pub(crate) async fn send_hello(
     inner: &Inner,
     stream: &mut Stream,
--- a/crates/daemon/src/control/peer.rs
+++ b/crates/daemon/src/control/peer.rs
@@ -23,11 +23,9 @@
     Agent,
 }
 
-/// An established link.
 pub(crate) struct Link {
     /// Name of the peer.
     pub(crate) peer: String,
-    /// Kind of the link.
     pub(crate) kind: LinkKind,
     /// Whether this process opened it.
     pub(crate) opened: bool,
--- a/crates/daemon/src/control/state.rs
+++ b/crates/daemon/src/control/state.rs
@@ -51,7 +51,6 @@
     pub(crate) load: Load,
     /// Key epochs of the flows, if this is an agent.
     pub(crate) epochs: Vec<u8>,
-    /// Established links.
     pub(crate) links: BTreeMap<LinkId, Link>,
     /// Members suspected to have failed.
     pub(crate) suspects: Suspects,
@@ -68,7 +67,6 @@
 }
 
 impl State {
-    /// Initial state.
     pub(crate) fn new(common: &CommonConfig, role: &Role) -> State {
         let wall = wall_ms();
         let pools = match role {
@@ -109,7 +107,6 @@
         self.assembler.snapshot(&self.view)
     }
 
-    /// Whether this process is an agent.
     pub(crate) fn is_agent(&self) -> bool {
         matches!(self.own.role, MemberRole::Agent { .. })
     }
@@ -378,7 +375,6 @@
     }
 }
 
-/// Name of the member's state.
 pub(crate) fn state_name(role: &MemberRole) -> &'static str {
     match role {
         MemberRole::Agent { agent, .. } => match agent.state {
--- a/crates/daemon/src/control/tests.rs
+++ b/crates/daemon/src/control/tests.rs
@@ -180,8 +180,8 @@
     })
     .await;
     fleet.platform.delete("service", "intake");
-    let gone = |it: &Control| !has_service(it, "intake", 0);
-    wait_until("all processes have the deletion", || all.iter().all(|it| gone(it))).await;
+    let is_deleted = |it: &Control| !has_service(it, "intake", 0);
+    wait_until("all processes have the deletion", || all.iter().all(|it| is_deleted(it))).await;
 
     wait_until("reports show the revision in force", || {
         let zones = ["z1", "z2"].map(|zone| report_of(&fleet, zone));
@@ -254,12 +254,12 @@
     .await;
     let mut seen = b3.watch();
     kill(&b1);
-    let dead = |it: &Control, name: &str| {
+    let is_down = |it: &Control, name: &str| {
         snapshot(it).balancers.get(name).is_some_and(|it| it.state == BalancerState::Down)
     };
-    wait_until("the balancer is down", || dead(&b2, "b1") && dead(&b3, "b1")).await;
+    wait_until("the balancer is down", || is_down(&b2, "b1") && is_down(&b3, "b1")).await;
     kill(&b2);
-    wait_until("the other balancer is down", || dead(&b3, "b2")).await;
+    wait_until("the other balancer is down", || is_down(&b3, "b2")).await;
     wait_until("the agent moved to the last balancer", || home_balancers(&a1) == ["b3"]).await;
     assert_eq!(state_in(&b3, "a1"), Some(AgentState::Ready));
     assert!(seen.borrow_and_update().agents["a1"].state == AgentState::Ready);
@@ -427,8 +427,8 @@
     let stream = trusted.connect(TcpStream::connect(address).await.unwrap()).await.unwrap();
     let mut frames = frame::frames(stream);
     frames.send(bytes::Bytes::from(vec![0xff; 64])).await.unwrap();
-    let end = with_timeout("the link is closed", frames.next()).await;
-    assert!(end.is_none_or(|it| it.is_err()));
+    let result = with_timeout("the link is closed", frames.next()).await;
+    assert!(result.is_none_or(|it| it.is_err()));
     assert!(b1.inner.state.lock().links.is_empty());
 }
 
--- a/crates/daemon/src/control/tick.rs
+++ b/crates/daemon/src/control/tick.rs
@@ -36,12 +36,10 @@
 const MESH_LINK_TIMEOUT_MS: u64 = 4_000;
 /// A link between an agent and a balancer times out after this time without a frame.
 const AGENT_LINK_TIMEOUT_MS: u64 = 2_500;
-/// Additional delay per rank before a balancer declares an orphaned agent dead.
+/// Additional delay per rank before a balancer reports an orphaned agent as down.
 const ORPHAN_STAGGER_MS: u64 = 1_000;
-/// Events in one message.
-const MAX_HEARTBEAT_EVENTS: usize = 20;
+const MAX_EVENTS_PER_MESSAGE: usize = 20;
 
-/// Runs until the process stops.
 pub(crate) async fn run(inner: Arc<Inner>) {
     let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -137,11 +135,11 @@
     }
 }
 
-/// Takes up to [`MAX_HEARTBEAT_EVENTS`] pending events of this process, as JSON.
+/// Takes up to [`MAX_EVENTS_PER_MESSAGE`] pending events of this process, as JSON.
 pub(crate) fn take_event_batch() -> Vec<String> {
     let mut events = event::take_pending();
-    if events.len() > MAX_HEARTBEAT_EVENTS {
-        event::requeue(events.split_off(MAX_HEARTBEAT_EVENTS));
+    if events.len() > MAX_EVENTS_PER_MESSAGE {
+        event::requeue(events.split_off(MAX_EVENTS_PER_MESSAGE));
     }
     events.iter().filter_map(|it| serde_json::to_string(it).ok()).collect()
 }
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -16,7 +16,6 @@
 /// Capacity of the queue to the timeline; the oldest events above it are dropped and counted.
 const MAX_PENDING_EVENTS: usize = 1_000;
 
-/// Log level of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Level {
     Info,
@@ -34,7 +33,6 @@
         }
 
         impl Id {
-            /// All kinds.
             #[cfg(test)]
             pub(crate) const ALL: &[Id] = &[$(Id::$variant,)*];
 
@@ -43,7 +41,6 @@
                 match self { $(Id::$variant => $name,)* }
             }
 
-            /// Log level.
             pub(crate) fn level(self) -> Level {
                 match self { $(Id::$variant => Level::$level,)* }
             }
--- a/crates/daemon/src/lease.rs
+++ b/crates/daemon/src/lease.rs
@@ -26,7 +26,6 @@
 };
 
 const STEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Minimum interval between writes of a lease.
 const MIN_WRITE_INTERVAL_MS: u64 = 1_000;
 /// Interval between checks of the leases while all of the zone are held, as far as known.
 const CHECK_INTERVAL_MS: u64 = 30_000;
--- a/crates/daemon/src/operator.rs
+++ b/crates/daemon/src/operator.rs
@@ -17,7 +17,7 @@
 pub(crate) trait Inspect: Send + Sync + 'static {
     /// Returns the reason if the process is not serving.
     fn health(&self) -> Result<(), String>;
-    /// State of the process.
+    /// JSON body of `/status`.
     fn status(&self) -> Value;
 }
 
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -36,9 +36,7 @@
 const LIST_TIMEOUT: Duration = Duration::from_secs(10);
 /// Limit for a write including its retries; shorter than the duration of a lease.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(6);
-/// Initial delay before a write is retried.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest delay before a write is retried.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 /// Estimated size of the headers of a call.
@@ -61,16 +59,13 @@
 /// All objects of a kind.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct List {
-    /// Revision of the list.
     pub(crate) revision: u64,
-    /// The objects.
     pub(crate) items: Vec<Object>,
     /// Size of the response body.
     #[serde(skip)]
     pub(crate) bytes: usize,
 }
 
-/// Kind of a watch event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum WatchEventKind {
@@ -80,22 +75,18 @@
     Delete,
 }
 
-/// One event of a watch.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct WatchEvent {
-    /// Kind of the event.
     #[serde(rename = "type")]
     pub(crate) kind: WatchEventKind,
     /// The object after the event.
     pub(crate) object: Object,
 }
 
-/// Response of a watch.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct WatchResponse {
-    /// Revision of the last event.
+    /// Revision up to which the events are complete.
     pub(crate) revision: u64,
-    /// The events.
     pub(crate) events: Vec<WatchEvent>,
 }
 
@@ -120,7 +111,6 @@
 
 struct ApiResponse {
     status: StatusCode,
-    /// Era of the platform.
     era: u64,
     body: Bytes,
 }
@@ -130,7 +120,6 @@
     *version = Revision::new(era, *version).packed();
 }
 
-/// Client of the platform.
 #[derive(Clone)]
 pub(crate) struct Platform {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -139,7 +128,6 @@
 }
 
 impl Platform {
-    /// Creates a client of the platform at `address`.
     pub(crate) fn new(address: SocketAddr) -> Platform {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -149,7 +137,7 @@
         Platform { client: builder.build(connector), address, era: watch::Sender::new(None) }
     }
 
-    /// Highest era received; `None` before the first response.
+    /// Highest era in any response; `None` before the first.
     pub(crate) fn era(&self) -> Option<u64> {
         *self.era.borrow()
     }
@@ -168,7 +156,7 @@
         Ok(List { bytes, ..list })
     }
 
-    /// Reads an object.
+    /// Reads an object; `None` if it does not exist.
     pub(crate) async fn get(
         &self,
         kind: Kind,
--- a/crates/daemon/src/platform/fake.rs
+++ b/crates/daemon/src/platform/fake.rs
@@ -39,7 +39,6 @@
     events: Vec<(&'static str, Object)>,
 }
 
-/// Handle of the fake platform.
 #[derive(Clone, Default)]
 pub(crate) struct FakePlatform {
     store: Arc<Mutex<Store>>,
@@ -84,7 +83,6 @@
         self.store.lock().unwrap().skip_events = skip_events;
     }
 
-    /// Takes a backup of the data.
     pub(crate) fn take_backup(&self) {
         let mut store = self.store.lock().unwrap();
         store.backup = store.data.clone();
@@ -106,7 +104,6 @@
         version
     }
 
-    /// Deletes an object.
     pub(crate) fn delete(&self, kind: &str, name: &str) {
         let mut store = self.store.lock().unwrap();
         let data = &mut store.data;
@@ -118,7 +115,6 @@
         self.changed.notify_waiters();
     }
 
-    /// Reads an object.
     pub(crate) fn read(&self, kind: &str, name: &str) -> Option<Object> {
         let store = self.store.lock().unwrap();
         store.data.objects.get(&(kind.to_owned(), name.to_owned())).cloned()
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -35,7 +35,6 @@
 const REBUILD_TICKS: u64 = 60;
 /// Pause after a rebuild, as a multiple of its duration, to bound the CPU load of a burst of changes.
 const REBUILD_PAUSE_FACTOR: u32 = 100;
-/// Longest pause after a rebuild.
 const MAX_REBUILD_PAUSE: Duration = Duration::from_secs(1);
 /// Time without a datagram after which a leaving balancer stops.
 const QUIET_PERIOD: Duration = Duration::from_secs(2);
@@ -48,7 +47,6 @@
 static TABLE_BYTES: LazyLock<IntGauge> =
     LazyLock::new(|| metrics::gauge("table_bytes", "Memory of the tables that place new flows"));
 
-/// Packet path of a balancer.
 pub(crate) struct Relay {
     shared: Arc<Shared>,
     workers: Vec<Worker>,
--- a/crates/daemon/src/report.rs
+++ b/crates/daemon/src/report.rs
@@ -21,7 +21,6 @@
     control::{Inner, peer::LinkId, state::State, tick::take_event_batch},
 };
 
-/// Minimum interval between reports.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval between full reports in a small zone.
 const LOAD_INTERVAL_MS: u64 = 2_000;
@@ -37,7 +36,6 @@
 const WARMUP_MS: u64 = LOAD_INTERVAL_MS + 1_000;
 /// Revisions in the change history.
 const MAX_CHANGES: usize = 20;
-/// Events in one report.
 const MAX_REPORT_EVENTS: usize = 40;
 
 /// Level of detail of a report.
@@ -221,7 +219,7 @@
 pub(crate) async fn run(inner: Arc<Inner>) {
     let mut sent = SentReports::default();
     loop {
-        inner.report(&mut sent);
+        inner.send_report(&mut sent);
         tokio::select! {
             () = inner.report.notified() => sleep(MIN_REPORT_INTERVAL).await,
             () = sleep(Duration::from_millis(LOAD_INTERVAL_MS)) => {}
@@ -231,7 +229,7 @@
 }
 
 impl Inner {
-    fn report(&self, sent: &mut SentReports) {
+    fn send_report(&self, sent: &mut SentReports) {
         let mut state = self.state.lock();
         let own = state.own.name().to_owned();
         let Some(holder) = state.lease_holder(state.own.zone()).map(|it| it.name.clone()) else {
--- a/crates/daemon/src/report_writer.rs
+++ b/crates/daemon/src/report_writer.rs
@@ -13,7 +13,6 @@
     platform::{PlatformError, PutOutcome},
 };
 
-/// Minimum interval between writes.
 const MIN_WRITE_INTERVAL_MS: u64 = 1_000;
 /// Average bandwidth budget for writes and their responses.
 const WRITE_BYTES_PER_S: u64 = 3_000;
--- a/crates/daemon/src/timeline.rs
+++ b/crates/daemon/src/timeline.rs
@@ -21,7 +21,6 @@
 const MAX_SEGMENT_EVENTS: usize = 32;
 /// Size limit of an object, unless a single event is larger.
 const MAX_SEGMENT_BYTES: usize = 32_768;
-/// Minimum interval between writes.
 const MIN_WRITE_INTERVAL_MS: u64 = 2_000;
 /// Average bandwidth budget for writes and their responses.
 const WRITE_BYTES_PER_S: u64 = 2_000;
