--- a/crates/daemon/src/cmd/mod.rs
+++ b/crates/daemon/src/cmd/mod.rs
@@ -1,12 +1,11 @@
-//! Subcommands, one file each.
+//! Subcommands.
 
 pub(crate) mod agent;
 pub(crate) mod balance;
 
 pub(crate) use self::{agent::Agent, balance::Balance};
 
-/// A subcommand.
 pub(crate) trait Run {
-    /// Runs until a signal ends the process or an error does.
+    /// Runs until a signal or an error stops the process.
     fn run(&self) -> anyhow::Result<()>;
 }
