--- a/crates/daemon/src/agent/body.rs
+++ b/crates/daemon/src/agent/body.rs
@@ -1,4 +1,4 @@
-//! Request bodies on their way in and answers on their way out, over a flow or over a link from another agent.
+//! Request bodies and responses, over a flow or over a link from another agent.
 
 use std::time::Duration;
 
@@ -13,76 +13,82 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{
-    link::{LinkInlet, LinkOutlet},
+    link::{LinkReceiver, LinkSender},
     quic::{RecvStream, SendStream},
 };
 
-/// Part of a body that is kept, so that a request refused by one upstream can be sent to another.
-pub(crate) const KEPT: usize = 64 << 10;
-/// From here on more is read only when the upstream wants the body.
-const HOLD: usize = KEPT / 2;
-/// Longest wait for an upstream to say that it wants the body; many never say so.
-const RESUME_TIMEOUT: Duration = Duration::from_millis(300);
+/// Largest body that is kept in memory, so that a request rejected by one upstream can be sent to another.
+pub(crate) const REPLAY_LIMIT_BYTES: usize = 64 << 10;
+/// From this size on, reading pauses until the upstream requests the rest of the body.
+const PAUSE_SIZE_BYTES: usize = REPLAY_LIMIT_BYTES / 2;
+/// Longest pause, since many upstreams never send `100 Continue`.
+const CONTINUE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout for reading the unused rest of a body.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest wait for the rest of a body that nobody reads any more.
-const REST_TIMEOUT: Duration = Duration::from_secs(10);
-
-/// The caller's side broke off.
+/// The caller's stream, or the link to the other agent, was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the caller gave up")]
-pub(crate) struct GivenUp;
+#[error("the caller disconnected")]
+pub(crate) struct Disconnected;
 
-/// Where a body comes from.
-pub(crate) enum Inlet {
+/// Source of a request body.
+pub(crate) enum BodySource {
     /// A caller's stream.
     Flow(RequestStream<RecvStream, Bytes>),
     /// A link from another agent.
-    Link(LinkInlet),
+    Link(LinkReceiver),
 }
 
-impl Inlet {
-    async fn next(&mut self) -> Result<Option<Bytes>, GivenUp> {
+impl BodySource {
+    async fn next(&mut self) -> Result<Option<Bytes>, Disconnected> {
         match self {
-            Inlet::Flow(stream) => match stream.recv_data().await {
+            BodySource::Flow(stream) => match stream.recv_data().await {
                 Ok(Some(mut data)) => Ok(Some(data.copy_to_bytes(data.remaining()))),
                 Ok(None) => Ok(None),
-                Err(_) => Err(GivenUp),
+                Err(_) => Err(Disconnected),
             },
-            Inlet::Link(link) => link.next().await,
+            BodySource::Link(link) => link.next().await,
         }
     }
 }
 
-/// A request's body. The first part is kept for a second attempt.
-pub(crate) struct Body {
-    inlet: Inlet,
-    kept: Vec<Bytes>,
-    size: usize,
-    at: usize,
+/// A request body that can be read again while it is within [`REPLAY_LIMIT_BYTES`].
+pub(crate) struct RequestBody {
+    source: BodySource,
+    replay: Vec<Bytes>,
+    bytes_read: usize,
+    position: usize,
     ended: bool,
     expected: bool,
 }
 
-impl Body {
-    /// A body read from `inlet`; nothing is read if none is expected.
-    pub(crate) fn new(inlet: Inlet, expected: bool) -> Body {
-        Body { inlet, kept: Vec::new(), size: 0, at: 0, ended: !expected, expected }
+impl RequestBody {
+    /// A body read from `source`; nothing is read unless one is expected.
+    pub(crate) fn new(source: BodySource, expected: bool) -> RequestBody {
+        RequestBody {
+            source,
+            replay: Vec::new(),
+            bytes_read: 0,
+            position: 0,
+            ended: !expected,
+            expected,
+        }
     }
 
-    /// Whether there is a body at all.
+    /// Whether the request has a body.
     pub(crate) fn is_expected(&self) -> bool {
         self.expected
     }
 
-    /// Starts again from the beginning; false if that part is not kept any more.
+    /// Restarts from the beginning; false if the body is too large for that.
     pub(crate) fn rewind(&mut self) -> bool {
-        self.at = 0;
-        self.size <= KEPT
+        self.position = 0;
+        self.bytes_read <= REPLAY_LIMIT_BYTES
     }
 
-    /// Ends reading. A caller that goes on sending is asked to stop.
+    /// Stops reading; a caller that is still sending receives `STOP_SENDING`.
     pub(crate) fn close(&mut self) {
-        let Inlet::Flow(stream) = &mut self.inlet else {
+        let BodySource::Flow(stream) = &mut self.source else {
             return;
         };
         if stream.recv_data().now_or_never().is_none() {
@@ -90,244 +96,252 @@
         }
     }
 
-    /// Whether the agent that handed the request over was told to send the body.
-    pub(crate) fn is_begun(&self) -> bool {
-        matches!(&self.inlet, Inlet::Link(link) if link.is_ready())
+    /// Whether the peer that offered the request has started it, and with it the body.
+    pub(crate) fn is_started(&self) -> bool {
+        matches!(&self.source, BodySource::Link(link) if link.is_started())
     }
 
-    /// The link over which a body would have come, had the request begun.
-    pub(crate) fn into_unread(self) -> Option<LinkInlet> {
-        match self.inlet {
-            Inlet::Link(link) => Some(link),
-            Inlet::Flow(_) => None,
+    /// The link of a request that was not started.
+    pub(crate) fn into_unread_link(self) -> Option<LinkReceiver> {
+        match self.source {
+            BodySource::Link(link) => Some(link),
+            BodySource::Flow(_) => None,
         }
     }
 
-    /// The link that the body came over, if it is at rest. What is left of the body is read first: closing a link with
-    /// unread data could destroy the answer on its way.
-    pub(crate) async fn into_link(mut self) -> Option<LinkInlet> {
+    /// Reads the rest of the body and returns its link: closing a link with unread data could
+    /// reset the connection before the response arrives. None if that fails or takes too long.
+    pub(crate) async fn into_link(mut self) -> Option<LinkReceiver> {
         let rest = async {
             while self.next().await?.is_some() {}
-            Ok::<_, GivenUp>(())
+            Ok::<_, Disconnected>(())
         };
-        let Ok(Ok(())) = time::timeout(REST_TIMEOUT, rest).await else {
+        let Ok(Ok(())) = time::timeout(DISCARD_TIMEOUT, rest).await else {
             return None;
         };
-        match self.inlet {
-            Inlet::Link(link) => Some(link),
-            Inlet::Flow(_) => None,
+        match self.source {
+            BodySource::Link(link) => Some(link),
+            BodySource::Flow(_) => None,
         }
     }
 
-    /// The next part, held back while another attempt may need the body. `wanted` ends that. Cancelling the wait loses
-    /// nothing.
-    pub(crate) async fn next_when(
+    /// Reads the next chunk, after a pause at [`PAUSE_SIZE_BYTES`] that `continued` ends. Cancel safe.
+    pub(crate) async fn next_after_continue(
         &mut self,
-        wanted: &CancellationToken,
-    ) -> Result<Option<Bytes>, GivenUp> {
-        let holds = self.at == self.kept.len() && (HOLD..=KEPT).contains(&self.size);
-        if holds && !self.ended && !wanted.is_cancelled() {
-            // Waiting longer would only delay the request.
-            let _ = time::timeout(RESUME_TIMEOUT, wanted.cancelled()).await;
-            wanted.cancel();
+        continued: &CancellationToken,
+    ) -> Result<Option<Bytes>, Disconnected> {
+        let pause = self.position == self.replay.len()
+            && (PAUSE_SIZE_BYTES..=REPLAY_LIMIT_BYTES).contains(&self.bytes_read);
+        if pause && !self.ended && !continued.is_cancelled() {
+            // A timeout counts as a request for the rest of the body.
+            let _ = time::timeout(CONTINUE_TIMEOUT, continued.cancelled()).await;
+            continued.cancel();
         }
         self.next().await
     }
 
-    /// The next part. Cancelling the wait loses nothing.
-    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, GivenUp> {
-        if let Some(part) = self.kept.get(self.at) {
-            self.at += 1;
-            return Ok(Some(part.clone()));
+    /// Reads the next chunk. Cancel safe.
+    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, Disconnected> {
+        if let Some(chunk) = self.replay.get(self.position) {
+            self.position += 1;
+            return Ok(Some(chunk.clone()));
         }
         if self.ended {
             return Ok(None);
         }
-        let Some(part) = self.inlet.next().await? else {
+        let Some(chunk) = self.source.next().await? else {
             self.ended = true;
             return Ok(None);
         };
-        self.size += part.len();
-        if self.size <= KEPT {
-            self.kept.push(part.clone());
-            self.at += 1;
+        self.bytes_read += chunk.len();
+        if self.bytes_read <= REPLAY_LIMIT_BYTES {
+            self.replay.push(chunk.clone());
+            self.position += 1;
         } else {
-            self.kept.clear();
-            self.at = 0;
+            self.replay.clear();
+            self.position = 0;
         }
-        Ok(Some(part))
+        Ok(Some(chunk))
     }
 }
 
-/// Way on which an answer goes.
-pub(crate) enum Way {
+/// Destination of a response.
+pub(crate) enum ResponseTarget {
     /// A caller's stream.
     Flow(Box<RequestStream<SendStream<Bytes>, Bytes>>),
     /// A link from another agent.
-    Link(LinkOutlet),
+    Link(LinkSender),
 }
 
-/// Where an answer goes to. With a capture it is also kept, and taken to its end though the caller has gone.
-pub(crate) struct Outlet {
-    way: Way,
-    capture: Option<Capture>,
-    gone: bool,
+/// Writes a response to its destination. With a recorder, the response is also stored and read to its end even if the
+/// caller disconnects.
+pub(crate) struct ResponseWriter {
+    target: ResponseTarget,
+    recorder: Option<ResponseRecorder>,
+    disconnected: bool,
     finished: bool,
 }
 
-impl Outlet {
-    /// An answer that is passed on only.
-    pub(crate) fn new(way: Way) -> Outlet {
-        Outlet { way, capture: None, gone: false, finished: false }
+impl ResponseWriter {
+    /// A writer without a recorder.
+    pub(crate) fn new(target: ResponseTarget) -> ResponseWriter {
+        ResponseWriter { target, recorder: None, disconnected: false, finished: false }
     }
 
-    /// Keeps the answer too.
-    pub(crate) fn keep(&mut self) {
-        self.capture = Some(Capture::default());
+    /// Starts recording the response.
+    pub(crate) fn record(&mut self) {
+        self.recorder = Some(ResponseRecorder::default());
     }
 
-    /// The whole answer, if it was kept and came to its end.
-    pub(crate) fn kept(&mut self) -> Option<Answer> {
-        self.capture.take()?.answer()
+    /// The recorded response, if it is complete.
+    pub(crate) fn take_recorded(&mut self) -> Option<Answer> {
+        self.recorder.take()?.into_response()
     }
 
-    /// The way on which the answer went.
-    pub(crate) fn into_way(self) -> Way {
-        self.way
+    /// Returns the destination.
+    pub(crate) fn into_target(self) -> ResponseTarget {
+        self.target
     }
 
-    /// Makes sure that the request may begin: an agent that handed it over must say so first.
-    pub(crate) async fn ready(&mut self, body: &mut Body, load: f64) -> Result<(), GivenUp> {
-        match (&mut self.way, &mut body.inlet) {
-            (Way::Link(outlet), Inlet::Link(inlet)) if !inlet.is_ready() => {
-                outlet.taken(load).await?;
-                inlet.ready().await
+    /// Accepts the offer and waits for the start message, if the request came from another agent.
+    pub(crate) async fn wait_for_start(
+        &mut self,
+        body: &mut RequestBody,
+        load: f64,
+    ) -> Result<(), Disconnected> {
+        match (&mut self.target, &mut body.source) {
+            (ResponseTarget::Link(sender), BodySource::Link(receiver))
+                if !receiver.is_started() =>
+            {
+                sender.accept_offer(load).await?;
+                receiver.wait_for_start().await
             }
             _ => Ok(()),
         }
     }
 
-    /// Says that the upstream wants the body.
-    pub(crate) async fn resume(&mut self) {
-        if let Way::Link(link) = &mut self.way {
-            // If the other side has gone, the body will end.
+    /// Requests the rest of the body from the agent that forwards it.
+    pub(crate) async fn send_continue(&mut self) {
+        if let ResponseTarget::Link(link) = &mut self.target {
+            // If the link is closed, reading the body fails too.
             let _ = link.send(Kind::Resume(Resume {})).await;
         }
     }
 
-    /// Sends the head; `upstream` names the agent whose upstream answered.
-    pub(crate) async fn head(
+    /// Sends the head; `upstream` names the agent whose upstream responded.
+    pub(crate) async fn send_head(
         &mut self,
         status: StatusCode,
         headers: &HeaderMap,
         upstream: &str,
-    ) -> Result<(), GivenUp> {
-        if let Some(capture) = &mut self.capture {
-            capture.head(status, headers);
+    ) -> Result<(), Disconnected> {
+        if let Some(recorder) = &mut self.recorder {
+            recorder.record_head(status, headers);
         }
-        if self.gone {
+        if self.disconnected {
             return Ok(());
         }
-        let sent = match &mut self.way {
-            Way::Flow(stream) => {
+        let sent = match &mut self.target {
+            ResponseTarget::Flow(stream) => {
                 let mut response = Response::new(());
                 *response.status_mut() = status;
                 *response.headers_mut() = headers.clone();
-                stream.send_response(response).await.map_err(|_| GivenUp)
+                stream.send_response(response).await.map_err(|_| Disconnected)
             }
-            Way::Link(link) => link.head(status, headers, upstream).await,
+            ResponseTarget::Link(link) => link.send_head(status, headers, upstream).await,
         };
-        self.settle(sent)
+        self.check_sent(sent)
     }
 
-    /// Sends a part of the body.
-    pub(crate) async fn data(&mut self, part: Bytes) -> Result<(), GivenUp> {
-        if let Some(capture) = &mut self.capture {
-            capture.data(&part);
+    /// Sends a chunk of the body.
+    pub(crate) async fn send_data(&mut self, chunk: Bytes) -> Result<(), Disconnected> {
+        if let Some(recorder) = &mut self.recorder {
+            recorder.record_data(&chunk);
         }
-        if self.gone {
+        if self.disconnected {
             return Ok(());
         }
-        let sent = match &mut self.way {
-            Way::Flow(stream) => stream.send_data(part).await.map_err(|_| GivenUp),
-            Way::Link(link) => link.data(part, false).await,
+        let sent = match &mut self.target {
+            ResponseTarget::Flow(stream) => stream.send_data(chunk).await.map_err(|_| Disconnected),
+            ResponseTarget::Link(link) => link.send_data(chunk, false).await,
         };
-        self.settle(sent)
+        self.check_sent(sent)
     }
 
-    /// Ends the answer.
-    pub(crate) async fn finish(&mut self) -> Result<(), GivenUp> {
-        if let Some(capture) = &mut self.capture {
-            capture.finish();
+    /// Ends the response.
+    pub(crate) async fn finish(&mut self) -> Result<(), Disconnected> {
+        if let Some(recorder) = &mut self.recorder {
+            recorder.finish();
         }
-        if self.gone {
+        if self.disconnected {
             return Ok(());
         }
-        let sent = match &mut self.way {
-            Way::Flow(stream) => stream.finish().await.map_err(|_| GivenUp),
-            Way::Link(link) => link.data(Bytes::new(), true).await,
+        let sent = match &mut self.target {
+            ResponseTarget::Flow(stream) => stream.finish().await.map_err(|_| Disconnected),
+            ResponseTarget::Link(link) => link.send_data(Bytes::new(), true).await,
         };
         self.finished = sent.is_ok();
-        self.settle(sent)
+        self.check_sent(sent)
     }
 
-    /// Whether the answer was sent to its end. One that was not is reset, and nothing tells when that has arrived.
+    /// Whether the complete response was sent. Delivery can be tracked only then, not after a reset.
     pub(crate) fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// Breaks the answer off, so that nobody takes the part for the whole.
+    /// Aborts the response, so that the receiver doesn't accept it as complete.
     pub(crate) fn reset(&mut self, code: Code) {
-        match &mut self.way {
-            Way::Flow(stream) => stream.stop_stream(code),
-            Way::Link(link) => link.reset(),
+        match &mut self.target {
+            ResponseTarget::Flow(stream) => stream.stop_stream(code),
+            ResponseTarget::Link(link) => link.reset(),
         }
     }
 
-    fn settle(&mut self, sent: Result<(), GivenUp>) -> Result<(), GivenUp> {
-        if self.capture.is_none() {
+    /// Ignores a disconnect while recording.
+    fn check_sent(&mut self, sent: Result<(), Disconnected>) -> Result<(), Disconnected> {
+        if self.recorder.is_none() {
             return sent;
         }
-        self.gone |= sent.is_err();
+        self.disconnected |= sent.is_err();
         Ok(())
     }
 }
 
-/// A whole answer, kept while it is passed on.
+/// Stores a response while it is relayed.
 #[derive(Debug, Default)]
-pub(crate) struct Capture {
+pub(crate) struct ResponseRecorder {
     status: StatusCode,
     headers: HeaderMap,
     body: Vec<u8>,
     overflow: bool,
-    whole: bool,
+    complete: bool,
 }
 
-impl Capture {
-    /// Keeps the head.
-    pub(crate) fn head(&mut self, status: StatusCode, headers: &HeaderMap) {
+impl ResponseRecorder {
+    /// Stores the head.
+    pub(crate) fn record_head(&mut self, status: StatusCode, headers: &HeaderMap) {
         self.status = status;
         self.headers = headers.clone();
         self.body.clear();
         self.overflow = false;
     }
 
-    /// Keeps a part of the body.
-    pub(crate) fn data(&mut self, part: &[u8]) {
-        self.overflow |= self.body.len() + part.len() > MAX_ANSWER;
+    /// Stores a chunk of the body.
+    pub(crate) fn record_data(&mut self, chunk: &[u8]) {
+        self.overflow |= self.body.len() + chunk.len() > MAX_ANSWER;
         if !self.overflow {
-            self.body.extend_from_slice(part);
+            self.body.extend_from_slice(chunk);
         }
     }
 
-    /// Notes that the answer is whole.
+    /// Marks the response as complete.
     pub(crate) fn finish(&mut self) {
-        self.whole = true;
+        self.complete = true;
     }
 
-    /// The answer, unless it broke off or is too large to be kept.
-    pub(crate) fn answer(self) -> Option<Answer> {
-        if self.overflow || !self.whole {
+    /// The response; none if it was aborted or is larger than [`MAX_ANSWER`].
+    pub(crate) fn into_response(self) -> Option<Answer> {
+        if self.overflow || !self.complete {
             return None;
         }
         let field = |(name, value): (&HeaderName, &HeaderValue)| {
--- a/crates/daemon/src/agent/claim.rs
+++ b/crates/daemon/src/agent/claim.rs
@@ -1,9 +1,9 @@
-//! Claims on idempotency keys, as the agent of a flow makes them. The messages are in `call`, the side that is asked in
-//! `answer`, the graceful stop in `leave`.
+//! Claims on idempotency keys. This module claims keys for the requests of its flows, `client` sends the messages to
+//! other agents, `server` handles theirs, and `transfer` moves claims to other agents on a graceful stop.
 
-mod answer;
-mod call;
-mod leave;
+mod client;
+mod server;
+mod transfer;
 
 use std::{hash::Hasher, sync::Arc, time::Duration};
 
@@ -17,52 +17,57 @@
 use siphasher::sip::SipHasher13;
 use tokio::time;
 
-use self::call::{CLAIM_TIMEOUT, ask, call, is_refused, tell};
-pub(crate) use self::{answer::answer, leave::hand_over};
+use self::client::{
+    CLAIM_TIMEOUT, is_connection_refused, request_claim, send_call, send_until_accepted,
+};
+pub(crate) use self::{server::handle_call, transfer::transfer_claims};
 use super::{
     node::Node,
-    request::{Ask, Course},
+    request::{RequestContext, RequestHead},
 };
 use crate::clock;
 
-const KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Waits between attempts to claim a key that another request has.
-const REPEAT_WAITS_MS: [u64; 8] = [0, 10, 20, 40, 80, 150, 300, 400];
+const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
+/// Delays before the attempts to claim a key that another request holds.
+const CLAIM_DELAYS_MS: [u64; 8] = [0, 10, 20, 40, 80, 150, 300, 400];
 
-/// What a request under an idempotency key may do.
-pub(crate) enum Verdict {
-    /// Run, and tell those that recorded the claim what came of it.
-    Run(Held),
-    /// Nothing: an earlier request under the key had this answer.
-    Repeat(Arc<Answer>),
-    /// Nothing: an earlier request under the key may be running.
-    Running,
-    /// Nothing: an earlier request under the key may have run, and its answer is lost.
+/// Result of claiming an idempotency key for a request. Only `Run` allows the request to run.
+pub(crate) enum ClaimOutcome {
+    /// The claim is granted; its holders must receive the result.
+    Run(HeldClaim),
+    /// An earlier request with the key had this response.
+    Replay(Arc<Answer>),
+    /// An earlier request with the key may be running.
+    InProgress,
+    /// An earlier request with the key may have run, and its response is lost.
     Unknown,
-    /// Nothing: the key was used for something else.
+    /// The key was used for a different request.
     Mismatch,
-    /// Nothing: the key can't be remembered.
+    /// The key is invalid.
     BadKey,
-    /// Nothing: an agent that must record the claim could not be asked.
+    /// An agent that must record the claim is not reachable.
     Unavailable,
 }
 
-/// A claim that is recorded by all who must.
-pub(crate) struct Held {
+/// A claim with the agents that have, or may have, recorded it.
+pub(crate) struct HeldClaim {
     key: ClaimKey,
     request: RequestId,
-    owners: Vec<String>,
-    open: Open,
+    holders: Vec<String>,
+    active: ActiveRequest,
 }
 
-/// An idempotency key that can't be remembered: empty, longer than [`MAX_KEY`] or with other than visible ASCII.
+/// Invalid idempotency key: empty, longer than [`MAX_KEY`] bytes, or not visible ASCII.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BadKey;
 
-/// The key under which a request must run once. Methods that are idempotent need none.
-pub(crate) fn key(ask: &Ask, service: ServiceId) -> Result<Option<ClaimKey>, BadKey> {
-    let keyed = !ask.is_idempotent() && ask.method != Method::CONNECT;
-    let Some(value) = ask.headers.get(KEY).filter(|_| keyed) else {
+/// The idempotency key of a request. Idempotent methods and CONNECT don't use one.
+pub(crate) fn idempotency_key(
+    head: &RequestHead,
+    service: ServiceId,
+) -> Result<Option<ClaimKey>, BadKey> {
+    let uses_key = !head.is_idempotent() && head.method != Method::CONNECT;
+    let Some(value) = head.headers.get(IDEMPOTENCY_KEY).filter(|_| uses_key) else {
         return Ok(None);
     };
     let text = value.to_str().map_err(|_| BadKey)?;
@@ -72,171 +77,177 @@
     Ok(Some(ClaimKey { service, key: text.to_owned() }))
 }
 
-/// What an agent that was asked said.
-enum Word {
+/// Reply of one agent to a claim.
+enum ClaimVote {
     Granted,
     Taken(Claim),
     Mismatch,
-    /// An earlier claim may have been forgotten.
-    Doubtful,
-    /// All members must be asked.
-    Unsettled,
-    /// It can't be asked, or has no room.
+    /// An earlier claim may have been lost.
+    MayBeLost,
+    /// The membership is changing: all members must be queried.
+    MembersChanging,
+    /// Not reachable, or out of capacity.
     Unavailable,
 }
 
-/// Claims `key` for a request. While another request has the key, it waits for what comes of that one, but not for long.
-pub(crate) async fn claim(course: &Course, key: ClaimKey) -> Verdict {
-    let mut verdict = Verdict::Running;
-    for wait in REPEAT_WAITS_MS {
-        time::sleep(Duration::from_millis(wait)).await;
-        verdict = claim_now(course, key.clone()).await;
-        let late = course.ask.deadline.is_some_and(|it| clock::now_ms() >= it);
-        if late || !matches!(verdict, Verdict::Running) {
+/// Claims `key` for a request. While another request holds the key, retries a few times to get its result.
+pub(crate) async fn claim(context: &RequestContext, key: ClaimKey) -> ClaimOutcome {
+    let mut outcome = ClaimOutcome::InProgress;
+    for delay_ms in CLAIM_DELAYS_MS {
+        time::sleep(Duration::from_millis(delay_ms)).await;
+        outcome = try_claim(context, key.clone()).await;
+        let late = context.head.deadline.is_some_and(|it| clock::now_ms() >= it);
+        if late || !matches!(outcome, ClaimOutcome::InProgress) {
             break;
         }
     }
-    verdict
+    outcome
 }
 
-async fn claim_now(course: &Course, key: ClaimKey) -> Verdict {
-    let node = &course.node;
+async fn try_claim(context: &RequestContext, key: ClaimKey) -> ClaimOutcome {
+    let node = &context.node;
     let claim = Claim {
-        request: course.ask.id,
-        digest: digest(&course.ask),
+        request: context.head.id,
+        digest: digest(&context.head),
         by: node.settings.name.clone(),
         state: State::Running,
-        window: u64::from(course.service.entry().spec.key_window_s) * 1_000,
+        window: u64::from(context.service.entry().spec.key_window_s) * 1_000,
     };
-    let settled = node.rosters.lock().is_settled(&key, clock::now_ms());
-    if settled {
-        let (held, verdict) = claim_at(node, &key, &claim, false).await;
-        match verdict {
-            Some(Word::Unsettled) => held.settle(node, None),
-            other => return conclude(node, held, other).await,
+    let stable = node.rosters.lock().is_stable(&key, clock::now_ms());
+    if stable {
+        let (held, refusal) = claim_from_holders(node, &key, &claim, false).await;
+        match refusal {
+            Some(ClaimVote::MembersChanging) => held.resolve(node, None),
+            other => return finish_claim(node, held, other).await,
         }
     }
-    let (held, verdict) = claim_at(node, &key, &claim, true).await;
-    conclude(node, held, verdict).await
+    let (held, refusal) = claim_from_holders(node, &key, &claim, true).await;
+    finish_claim(node, held, refusal).await
 }
 
-/// Asks those that must record a claim; returns what refused it, if something did.
-async fn claim_at(
+/// Requests a claim from the agents that must record it, or from all members. Returns the decisive refusal, if any.
+async fn claim_from_holders(
     node: &Arc<Node>,
     key: &ClaimKey,
     claim: &Claim,
     all: bool,
-) -> (Held, Option<Word>) {
+) -> (HeldClaim, Option<ClaimVote>) {
     let (names, members) = {
         let rosters = node.rosters.lock();
-        (rosters.ask(key, all), all.then(|| rosters.digest(key)))
+        (rosters.claim_holders(key, all), all.then(|| rosters.digest(key)))
     };
-    let open = Open::new(node, claim.request);
-    let mut held = Held { key: key.clone(), request: claim.request, owners: Vec::new(), open };
-    let mut refusal = names.is_empty().then_some(Word::Unavailable);
-    // The arbiter alone decides between two requests that come at once; the others then agree.
-    let mut words = Vec::new();
+    let active = ActiveRequest::new(node, claim.request);
+    let mut held =
+        HeldClaim { key: key.clone(), request: claim.request, holders: Vec::new(), active };
+    let mut refusal = names.is_empty().then_some(ClaimVote::Unavailable);
+    // The arbiter decides between concurrent requests; the others are queried only after it has granted the claim.
+    let mut votes = Vec::new();
     if let Some((arbiter, rest)) = names.split_first() {
-        let first = call(node, arbiter, key, claim, members).await;
-        let granted = matches!(first, Word::Granted);
-        words.push((arbiter.clone(), first));
+        let first = request_claim(node, arbiter, key, claim, members).await;
+        let granted = matches!(first, ClaimVote::Granted);
+        votes.push((arbiter.clone(), first));
         if granted {
-            let said = rest.iter().map(|it| call(node, it, key, claim, members));
-            words.extend(rest.iter().cloned().zip(future::join_all(said).await));
+            let calls = rest.iter().map(|it| request_claim(node, it, key, claim, members));
+            votes.extend(rest.iter().cloned().zip(future::join_all(calls).await));
         }
     }
-    for (name, word) in words {
-        // One whose word is lost may have recorded the claim all the same.
-        if matches!(word, Word::Granted | Word::Unavailable) {
-            held.owners.push(name);
+    for (name, vote) in votes {
+        // An agent whose reply was lost may have recorded the claim.
+        if matches!(vote, ClaimVote::Granted | ClaimVote::Unavailable) {
+            held.holders.push(name);
         }
-        if word.weight() > refusal.as_ref().map_or(0, Word::weight) {
-            refusal = Some(word);
+        if vote.rank() > refusal.as_ref().map_or(0, ClaimVote::rank) {
+            refusal = Some(vote);
         }
     }
     (held, refusal)
 }
 
-async fn conclude(node: &Arc<Node>, held: Held, refusal: Option<Word>) -> Verdict {
-    let verdict = match refusal {
-        None | Some(Word::Granted) => return Verdict::Run(held),
-        Some(Word::Taken(claim)) => taken(node, claim).await,
-        Some(Word::Mismatch) => Verdict::Mismatch,
-        Some(Word::Doubtful) => Verdict::Unknown,
-        Some(Word::Unsettled | Word::Unavailable) => Verdict::Unavailable,
+async fn finish_claim(
+    node: &Arc<Node>,
+    held: HeldClaim,
+    refusal: Option<ClaimVote>,
+) -> ClaimOutcome {
+    let outcome = match refusal {
+        None | Some(ClaimVote::Granted) => return ClaimOutcome::Run(held),
+        Some(ClaimVote::Taken(claim)) => taken_outcome(node, claim).await,
+        Some(ClaimVote::Mismatch) => ClaimOutcome::Mismatch,
+        Some(ClaimVote::MayBeLost) => ClaimOutcome::Unknown,
+        Some(ClaimVote::MembersChanging | ClaimVote::Unavailable) => ClaimOutcome::Unavailable,
     };
-    held.settle(node, None);
-    verdict
+    held.resolve(node, None);
+    outcome
 }
 
-impl Word {
-    /// Which of several words counts: the one that says most of what became of an earlier request.
-    fn weight(&self) -> u8 {
+impl ClaimVote {
+    /// The vote of the highest rank decides: it has the most information on an earlier request.
+    fn rank(&self) -> u8 {
         match self {
-            Word::Granted => 0,
-            Word::Unavailable => 1,
-            Word::Unsettled => 2,
-            Word::Doubtful => 3,
-            Word::Mismatch => 4,
-            Word::Taken(_) => 5,
+            ClaimVote::Granted => 0,
+            ClaimVote::Unavailable => 1,
+            ClaimVote::MembersChanging => 2,
+            ClaimVote::MayBeLost => 3,
+            ClaimVote::Mismatch => 4,
+            ClaimVote::Taken(_) => 5,
         }
     }
 }
 
-async fn taken(node: &Arc<Node>, claim: Claim) -> Verdict {
+async fn taken_outcome(node: &Arc<Node>, claim: Claim) -> ClaimOutcome {
     match &claim.state {
-        State::Done(answer) => Verdict::Repeat(Arc::clone(answer)),
-        State::Unknown => Verdict::Unknown,
-        State::Running if is_open(node, &claim).await => Verdict::Running,
-        State::Running => Verdict::Unknown,
+        State::Done(answer) => ClaimOutcome::Replay(Arc::clone(answer)),
+        State::Unknown => ClaimOutcome::Unknown,
+        State::Running if is_in_progress(node, &claim).await => ClaimOutcome::InProgress,
+        State::Running => ClaimOutcome::Unknown,
     }
 }
 
-/// Whether the agent that claimed still has the request. One that died, or was started anew, has not.
-async fn is_open(node: &Arc<Node>, claim: &Claim) -> bool {
+/// Whether the agent that made the claim is still processing the request, which ends with its process.
+async fn is_in_progress(node: &Arc<Node>, claim: &Claim) -> bool {
     if claim.by == node.settings.name {
-        return node.open.lock().contains(&claim.request);
+        return node.keyed_requests.lock().contains(&claim.request);
     }
-    let lives = node.snapshot().agents.get(&claim.by).is_some_and(|it| it.state.answers());
-    if !lives {
+    let is_alive = node.snapshot().agents.get(&claim.by).is_some_and(|it| it.state.answers());
+    if !is_alive {
         return false;
     }
     let key = ClaimKey { service: ServiceId(0), key: "-".to_owned() };
     let record = ClaimRecord::new(&key, claim);
     let call = ClaimCall::new(ClaimPurpose::Probe, record);
-    match time::timeout(CLAIM_TIMEOUT, ask(node, &claim.by, call)).await {
+    match time::timeout(CLAIM_TIMEOUT, send_call(node, &claim.by, call)).await {
         Ok(Ok(reply)) => reply.verdict == ClaimVerdict::Granted as i32,
-        Ok(Err(e)) => !is_refused(&e),
+        Ok(Err(e)) => !is_connection_refused(&e),
         Err(_) => true,
     }
 }
 
-/// A keyed request that this agent has in hand, until its owners were told what came of it.
-struct Open {
+/// Registers a request with a key as in progress, until its result was sent to the holders of the claim.
+struct ActiveRequest {
     node: Arc<Node>,
     request: RequestId,
 }
 
-impl Open {
-    fn new(node: &Arc<Node>, request: RequestId) -> Open {
-        node.open.lock().insert(request);
-        Open { node: Arc::clone(node), request }
+impl ActiveRequest {
+    fn new(node: &Arc<Node>, request: RequestId) -> ActiveRequest {
+        node.keyed_requests.lock().insert(request);
+        ActiveRequest { node: Arc::clone(node), request }
     }
 }
 
-impl Drop for Open {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
-        self.node.open.lock().remove(&self.request);
+        self.node.keyed_requests.lock().remove(&self.request);
     }
 }
 
-impl Held {
-    /// Tells those that recorded the claim what came of the request; none if it was proven not to have run.
-    pub(crate) fn settle(self, node: &Arc<Node>, state: Option<State>) {
+impl HeldClaim {
+    /// Sends the request's result to the holders of the claim. Without a state, the request has not run and
+    /// the claim is released.
+    pub(crate) fn resolve(self, node: &Arc<Node>, state: Option<State>) {
         let node = Arc::clone(node);
         let tasks = node.tasks.clone();
         tasks.spawn(async move {
-            let Held { key, request, owners, open } = self;
+            let HeldClaim { key, request, holders, active } = self;
             let claim = Claim {
                 request,
                 digest: 0,
@@ -246,18 +257,20 @@
             };
             let record = ClaimRecord::new(&key, &claim);
             let record = if state.is_none() { record.with_release() } else { record };
-            let told = owners.iter().map(|it| tell(&node, it, ClaimPurpose::Settle, &record));
-            future::join_all(told).await;
-            drop(open);
+            let sends = holders
+                .iter()
+                .map(|it| send_until_accepted(&node, it, ClaimPurpose::Settle, &record));
+            future::join_all(sends).await;
+            drop(active);
         });
     }
 }
 
-/// Digest of what was asked for. The query is left out: it may differ between two attempts.
-fn digest(ask: &Ask) -> u64 {
+/// Digest of the method and path. The query is left out, since it may differ between attempts.
+fn digest(head: &RequestHead) -> u64 {
     let mut hasher = SipHasher13::new();
-    hasher.write(ask.method.as_str().as_bytes());
+    hasher.write(head.method.as_str().as_bytes());
     hasher.write_u8(0);
-    hasher.write(ask.path.split('?').next().unwrap_or_default().as_bytes());
+    hasher.write(head.path.split('?').next().unwrap_or_default().as_bytes());
     hasher.finish()
 }
--- a/crates/daemon/src/agent/claim/answer.rs
+++ b/crates/daemon/src/agent/claim/server.rs
@@ -1,4 +1,4 @@
-//! Answering messages about claims, and recording claims as the agent that is asked.
+//! Handles claim messages from other agents and records their claims.
 
 use camphorwinch_core::{
     claims::{Claim, ClaimKey, Claimed, MAX_KEY},
@@ -11,27 +11,27 @@
 
 use crate::{agent::node::Node, clock};
 
-/// Answers a claim message as the agent that is asked.
-pub(crate) fn answer(node: &Node, call: &ClaimCall) -> Result<ClaimReply, HandoverError> {
+/// Handles a claim message. Fails if it is malformed.
+pub(crate) fn handle_call(node: &Node, call: &ClaimCall) -> Result<ClaimReply, HandoverError> {
     let purpose = ClaimPurpose::try_from(call.purpose).map_err(|_| HandoverError("purpose"))?;
     if purpose == ClaimPurpose::Losses {
-        take_losses(node, &call.losses);
+        record_failed_members(node, &call.losses);
         return Ok(ClaimReply { verdict: ClaimVerdict::Granted as i32, holder: None });
     }
-    let told = call.record.as_ref().ok_or(HandoverError("claim"))?;
-    let key = told.claim_key();
+    let claim_record = call.record.as_ref().ok_or(HandoverError("claim"))?;
+    let key = claim_record.claim_key();
     if !(1..=MAX_KEY).contains(&key.key.len()) {
         return Err(HandoverError("idempotency key"));
     }
     let now = clock::now_ms();
-    let claimed = match (purpose, told.claim()?) {
+    let claimed = match (purpose, claim_record.claim()?) {
         (ClaimPurpose::Claim, Some(claim)) => record(node, &key, claim, call.members),
         (ClaimPurpose::Settle, Some(claim)) => {
             node.claims.lock().settle(&key, claim.request, claim.state, now);
             Claimed::Granted
         }
         (ClaimPurpose::Settle, None) => {
-            node.claims.lock().release(&key, request_id(&told.request)?);
+            node.claims.lock().release(&key, request_id(&claim_record.request)?);
             Claimed::Granted
         }
         (ClaimPurpose::Adopt, Some(claim)) => {
@@ -39,8 +39,9 @@
             Claimed::Granted
         }
         (ClaimPurpose::Probe, _) => {
-            let open = node.open.lock().contains(&request_id(&told.request)?);
-            if open { Claimed::Granted } else { Claimed::Mismatch }
+            let in_progress =
+                node.keyed_requests.lock().contains(&request_id(&claim_record.request)?);
+            if in_progress { Claimed::Granted } else { Claimed::Mismatch }
         }
         (ClaimPurpose::Claim | ClaimPurpose::Adopt, None) | (ClaimPurpose::Losses, _) => {
             return Err(HandoverError("state of a claim"));
@@ -57,20 +58,20 @@
     Ok(ClaimReply { verdict: verdict as i32, holder })
 }
 
-/// Records a claim as one that is asked.
+/// Records a claim at this agent, if the key is free and the membership allows it.
 pub(super) fn record(node: &Node, key: &ClaimKey, claim: Claim, members: Option<u64>) -> Claimed {
     let now = clock::now_ms();
-    let (doubtful, admitted) = {
+    let (may_be_lost, accepted) = {
         let rosters = node.rosters.lock();
-        (rosters.is_doubtful(key, now), rosters.admits(key, members, now))
+        (rosters.claim_may_be_lost(key, now), rosters.accepts_claim(key, members, now))
     };
     let mut claims = node.claims.lock();
     match claims.claim(key, claim.clone(), now) {
-        Claimed::Granted if doubtful => {
+        Claimed::Granted if may_be_lost => {
             claims.release(key, claim.request);
             Claimed::Doubtful
         }
-        Claimed::Granted if !admitted => {
+        Claimed::Granted if !accepted => {
             claims.release(key, claim.request);
             Claimed::Unsettled
         }
@@ -78,7 +79,7 @@
     }
 }
 
-fn take_losses(node: &Node, losses: &[Loss]) {
+fn record_failed_members(node: &Node, losses: &[Loss]) {
     let now = clock::now_ms();
     let mut rosters = node.rosters.lock();
     for it in losses {
@@ -89,6 +90,6 @@
             at: now.saturating_sub(it.age_ms),
             old: it.old,
         };
-        rosters.add_losses(ServiceId(it.service), &[lost]);
+        rosters.add_failed_members(ServiceId(it.service), &[lost]);
     }
 }
--- a/crates/daemon/src/agent/datagram.rs
+++ b/crates/daemon/src/agent/datagram.rs
@@ -1,4 +1,4 @@
-//! Encapsulated datagrams as they arrive: checked, then given to the service's QUIC stack or sent on.
+//! Receives encapsulated datagrams, authenticates them, and delivers them to the service's QUIC stack or forwards them.
 
 use std::{
     io::IoSliceMut,
@@ -19,24 +19,27 @@
 };
 
 use super::{
-    meter,
+    metrics,
     node::Node,
     reset,
-    service::{Course, Service},
+    service::{FirstPacketAction, Service},
 };
 
-const BUFFERS: usize = 16;
-const DATAGRAM: usize = 1_500;
-const LONG_HEADER: u8 = 0x80;
-const SHORT_CID_AT: usize = 1;
-const LONG_CID_LEN_AT: usize = 5;
+const BUFFER_COUNT: usize = 16;
+const MAX_DATAGRAM_BYTES: usize = 1_500;
+const LONG_HEADER_FLAG: u8 = 0x80;
+const SHORT_CID_OFFSET: usize = 1;
+const LONG_CID_LEN_OFFSET: usize = 5;
 
-/// What became of a datagram.
+/// Outcome of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
+enum DatagramOutcome {
     Delivered,
+    /// The first packet of a flow was sent to the next candidate.
     Passed,
+    /// A packet of an established flow was sent to the agent of that flow.
     Forwarded,
+    /// The queue of the QUIC stack was full.
     Overflow,
     Reset,
     BadHeader,
@@ -44,132 +47,143 @@
     UnknownService,
     WrongService,
     NotQuic,
+    /// The cache of admission decisions was full.
     Crowded,
+    /// The socket could not send.
     Unsent,
 }
 
-impl Fate {
+impl DatagramOutcome {
     fn as_str(self) -> &'static str {
         match self {
-            Fate::Delivered => "delivered",
-            Fate::Passed => "passed",
-            Fate::Forwarded => "forwarded",
-            Fate::Overflow => "overflow",
-            Fate::Reset => "reset",
-            Fate::BadHeader => "bad-header",
-            Fate::NoKeys => "no-keys",
-            Fate::UnknownService => "unknown-service",
-            Fate::WrongService => "wrong-service",
-            Fate::NotQuic => "not-quic",
-            Fate::Crowded => "crowded",
-            Fate::Unsent => "unsent",
+            DatagramOutcome::Delivered => "delivered",
+            DatagramOutcome::Passed => "passed",
+            DatagramOutcome::Forwarded => "forwarded",
+            DatagramOutcome::Overflow => "overflow",
+            DatagramOutcome::Reset => "reset",
+            DatagramOutcome::BadHeader => "bad-header",
+            DatagramOutcome::NoKeys => "no-keys",
+            DatagramOutcome::UnknownService => "unknown-service",
+            DatagramOutcome::WrongService => "wrong-service",
+            DatagramOutcome::NotQuic => "not-quic",
+            DatagramOutcome::Crowded => "crowded",
+            DatagramOutcome::Unsent => "unsent",
         }
     }
 }
 
-/// Takes in encapsulated datagrams until the task is stopped.
+/// Receives encapsulated datagrams until the task is stopped.
 pub(crate) async fn run(node: Arc<Node>) {
-    let size = DATAGRAM * node.data.segments();
-    let mut memory = vec![0; size * BUFFERS];
-    let mut metas = [RecvMeta::default(); BUFFERS];
-    let mut scratch = Vec::with_capacity(2 * DATAGRAM);
+    let size = MAX_DATAGRAM_BYTES * node.data_socket.max_segments();
+    let mut memory = vec![0; size * BUFFER_COUNT];
+    let mut metas = [RecvMeta::default(); BUFFER_COUNT];
+    let mut scratch = Vec::with_capacity(2 * MAX_DATAGRAM_BYTES);
     loop {
         let count = {
             let mut buffers: Vec<IoSliceMut<'_>> =
                 memory.chunks_mut(size).map(IoSliceMut::new).collect();
-            match node.data.recv(&mut buffers, &mut metas).await {
+            match node.data_socket.recv(&mut buffers, &mut metas).await {
                 Ok(it) => it,
-                // Such an error belongs to a datagram sent before, not to the socket.
+                // The error concerns a datagram that was sent earlier; the socket is still usable.
                 Err(e) => {
-                    tracing::debug!("receive on {}: {e}", node.data.local());
+                    tracing::debug!("receive on {}: {e}", node.data_socket.local_addr());
                     continue;
                 }
             }
         };
         for (buffer, meta) in memory.chunks(size).zip(&metas).take(count) {
             for datagram in buffer[..meta.len].chunks(meta.stride.max(1)) {
-                let fate = take(&node, datagram, &mut scratch);
-                meter::count(&meter::DATAGRAMS, fate.as_str());
+                let outcome = handle(&node, datagram, &mut scratch);
+                metrics::count(&metrics::DATAGRAMS, outcome.as_str());
             }
         }
     }
 }
 
-fn take(node: &Arc<Node>, datagram: &[u8], scratch: &mut Vec<u8>) -> Fate {
-    let ring = node.ring.load();
+fn handle(node: &Arc<Node>, datagram: &[u8], scratch: &mut Vec<u8>) -> DatagramOutcome {
+    let ring = node.key_ring.load();
     let Some(ring) = ring.as_ref() else {
-        return Fate::NoKeys;
+        return DatagramOutcome::NoKeys;
     };
     let Ok((header, payload)) = encap::decode(ring, datagram) else {
-        return Fate::BadHeader;
+        return DatagramOutcome::BadHeader;
     };
-    let Some(cid) = destination(payload) else {
-        return Fate::NotQuic;
+    let Some(cid) = destination_cid(payload) else {
+        return DatagramOutcome::NotQuic;
     };
     let home = ring.open(cid);
-    let same = home.is_none_or(|it| it.service == header.service);
-    if !invariant::check(Invariant::SameService, same) {
-        return Fate::WrongService;
+    let same_service = home.is_none_or(|it| it.service == header.service);
+    if !invariant::check(Invariant::SameService, same_service) {
+        return DatagramOutcome::WrongService;
     }
     if header.candidates.as_slice().is_empty() {
-        return established(node, ring, &header, payload, (cid, home), scratch);
+        return handle_established(node, ring, &header, payload, (cid, home), scratch);
     }
-    let Some(service) = node.service(header.service) else {
-        return Fate::UnknownService;
+    let Some(service) = node.get_or_open_service(header.service) else {
+        return DatagramOutcome::UnknownService;
     };
-    let next = next_candidate(&header, node.home);
-    match service.place(node, (header.caller, cid.to_vec()), next.map(|(_, to)| to)) {
-        Course::Deliver => deliver(&service, &header, payload),
-        Course::Pass(to) => {
+    let next = next_candidate(&header, node.data_address);
+    match service.decide(node, (header.caller, cid.to_vec()), next.map(|(_, to)| to)) {
+        FirstPacketAction::Deliver => deliver(&service, &header, payload),
+        FirstPacketAction::Forward(to) => {
             let hop = next.map_or(header.hop, |(hop, _)| hop);
-            send(node, ring, &Header { hop, ..header }, payload, to, scratch, Fate::Passed)
+            send(
+                node,
+                ring,
+                &Header { hop, ..header },
+                payload,
+                to,
+                scratch,
+                DatagramOutcome::Passed,
+            )
         }
-        Course::Drop => Fate::Crowded,
+        FirstPacketAction::Drop => DatagramOutcome::Crowded,
     }
 }
 
-/// A packet of a flow that lives somewhere: here, or at another agent that a balancer took for dead.
-fn established(
+/// Handles a packet of an established flow, of this agent or of one that a balancer treats as down.
+fn handle_established(
     node: &Arc<Node>,
     ring: &KeyRing,
     header: &Header,
     payload: &[u8],
     (cid, home): (&[u8], Option<Home>),
     scratch: &mut Vec<u8>,
-) -> Fate {
-    let elsewhere = home.map(|it| it.agent).filter(|it| *it != node.home);
-    if let Some(to) = elsewhere {
+) -> DatagramOutcome {
+    let other_agent = home.map(|it| it.agent).filter(|it| *it != node.data_address);
+    if let Some(to) = other_agent {
         let snapshot = node.snapshot();
-        let lives = snapshot.agents.values().any(|it| it.data == to.into() && it.state.answers());
-        if lives || node.absent.may_wake(to) {
+        let is_alive =
+            snapshot.agents.values().any(|it| it.data == to.into() && it.state.answers());
+        if is_alive || node.down_agents.may_resume(to) {
             let header = Header { hop: 0, candidates: Candidates::NONE, ..*header };
-            return send(node, ring, &header, payload, to, scratch, Fate::Forwarded);
+            return send(node, ring, &header, payload, to, scratch, DatagramOutcome::Forwarded);
         }
     }
-    let Some(service) = node.service(header.service) else {
-        return Fate::UnknownService;
+    let Some(service) = node.get_or_open_service(header.service) else {
+        return DatagramOutcome::UnknownService;
     };
-    if elsewhere.is_some() && reset::is_handshake(payload) {
-        return tell_gone(&service, ring, header.caller, cid, payload);
+    if other_agent.is_some() && reset::is_handshake(payload) {
+        return send_reset(&service, ring, header.caller, cid, payload);
     }
-    // The QUIC stack answers a packet of a flow that it does not know with a stateless reset.
+    // The QUIC stack answers packets of unknown flows with a stateless reset.
     deliver(&service, header, payload)
 }
 
-/// Resets a flow of a dead agent whose caller still waits for the end of the handshake.
-fn tell_gone(
+/// Resets a flow of a down agent whose handshake was not confirmed.
+fn send_reset(
     service: &Service,
     ring: &KeyRing,
     caller: SocketAddr,
     cid: &[u8],
     payload: &[u8],
-) -> Fate {
+) -> DatagramOutcome {
     let Some(packet) = reset::stateless_reset(ring, cid, payload) else {
-        return Fate::NotQuic;
+        return DatagramOutcome::NotQuic;
     };
     match service.socket.try_send(&transmit(caller, &packet)) {
-        Ok(()) => Fate::Reset,
-        Err(_) => Fate::Unsent,
+        Ok(()) => DatagramOutcome::Reset,
+        Err(_) => DatagramOutcome::Unsent,
     }
 }
 
@@ -177,11 +191,11 @@
     Transmit { destination, ecn: None, contents, segment_size: None, src_ip: None }
 }
 
-fn deliver(service: &Service, header: &Header, payload: &[u8]) -> Fate {
+fn deliver(service: &Service, header: &Header, payload: &[u8]) -> DatagramOutcome {
     if service.socket.deliver(header.caller, Bytes::copy_from_slice(payload)) {
-        Fate::Delivered
+        DatagramOutcome::Delivered
     } else {
-        Fate::Overflow
+        DatagramOutcome::Overflow
     }
 }
 
@@ -192,16 +206,17 @@
     payload: &[u8],
     to: SocketAddrV4,
     scratch: &mut Vec<u8>,
-    sent: Fate,
-) -> Fate {
+    on_success: DatagramOutcome,
+) -> DatagramOutcome {
     scratch.clear();
     encap::encode(header, ring, payload, scratch);
-    match node.data.try_send(&transmit(to.into(), scratch)) {
-        Ok(()) => sent,
-        Err(_) => Fate::Unsent,
+    match node.data_socket.try_send(&transmit(to.into(), scratch)) {
+        Ok(()) => on_success,
+        Err(_) => DatagramOutcome::Unsent,
     }
 }
 
+/// The next candidate after the current hop, with its index.
 fn next_candidate(header: &Header, own: SocketAddrV4) -> Option<(u8, SocketAddrV4)> {
     let rest = header.candidates.as_slice().iter().enumerate().skip(usize::from(header.hop) + 1);
     let (hop, to) = rest.into_iter().find(|(_, it)| **it != own)?;
@@ -209,10 +224,10 @@
 }
 
 /// Destination connection ID of the first packet in a QUIC datagram.
-fn destination(payload: &[u8]) -> Option<&[u8]> {
-    if payload.first()? & LONG_HEADER == 0 {
-        return payload.get(SHORT_CID_AT..SHORT_CID_AT + CID_LEN);
+fn destination_cid(payload: &[u8]) -> Option<&[u8]> {
+    if payload.first()? & LONG_HEADER_FLAG == 0 {
+        return payload.get(SHORT_CID_OFFSET..SHORT_CID_OFFSET + CID_LEN);
     }
-    let len = usize::from(*payload.get(LONG_CID_LEN_AT)?);
-    payload.get(LONG_CID_LEN_AT + 1..LONG_CID_LEN_AT + 1 + len)
+    let len = usize::from(*payload.get(LONG_CID_LEN_OFFSET)?);
+    payload.get(LONG_CID_LEN_OFFSET + 1..LONG_CID_LEN_OFFSET + 1 + len)
 }
--- a/crates/daemon/src/agent/flow.rs
+++ b/crates/daemon/src/agent/flow.rs
@@ -1,4 +1,4 @@
-//! Flows: accepting QUIC connections, reading requests from them, and leaving them gracefully.
+//! Flows: accepts QUIC connections, reads requests from them and closes them gracefully.
 
 use std::{
     sync::{
@@ -18,119 +18,119 @@
 use tokio_util::task::TaskTracker;
 
 use super::{
-    meter,
-    node::{FlowCount, Node},
-    quic::{Connection, Ends},
+    metrics,
+    node::{FlowGuard, Node},
+    quic::{Connection, EndWatchers},
     request,
     service::{self, Service},
 };
 
-/// A handshake that is not done by then is given up. A caller whose first round trip met a paused agent or balancer repeats
-/// its last message only after seconds, and later each time; by then it holds the flow for open.
+/// Long enough for a caller's retransmissions, which back off to several seconds after a pause on the path.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Largest head of a request, in bytes.
-const MAX_HEAD: u64 = 64 << 10;
-/// Requests still taken between the first GOAWAY and the last; those on their way must not be cut.
-const GRACE_REQUESTS: usize = 1 << 20;
-const GRACE: Duration = Duration::from_secs(1);
-/// How long a flow without requests stays open after the last GOAWAY, for the caller to close it.
+const MAX_HEADER_BYTES: u64 = 64 << 10;
+/// Requests still accepted between the first GOAWAY and the last, since some may be in flight.
+const DRAIN_GRACE_REQUESTS: usize = 1 << 20;
+/// Time between the first GOAWAY and the last.
+const DRAIN_GRACE: Duration = Duration::from_secs(1);
+/// Time that a flow without requests stays open after the last GOAWAY, so that the caller can close it.
 const LINGER: Duration = Duration::from_secs(4);
-/// A caller that acknowledges nothing for so long, with answers on their way, has gone.
-const GONE: Duration = Duration::from_secs(10);
+/// A caller that sends no packet for this long while responses are unacknowledged is treated as gone.
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Takes new flows of a service until its endpoint closes.
+/// Accepts new flows of a service until its endpoint closes.
 pub(crate) async fn accept(node: Arc<Node>, service: Arc<Service>, endpoint: Endpoint) {
     while let Some(incoming) = endpoint.accept().await {
         let first = (incoming.remote_address(), incoming.orig_dst_cid().to_vec());
-        if let Some(count) = service.take_accepted(&first) {
-            admit(&node, &service, incoming, count);
-        } else if service.was_refused(&first) {
+        if let Some(guard) = service.take_accepted(&first) {
+            accept_flow(&node, &service, incoming, guard);
+        } else if service.was_rejected(&first) {
             refuse(&service, incoming);
         } else if incoming.remote_address_validated() {
-            match service.admit_proven(&node) {
-                Some(count) => admit(&node, &service, incoming, count),
+            match service.admit_validated(&node) {
+                Some(guard) => accept_flow(&node, &service, incoming, guard),
                 None => refuse(&service, incoming),
             }
         } else if service.was_accepted(&first) {
-            // It was asked to prove its address, and the question was lost.
+            // The Retry packet sent to this caller was lost.
             retry(incoming);
         } else {
-            // No balancer named candidates for it: a packet of a handshake that is over.
+            // Without an admission decision this is a late packet of a finished handshake.
             incoming.ignore();
         }
     }
 }
 
 fn retry(incoming: Incoming) {
-    meter::count(&meter::FLOWS, "retry");
-    // An error says that the address is proven already.
+    metrics::count(&metrics::FLOWS, "retry");
+    // Fails only if the address is validated already.
     let _ = incoming.retry();
 }
 
 fn refuse(service: &Service, incoming: Incoming) {
-    service::refused(service, incoming.remote_address());
+    service::report_rejected(service, incoming.remote_address());
     incoming.refuse();
 }
 
-fn admit(node: &Arc<Node>, service: &Arc<Service>, incoming: Incoming, count: FlowCount) {
-    let pending = service.pending.load(Ordering::Relaxed);
-    if pending >= node.settings.unproven && !incoming.remote_address_validated() {
+fn accept_flow(node: &Arc<Node>, service: &Arc<Service>, incoming: Incoming, guard: FlowGuard) {
+    let pending = service.pending_handshakes.load(Ordering::Relaxed);
+    if pending >= node.settings.max_unvalidated_handshakes && !incoming.remote_address_validated() {
         retry(incoming);
         return;
     }
     match incoming.accept() {
         Ok(connecting) => {
-            let pending = Pending::new(&service.pending);
-            let flow = serve(Arc::clone(node), Arc::clone(service), connecting, pending, count);
+            let pending = PendingHandshake::new(&service.pending_handshakes);
+            let flow = run_flow(Arc::clone(node), Arc::clone(service), connecting, pending, guard);
             node.tasks.spawn(flow);
         }
         Err(e) => {
-            meter::count(&meter::FLOWS, "failed");
-            tracing::debug!("accept a flow of {}: {e}", service.name);
+            metrics::count(&metrics::FLOWS, "failed");
+            tracing::debug!("accept flow of service {}: {e}", service.name);
         }
     }
 }
 
-/// Counts a flow whose handshake is not done.
-struct Pending(Arc<AtomicU32>);
+/// Counts a pending handshake until it is dropped.
+struct PendingHandshake(Arc<AtomicU32>);
 
-impl Pending {
-    fn new(count: &Arc<AtomicU32>) -> Pending {
-        count.fetch_add(1, Ordering::Relaxed);
-        Pending(Arc::clone(count))
+impl PendingHandshake {
+    fn new(counter: &Arc<AtomicU32>) -> PendingHandshake {
+        counter.fetch_add(1, Ordering::Relaxed);
+        PendingHandshake(Arc::clone(counter))
     }
 }
 
-impl Drop for Pending {
+impl Drop for PendingHandshake {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-async fn serve(
+async fn run_flow(
     node: Arc<Node>,
     service: Arc<Service>,
     connecting: Connecting,
-    pending: Pending,
-    count: FlowCount,
+    pending: PendingHandshake,
+    guard: FlowGuard,
 ) {
-    let _count = count;
+    let _guard = guard;
     let Ok(Ok(conn)) = time::timeout(HANDSHAKE_TIMEOUT, connecting).await else {
-        meter::count(&meter::FLOWS, "failed");
+        metrics::count(&metrics::FLOWS, "failed");
         return;
     };
     drop(pending);
-    meter::count(&meter::FLOWS, "accepted");
-    let ends = Ends::default();
+    metrics::count(&metrics::FLOWS, "accepted");
+    let ends = EndWatchers::default();
     let quic = Connection::new(conn.clone(), ends.clone());
-    let built = server::builder().max_field_section_size(MAX_HEAD).build::<_, Bytes>(quic).await;
+    let built =
+        server::builder().max_field_section_size(MAX_HEADER_BYTES).build::<_, Bytes>(quic).await;
     let Ok(h3) = built else {
-        meter::count(&meter::FLOWS, "failed");
+        metrics::count(&metrics::FLOWS, "failed");
         return;
     };
-    let leaving = service.leaving();
+    let draining = service.draining();
     let flow = Flow { node, service, conn, h3, ends, requests: TaskTracker::new(), accepted: 0 };
-    flow.run(leaving).await;
+    flow.run(draining).await;
 }
 
 type H3 = server::Connection<Connection, Bytes>;
@@ -140,26 +140,26 @@
     service: Arc<Service>,
     conn: quinn::Connection,
     h3: H3,
-    ends: Ends,
+    ends: EndWatchers,
     requests: TaskTracker,
     accepted: u64,
 }
 
-/// How far a flow is on its way out.
+/// Progress of a flow's graceful close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Takes requests.
+    /// Accepts requests.
     Open,
-    /// The caller was told to leave; requests on their way are still taken.
-    Leaving { until: Instant },
-    /// Requests from this number on are rejected.
+    /// The first GOAWAY was sent; requests in flight are still accepted.
+    Draining { until: Instant },
+    /// The last GOAWAY was sent; requests from this index on are rejected.
     Closing { limit: u64 },
-    /// No request is left; the caller may close.
-    Idle { until: Instant },
+    /// No request is left; waits for the caller to close the flow.
+    Lingering { until: Instant },
 }
 
 impl Flow {
-    async fn run(mut self, mut leaving: watch::Receiver<bool>) {
+    async fn run(mut self, mut draining: watch::Receiver<bool>) {
         let mut phase = Phase::Open;
         let mut limit = u64::MAX;
         loop {
@@ -168,79 +168,79 @@
             tokio::select! {
                 accepted = self.h3.accept() => match accepted {
                     Ok(Some(resolver)) => {
-                        let turn = self.accepted;
+                        let index = self.accepted;
                         self.accepted += 1;
-                        self.spawn(resolver, turn < limit);
-                        if let Phase::Idle { until } = &mut phase {
-                            // The caller has not heard of GOAWAY yet, and must get its rejection.
+                        self.spawn(resolver, index < limit);
+                        if let Phase::Lingering { until } = &mut phase {
+                            // The caller has not received GOAWAY yet; leave time for the rejection to arrive.
                             *until = Instant::now() + LINGER;
                         }
                     }
                     Ok(None) => break,
                     Err(e) => {
-                        tracing::debug!("flow of {} ended: {e}", self.service.name);
+                        tracing::debug!("flow of service {} ended: {e}", self.service.name);
                         return;
                     }
                 },
-                () = told(&mut leaving), if phase == Phase::Open => {
-                    if self.h3.shutdown(GRACE_REQUESTS).await.is_err() {
+                () = drain_requested(&mut draining), if phase == Phase::Open => {
+                    if self.h3.shutdown(DRAIN_GRACE_REQUESTS).await.is_err() {
                         return;
                     }
                     if self.accepted == 0 {
-                        // Without a request so far, the first GOAWAY rejects all.
+                        // With no request so far, the library's first GOAWAY rejects all requests.
                         limit = 0;
                     }
-                    phase = Phase::Leaving { until: Instant::now() + GRACE };
+                    phase = Phase::Draining { until: Instant::now() + DRAIN_GRACE };
                 },
-                () = sleep(phase), if matches!(phase, Phase::Leaving { .. }) => {
+                () = sleep(phase), if matches!(phase, Phase::Draining { .. }) => {
                     if self.h3.shutdown(1).await.is_err() {
                         return;
                     }
-                    // The library names the next request in GOAWAY but would still take it.
+                    // The library announces the next request ID in GOAWAY but still accepts that request.
                     limit = limit.min(self.accepted);
                     phase = Phase::Closing { limit };
                     self.requests.close();
                 },
                 () = requests.wait(), if matches!(phase, Phase::Closing { .. }) => {
-                    phase = Phase::Idle { until: Instant::now() + LINGER };
+                    phase = Phase::Lingering { until: Instant::now() + LINGER };
                 },
-                () = gone(&conn, &ends, &requests), if matches!(phase, Phase::Closing { .. }) => {
-                    meter::count(&meter::FLOWS, "gone");
+                () = caller_unresponsive(&conn, &ends, &requests), if matches!(phase, Phase::Closing { .. }) => {
+                    metrics::count(&metrics::FLOWS, "gone");
                     return;
                 },
-                () = sleep(phase), if matches!(phase, Phase::Idle { .. }) => break,
+                () = sleep(phase), if matches!(phase, Phase::Lingering { .. }) => break,
             }
         }
-        // Dropping the connection closes it; answers on their way must arrive first.
+        // Dropping the connection closes it; responses must be delivered first.
         self.requests.close();
         self.requests.wait().await;
-        meter::count(&meter::FLOWS, "left");
+        metrics::count(&metrics::FLOWS, "left");
     }
 
-    fn spawn(&self, resolver: server::RequestResolver<Connection, Bytes>, taken: bool) {
+    fn spawn(&self, resolver: server::RequestResolver<Connection, Bytes>, accepted: bool) {
         let node = Arc::clone(&self.node);
         let service = Arc::clone(&self.service);
         let ends = self.ends.clone();
-        let request = request::serve(node, service, resolver, ends, taken);
+        let request = request::serve(node, service, resolver, ends, accepted);
         self.requests.spawn(self.node.tasks.track_future(request));
     }
 }
 
-/// Completes when the flow must leave.
-async fn told(leaving: &mut watch::Receiver<bool>) {
-    // The sender lives as long as the service, which the flow holds.
-    let _ = leaving.wait_for(|it| *it).await;
+/// Completes when the service's flows must be drained.
+async fn drain_requested(draining: &mut watch::Receiver<bool>) {
+    // The flow holds the service and with it the sender.
+    let _ = draining.wait_for(|it| *it).await;
 }
 
-/// Completes when nothing is left but answers that the caller does not acknowledge.
-async fn gone(conn: &quinn::Connection, ends: &Ends, requests: &TaskTracker) {
-    let mut heard = conn.stats().udp_rx.datagrams;
+/// Completes when all that is left are responses that the caller does not acknowledge.
+async fn caller_unresponsive(conn: &quinn::Connection, ends: &EndWatchers, requests: &TaskTracker) {
+    let mut last_datagrams = conn.stats().udp_rx.datagrams;
     let mut since = Instant::now();
-    while since.elapsed() < GONE {
-        time::sleep(GONE / 10).await;
-        let now = conn.stats().udp_rx.datagrams;
-        if now != heard || requests.len() > ends.unacknowledged() {
-            heard = now;
+    while since.elapsed() < UNRESPONSIVE_TIMEOUT {
+        time::sleep(UNRESPONSIVE_TIMEOUT / 10).await;
+        let datagrams = conn.stats().udp_rx.datagrams;
+        if datagrams != last_datagrams || requests.len() > ends.unacknowledged() {
+            last_datagrams = datagrams;
             since = Instant::now();
         }
     }
@@ -248,7 +248,7 @@
 
 async fn sleep(phase: Phase) {
     match phase {
-        Phase::Leaving { until } | Phase::Idle { until } => time::sleep_until(until).await,
+        Phase::Draining { until } | Phase::Lingering { until } => time::sleep_until(until).await,
         Phase::Open | Phase::Closing { .. } => {}
     }
 }
--- a/crates/daemon/src/agent/handover.rs
+++ b/crates/daemon/src/agent/handover.rs
@@ -1,4 +1,4 @@
-//! Handing requests over between agents.
+//! Handover of requests between agents.
 
 use std::{pin::pin, sync::Arc, time::Duration};
 
@@ -15,14 +15,14 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{
-    body::{Body, GivenUp, Inlet, Outlet, Way},
+    body::{BodySource, Disconnected, RequestBody, ResponseTarget, ResponseWriter},
     claim,
-    link::{self, Link, LinkInlet, LinkOutlet, Sink},
-    meter,
+    link::{self, Link, LinkReceiver, LinkSender, MessageSink},
+    metrics,
     node::Node,
-    notice,
-    quic::Ended,
-    request::{self, Ask, Course},
+    quic::EndWatcher,
+    request::{self, RequestContext, RequestHead},
+    throttled,
 };
 use crate::{
     clock,
@@ -30,239 +30,256 @@
     event::{About, Id},
 };
 
-/// Longest wait for a peer's word on an offer.
+/// Timeout for a peer's reply to an offer.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for which a peer that can't be reached is left alone.
-const UNREACHED_MS: u64 = 1_000;
+/// Time for which an unreachable peer receives no offers.
+const UNREACHABLE_BACKOFF_MS: u64 = 1_000;
 
-/// Offers the request to a peer, and passes on what it answers. None if an answer was passed on, whole or broken off.
+/// Offers the request to a peer and relays its response. None if a response was relayed, complete or not.
 pub(crate) async fn offer(
-    course: &mut Course,
+    context: &mut RequestContext,
     to: &str,
-    body: &mut Body,
-    outlet: &mut Outlet,
-    ended: &mut Ended,
+    body: &mut RequestBody,
+    writer: &mut ResponseWriter,
+    end_watcher: &mut EndWatcher,
 ) -> Option<Report> {
     if !body.rewind() {
         return Some(Report::Consumed { retry_ms: 0 });
     }
-    let node = Arc::clone(&course.node);
-    let taken = tokio::select! {
-        taken = time::timeout(OFFER_TIMEOUT, ask(course, to, body)) => taken,
-        _ = ended.wait() => return Some(Report::Cancelled),
+    let node = Arc::clone(&context.node);
+    let reply = tokio::select! {
+        reply = time::timeout(OFFER_TIMEOUT, send_offer(context, to, body)) => reply,
+        _ = end_watcher.wait() => return Some(Report::Cancelled),
     };
     let now = clock::now_ms();
-    let (mut link, load) = match taken {
-        Ok(Ok(Reply::Taken(link, load))) => (link, load),
-        Ok(Ok(Reply::Refused(link, retry_ms))) => {
-            // What it tells the caller is longer than a full peer stays full.
+    let (mut link, load) = match reply {
+        Ok(Ok(OfferReply::Accepted(link, load))) => (link, load),
+        Ok(Ok(OfferReply::Rejected(link, retry_ms))) => {
+            // `retry_ms` is meant for callers: a full peer usually has a free slot earlier.
             node.hints.lock().refused(to, 0, now);
-            node.links.keep(link);
-            meter::count(&meter::ATTEMPTS, "peer-refused");
+            node.links.put_idle(link);
+            metrics::count(&metrics::ATTEMPTS, "peer-refused");
             return Some(Report::Refused { retry_ms });
         }
         Ok(Err(e)) => {
-            tracing::debug!("offer request {} to {to}: {e:#}", course.ask.id_text());
-            node.hints.lock().refused(to, UNREACHED_MS, now);
-            meter::count(&meter::ATTEMPTS, "peer-unreached");
+            tracing::debug!("offer request {} to {to}: {e:#}", context.head.id_text());
+            node.hints.lock().refused(to, UNREACHABLE_BACKOFF_MS, now);
+            metrics::count(&metrics::ATTEMPTS, "peer-unreached");
             return Some(Report::Refused { retry_ms: 0 });
         }
         Err(_) => {
-            node.hints.lock().refused(to, UNREACHED_MS, now);
-            meter::count(&meter::ATTEMPTS, "peer-late");
+            node.hints.lock().refused(to, UNREACHABLE_BACKOFF_MS, now);
+            metrics::count(&metrics::ATTEMPTS, "peer-late");
             return Some(Report::Refused { retry_ms: 0 });
         }
     };
     node.hints.lock().took(to, load, now);
-    // Until here the peer has not begun; from the first byte of the next message on it may have.
-    if outlet.ready(body, load).await.is_err() {
+    // The peer has not started the request so far; it may once any byte of `Go` is sent.
+    if writer.wait_for_start(body, load).await.is_err() {
         return Some(Report::Cancelled);
     }
     if link.sink.send(Kind::Go(Go {})).await.is_err() {
         return Some(Report::Lost);
     }
-    let about = About::new().with_service(&course.service.name);
-    notice::emit(Id::RequestHanded, about.with_request(&course.ask.id_text()), to);
-    let exchange = exchange(course, &mut link, body, outlet, ended).await;
+    let about = About::new().with_service(&context.service.name);
+    throttled::emit(Id::RequestHanded, about.with_request(&context.head.id_text()), to);
+    let exchange = exchange(context, &mut link, body, writer, end_watcher).await;
     match exchange {
-        Exchange::Next(report) => {
-            meter::count(&meter::ATTEMPTS, "peer-ended");
+        Exchange::NoResponse(report) => {
+            metrics::count(&metrics::ATTEMPTS, "peer-ended");
             Some(report)
         }
-        Exchange::Whole { clean } => {
-            if clean {
-                node.links.keep(link);
+        Exchange::Complete { reusable } => {
+            if reusable {
+                node.links.put_idle(link);
             }
-            meter::count(&meter::REQUESTS, "handed");
+            metrics::count(&metrics::REQUESTS, "handed");
             None
         }
-        Exchange::Broken(outcome) => {
-            meter::count(&meter::REQUESTS, outcome);
+        Exchange::Aborted(outcome) => {
+            metrics::count(&metrics::REQUESTS, outcome);
             None
         }
     }
 }
 
-enum Reply {
-    Taken(Link, f64),
-    Refused(Link, u64),
+/// Reply to an offer: the peer's load, or the time until a retry in milliseconds.
+enum OfferReply {
+    Accepted(Link, f64),
+    Rejected(Link, u64),
 }
 
-/// Sends the offer and waits for the peer's word. A kept link may have been closed by the peer: then a new one is used.
-async fn ask(course: &Course, to: &str, body: &Body) -> anyhow::Result<Reply> {
-    let links = &course.node.links;
-    if let Some(link) = links.kept(to) {
-        if let Ok(reply) = ask_over(course, link, body).await {
+/// Sends an offer and waits for the reply. Uses a new link if there is no idle one or it fails.
+async fn send_offer(
+    context: &RequestContext,
+    to: &str,
+    body: &RequestBody,
+) -> anyhow::Result<OfferReply> {
+    let links = &context.node.links;
+    if let Some(link) = links.take_idle(to) {
+        if let Ok(reply) = send_offer_over(context, link, body).await {
             return Ok(reply);
         }
     }
-    let snapshot = course.node.snapshot();
+    let snapshot = context.node.snapshot();
     let Some(agent) = snapshot.agents.get(to) else {
-        anyhow::bail!("it has gone");
+        anyhow::bail!("agent {to} is not a member");
     };
     let link = links.open(to, agent.control).await?;
-    ask_over(course, link, body).await
+    send_offer_over(context, link, body).await
 }
 
-async fn ask_over(course: &Course, mut link: Link, body: &Body) -> anyhow::Result<Reply> {
-    let ask = &course.ask;
+async fn send_offer_over(
+    context: &RequestContext,
+    mut link: Link,
+    body: &RequestBody,
+) -> anyhow::Result<OfferReply> {
+    let head = &context.head;
     let offer = Offer {
-        service: course.service.id.0,
-        request: ask.id.to_be_bytes().to_vec(),
-        hop: u32::from(ask.hop) + 1,
-        left_ms: ask.deadline.map_or(0, |it| it.saturating_sub(clock::now_ms()).max(1)),
-        method: ask.method.as_str().to_owned(),
-        path: ask.path.clone(),
-        fields: link::fields(&ask.headers),
+        service: context.service.id.0,
+        request: head.id.to_be_bytes().to_vec(),
+        hop: u32::from(head.hop) + 1,
+        left_ms: head.deadline.map_or(0, |it| it.saturating_sub(clock::now_ms()).max(1)),
+        method: head.method.as_str().to_owned(),
+        path: head.path.clone(),
+        fields: link::fields(&head.headers),
         body: body.is_expected(),
     };
     link.sink.send(Kind::Offer(offer)).await?;
     match link.recv().await? {
-        Kind::Taken(it) => Ok(Reply::Taken(link, it.load)),
-        Kind::Refused(it) => Ok(Reply::Refused(link, it.retry_ms)),
-        _ => anyhow::bail!("{} answered an offer with something else", link.peer),
+        Kind::Taken(it) => Ok(OfferReply::Accepted(link, it.load)),
+        Kind::Refused(it) => Ok(OfferReply::Rejected(link, it.retry_ms)),
+        _ => anyhow::bail!("{} sent an unexpected reply to an offer", link.peer),
     }
 }
 
 enum Exchange {
-    /// No answer to pass on.
-    Next(Report),
-    /// The answer was passed on whole; whether the link is at rest.
-    Whole { clean: bool },
-    /// The answer broke off.
-    Broken(&'static str),
+    /// There was no response to relay.
+    NoResponse(Report),
+    /// The response was relayed completely; `reusable` if the link is idle again.
+    Complete { reusable: bool },
+    /// The response was aborted; holds the outcome for the request metric.
+    Aborted(&'static str),
 }
 
 async fn exchange(
-    course: &mut Course,
+    context: &mut RequestContext,
     link: &mut Link,
-    body: &mut Body,
-    outlet: &mut Outlet,
-    ended: &mut Ended,
+    body: &mut RequestBody,
+    writer: &mut ResponseWriter,
+    end_watcher: &mut EndWatcher,
 ) -> Exchange {
     let Link { sink, stream, .. } = link;
-    let wanted = CancellationToken::new();
-    let mut pump = pin!(pump(body, sink, &wanted));
-    let mut overdue = pin!(request::overdue(course.ask.deadline));
-    let mut pumped = false;
+    let continued = CancellationToken::new();
+    let mut body_copy = pin!(copy_body(body, sink, &continued));
+    let mut timed_out = pin!(request::past_deadline(context.head.deadline));
+    let mut body_done = false;
     let head = loop {
         tokio::select! {
             kind = link::recv(stream) => match kind {
                 Ok(Kind::Resume(_)) => {
-                    wanted.cancel();
-                    outlet.resume().await;
+                    continued.cancel();
+                    writer.send_continue().await;
                 }
                 other => break other,
             },
-            result = &mut pump, if !pumped => {
-                pumped = true;
-                if result == Err(Pumped::Caller) {
-                    return Exchange::Next(Report::Cancelled);
+            result = &mut body_copy, if !body_done => {
+                body_done = true;
+                if result == Err(BodyError::Caller) {
+                    return Exchange::NoResponse(Report::Cancelled);
                 }
             }
-            _ = ended.wait() => return Exchange::Next(Report::Cancelled),
-            () = &mut overdue => return Exchange::Next(Report::Lost),
+            _ = end_watcher.wait() => return Exchange::NoResponse(Report::Cancelled),
+            () = &mut timed_out => return Exchange::NoResponse(Report::Lost),
         }
     };
     let head = match head {
         Ok(Kind::Head(it)) => it,
         Ok(Kind::Refused(Refused { retry_ms })) => {
-            return Exchange::Next(Report::Refused { retry_ms });
+            return Exchange::NoResponse(Report::Refused { retry_ms });
         }
-        Ok(_) | Err(_) => return Exchange::Next(Report::Lost),
+        Ok(_) | Err(_) => return Exchange::NoResponse(Report::Lost),
     };
-    let Some(status) = status(head.status) else {
-        return Exchange::Next(Report::Lost);
+    let Some(status) = parse_status(head.status) else {
+        return Exchange::NoResponse(Report::Lost);
     };
-    if !course.head() {
-        return Exchange::Broken("cut");
+    if !context.on_response_head() {
+        return Exchange::Aborted("cut");
     }
     let mut headers = link::headers(&head.fields);
-    request::strip(&mut headers);
-    course.answer_headers(&mut headers, Some(&head.upstream));
-    if outlet.head(status, &headers, &head.upstream).await.is_err() {
-        return Exchange::Broken("cancelled");
+    request::strip_headers(&mut headers);
+    context.add_response_headers(&mut headers, Some(&head.upstream));
+    if writer.send_head(status, &headers, &head.upstream).await.is_err() {
+        return Exchange::Aborted("cancelled");
     }
-    let mut relay = pin!(relay(stream, outlet));
+    let mut relay = pin!(relay_response(stream, writer));
     let relayed = loop {
         tokio::select! {
             relayed = &mut relay => break relayed,
-            result = &mut pump, if !pumped => {
-                pumped = true;
-                if result == Err(Pumped::Caller) {
-                    return Exchange::Broken("cancelled");
+            result = &mut body_copy, if !body_done => {
+                body_done = true;
+                if result == Err(BodyError::Caller) {
+                    return Exchange::Aborted("cancelled");
                 }
             }
         }
     };
     match relayed {
-        Ok(()) => Exchange::Whole { clean: pumped },
-        Err(outcome) => Exchange::Broken(outcome),
+        Ok(()) => Exchange::Complete { reusable: body_done },
+        Err(outcome) => Exchange::Aborted(outcome),
     }
 }
 
-async fn relay(stream: &mut SplitStream<Stream>, outlet: &mut Outlet) -> Result<(), &'static str> {
+async fn relay_response(
+    stream: &mut SplitStream<Stream>,
+    writer: &mut ResponseWriter,
+) -> Result<(), &'static str> {
     loop {
         let (data, last) = match link::recv(stream).await {
             Ok(Kind::Chunk(Chunk { data, last })) => (data, last),
             Ok(Kind::Resume(_)) => continue,
             Ok(_) | Err(_) => {
-                outlet.reset(Code::H3_INTERNAL_ERROR);
+                writer.reset(Code::H3_INTERNAL_ERROR);
                 return Err("cut");
             }
         };
         if !data.is_empty() {
-            outlet.data(data).await.map_err(|_| "cancelled")?;
+            writer.send_data(data).await.map_err(|_| "cancelled")?;
         }
         if last {
-            return outlet.finish().await.map_err(|_| "cancelled");
+            return writer.finish().await.map_err(|_| "cancelled");
         }
     }
 }
 
-fn status(number: u32) -> Option<StatusCode> {
+fn parse_status(number: u32) -> Option<StatusCode> {
     StatusCode::from_u16(u16::try_from(number).ok()?).ok()
 }
 
-/// Which side ended a body half-way.
+/// Side that closed its stream before the body was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Pumped {
+enum BodyError {
     Caller,
     Peer,
 }
 
-async fn pump(body: &mut Body, sink: &mut Sink, wanted: &CancellationToken) -> Result<(), Pumped> {
+/// Sends the request body to the peer.
+async fn copy_body(
+    body: &mut RequestBody,
+    sink: &mut MessageSink,
+    continued: &CancellationToken,
+) -> Result<(), BodyError> {
     if !body.is_expected() {
         return Ok(());
     }
     loop {
-        let (data, last) = match body.next_when(wanted).await {
+        let (data, last) = match body.next_after_continue(continued).await {
             Ok(Some(data)) => (data, false),
             Ok(None) => (Bytes::new(), true),
-            Err(GivenUp) => return Err(Pumped::Caller),
+            Err(Disconnected) => return Err(BodyError::Caller),
         };
-        // If the peer has gone, what it sent before says how the request ended.
-        sink.send(Kind::Chunk(Chunk { data, last })).await.map_err(|_| Pumped::Peer)?;
+        // The response decides the outcome if the peer has closed the link.
+        sink.send(Kind::Chunk(Chunk { data, last })).await.map_err(|_| BodyError::Peer)?;
         if last {
             return Ok(());
         }
@@ -270,29 +287,33 @@
 }
 
 /// Serves a link that another agent opened, until it closes.
-pub(crate) async fn serve(node: Arc<Node>, accepted: Accepted) {
+pub(crate) async fn serve_link(node: Arc<Node>, accepted: Accepted) {
     let peer = accepted.peer;
-    let (mut inlet, mut outlet, closed) = link::accept(accepted.stream);
+    let (mut receiver, mut sender, closed) = link::accept(accepted.stream);
     loop {
-        let next = match inlet.first().await {
+        let next = match receiver.next_request().await {
             Some(Kind::Offer(offer)) => {
-                // A stop waits for requests of other agents' flows too.
-                let _running = node.tasks.token();
-                let mut ended = link::ended(&closed);
-                run(&node, offer, inlet, outlet, &mut ended).await
+                // A graceful stop also waits for requests from other agents.
+                let _token = node.tasks.token();
+                let mut end_watcher = link::end_watcher(&closed);
+                run_offer(&node, offer, receiver, sender, &mut end_watcher).await
             }
-            Some(Kind::Claim(call)) => match claim::answer(&node, &call) {
+            Some(Kind::Claim(call)) => match claim::handle_call(&node, &call) {
                 Ok(reply) => {
-                    let sent = outlet.send(Kind::Reply(reply)).await;
-                    sent.is_ok().then_some((inlet, outlet))
+                    let sent = sender.send(Kind::Reply(reply)).await;
+                    sent.is_ok().then_some((receiver, sender))
                 }
                 Err(e) => {
-                    notice::emit(Id::LinkRefused, About::new(), &format!("{peer}: {e}"));
+                    throttled::emit(Id::LinkRefused, About::new(), &format!("{peer}: {e}"));
                     None
                 }
             },
             Some(_) => {
-                notice::emit(Id::LinkRefused, About::new(), &format!("{peer}: out of turn"));
+                throttled::emit(
+                    Id::LinkRefused,
+                    About::new(),
+                    &format!("{peer}: unexpected message"),
+                );
                 None
             }
             None => None,
@@ -300,45 +321,47 @@
         let Some(next) = next else {
             return;
         };
-        (inlet, outlet) = next;
+        (receiver, sender) = next;
     }
 }
 
-/// Runs an offered request. Returns the link if it is at rest.
-async fn run(
+/// Handles an offered request. Returns the link if it can be used again.
+async fn run_offer(
     node: &Arc<Node>,
     offer: Offer,
-    inlet: LinkInlet,
-    mut outlet: LinkOutlet,
-    ended: &mut Ended,
-) -> Option<(LinkInlet, LinkOutlet)> {
-    let service = node.service(ServiceId(offer.service));
-    let (Some(service), Some(ask)) = (service, read(&offer)) else {
-        outlet.send(Kind::Refused(Refused { retry_ms: UNREACHED_MS })).await.ok()?;
-        return Some((inlet, outlet));
+    receiver: LinkReceiver,
+    mut sender: LinkSender,
+    end_watcher: &mut EndWatcher,
+) -> Option<(LinkReceiver, LinkSender)> {
+    let service = node.get_or_open_service(ServiceId(offer.service));
+    let (Some(service), Some(head)) = (service, request_head(&offer)) else {
+        sender.send(Kind::Refused(Refused { retry_ms: UNREACHABLE_BACKOFF_MS })).await.ok()?;
+        return Some((receiver, sender));
     };
-    let mut course = Course::new(Arc::clone(node), service, ask);
-    let mut body = Body::new(Inlet::Link(inlet), offer.body);
-    let mut outlet = Outlet::new(Way::Link(outlet));
-    let outcome = request::carry(&mut course, &mut body, &mut outlet, ended).await;
-    let Way::Link(mut outlet) = outlet.into_way() else {
+    let mut context = RequestContext::new(Arc::clone(node), service, head);
+    let mut body = RequestBody::new(BodySource::Link(receiver), offer.body);
+    let mut writer = ResponseWriter::new(ResponseTarget::Link(sender));
+    let outcome = request::execute(&mut context, &mut body, &mut writer, end_watcher).await;
+    let ResponseTarget::Link(mut sender) = writer.into_target() else {
         return None;
     };
     match outcome {
         None | Some(Outcome::Relay) => {}
         Some(Outcome::NotRun { retry_ms }) => {
-            outlet.send(Kind::Refused(Refused { retry_ms })).await.ok()?;
+            sender.send(Kind::Refused(Refused { retry_ms })).await.ok()?;
         }
-        Some(Outcome::Unknown { .. }) => outlet.send(Kind::Lost(Lost {})).await.ok()?,
+        Some(Outcome::Unknown { .. }) => sender.send(Kind::Lost(Lost {})).await.ok()?,
         Some(Outcome::Cancelled) => return None,
     }
-    let inlet = if body.is_begun() { body.into_link().await? } else { body.into_unread()? };
-    (outlet.is_usable()).then_some((inlet, outlet))
+    let receiver =
+        if body.is_started() { body.into_link().await? } else { body.into_unread_link()? };
+    sender.is_usable().then_some((receiver, sender))
 }
 
-fn read(offer: &Offer) -> Option<Ask> {
+/// Head of the request in an offer; none if it is malformed.
+fn request_head(offer: &Offer) -> Option<RequestHead> {
     let deadline = (offer.left_ms > 0).then(|| clock::now_ms().saturating_add(offer.left_ms));
-    Some(Ask {
+    Some(RequestHead {
         id: wire::request_id(&offer.request).ok()?,
         method: Method::from_bytes(offer.method.as_bytes()).ok()?,
         path: offer.path.clone(),
--- a/crates/daemon/src/agent/link.rs
+++ b/crates/daemon/src/agent/link.rs
@@ -1,4 +1,4 @@
-//! Links between agents: opened when needed, kept for the next exchange.
+//! Links between agents: opened on demand and reused for later exchanges.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -19,21 +19,21 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{
-    body::GivenUp,
-    quic::{End, Ended},
+    body::Disconnected,
+    quic::{EndWatcher, StreamEnd},
 };
 use crate::control::{Control, Stream};
 
-/// A link idle for longer is closed.
-const KEEP: Duration = Duration::from_secs(20);
-const MAX_KEPT: usize = 16;
-/// Longest wait for the word to begin after a slot was taken.
-const GO_TIMEOUT: Duration = Duration::from_secs(2);
-const PACKETS: usize = 2;
+/// Idle links are closed after this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+const MAX_IDLE_PER_PEER: usize = 16;
+/// Timeout for the start message after a slot was reserved.
+const START_TIMEOUT: Duration = Duration::from_secs(2);
+const MESSAGE_CHANNEL_CAPACITY: usize = 2;
 
-/// How links to other agents are opened.
+/// Opens links to other agents.
 pub(crate) trait Dial: Send + Sync {
-    /// Opens a link and greets.
+    /// Connects to a peer and performs the handshake of the link.
     fn dial<'a>(
         &'a self,
         peer: &'a str,
@@ -51,160 +51,160 @@
     }
 }
 
-/// Links that this agent opened.
-pub(crate) struct Links {
+/// Idle links that this agent opened, by peer.
+pub(crate) struct LinkCache {
     dial: Arc<dyn Dial>,
-    kept: Mutex<BTreeMap<String, Vec<(Instant, Link)>>>,
+    idle: Mutex<BTreeMap<String, Vec<(Instant, Link)>>>,
 }
 
 /// A link that this agent opened.
 pub(crate) struct Link {
     pub(crate) peer: String,
-    pub(crate) sink: Sink,
+    pub(crate) sink: MessageSink,
     pub(crate) stream: SplitStream<Stream>,
 }
 
 /// The sending side of a link.
-pub(crate) struct Sink(SplitSink<Stream, Bytes>);
+pub(crate) struct MessageSink(SplitSink<Stream, Bytes>);
 
-impl Sink {
-    /// Sends a message.
-    pub(crate) async fn send(&mut self, kind: Kind) -> Result<(), GivenUp> {
-        self.0.send(Packet::encoded(kind)).await.map_err(|_| GivenUp)
+impl MessageSink {
+    /// Sends a message. Fails if the link is closed.
+    pub(crate) async fn send(&mut self, kind: Kind) -> Result<(), Disconnected> {
+        self.0.send(Packet::encoded(kind)).await.map_err(|_| Disconnected)
     }
 }
 
 impl Link {
-    /// The next message.
+    /// Receives the next message.
     pub(crate) async fn recv(&mut self) -> anyhow::Result<Kind> {
         recv(&mut self.stream).await.with_context(|| format!("link to {}", self.peer))
     }
 }
 
-/// The next message of a stream.
+/// Receives the next message of a stream.
 pub(crate) async fn recv(stream: &mut SplitStream<Stream>) -> anyhow::Result<Kind> {
     let Some(frame) = stream.next().await else {
-        bail!("closed");
+        bail!("connection closed");
     };
     Ok(Packet::decoded(&frame?)?)
 }
 
-impl Links {
-    /// No links yet.
-    pub(crate) fn new(dial: Arc<dyn Dial>) -> Links {
-        Links { dial, kept: Mutex::default() }
+impl LinkCache {
+    /// An empty cache that opens links with `dial`.
+    pub(crate) fn new(dial: Arc<dyn Dial>) -> LinkCache {
+        LinkCache { dial, idle: Mutex::default() }
     }
 
-    /// A link that was used before, if one is kept.
-    pub(crate) fn kept(&self, peer: &str) -> Option<Link> {
-        let mut kept = self.kept.lock();
-        let links = kept.get_mut(peer)?;
+    /// Takes an idle link to the peer out of the cache.
+    pub(crate) fn take_idle(&self, peer: &str) -> Option<Link> {
+        let mut idle = self.idle.lock();
+        let links = idle.get_mut(peer)?;
         let now = Instant::now();
-        links.retain(|(at, _)| now < *at + KEEP);
+        links.retain(|(at, _)| now < *at + IDLE_TIMEOUT);
         links.pop().map(|(_, link)| link)
     }
 
-    /// A new link.
+    /// Opens a new link.
     pub(crate) async fn open(&self, peer: &str, address: SocketAddr) -> anyhow::Result<Link> {
         let (sink, stream) = self.dial.dial(peer, address).await?.split();
-        Ok(Link { peer: peer.to_owned(), sink: Sink(sink), stream })
+        Ok(Link { peer: peer.to_owned(), sink: MessageSink(sink), stream })
     }
 
-    /// Keeps a link whose exchange is over on both sides.
-    pub(crate) fn keep(&self, link: Link) {
-        let mut kept = self.kept.lock();
-        let links = kept.entry(link.peer.clone()).or_default();
-        if links.len() < MAX_KEPT {
+    /// Puts a link into the cache once its exchange is complete on both sides.
+    pub(crate) fn put_idle(&self, link: Link) {
+        let mut idle = self.idle.lock();
+        let links = idle.entry(link.peer.clone()).or_default();
+        if links.len() < MAX_IDLE_PER_PEER {
             links.push((Instant::now(), link));
         }
     }
 
-    /// Closes links that were idle for long.
-    pub(crate) fn sweep(&self) {
+    /// Closes links that have been idle for too long.
+    pub(crate) fn close_expired(&self) {
         let now = Instant::now();
-        let mut kept = self.kept.lock();
-        for links in kept.values_mut() {
-            links.retain(|(at, _)| now < *at + KEEP);
+        let mut idle = self.idle.lock();
+        for links in idle.values_mut() {
+            links.retain(|(at, _)| now < *at + IDLE_TIMEOUT);
         }
-        kept.retain(|_, links| !links.is_empty());
+        idle.retain(|_, links| !links.is_empty());
     }
 }
 
 /// The receiving side of a link that another agent opened, during an exchange.
-pub(crate) struct LinkInlet {
-    packets: mpsc::Receiver<Kind>,
-    ready: bool,
-    last: bool,
+pub(crate) struct LinkReceiver {
+    messages: mpsc::Receiver<Kind>,
+    started: bool,
+    body_done: bool,
 }
 
-impl LinkInlet {
-    /// Whether the request may begin.
-    pub(crate) fn is_ready(&self) -> bool {
-        self.ready
+impl LinkReceiver {
+    /// Whether the start message was received.
+    pub(crate) fn is_started(&self) -> bool {
+        self.started
     }
 
-    /// Waits for the word to begin.
-    pub(crate) async fn ready(&mut self) -> Result<(), GivenUp> {
-        match time::timeout(GO_TIMEOUT, self.packets.recv()).await {
+    /// Waits for the start message.
+    pub(crate) async fn wait_for_start(&mut self) -> Result<(), Disconnected> {
+        match time::timeout(START_TIMEOUT, self.messages.recv()).await {
             Ok(Some(Kind::Go(_))) => {
-                self.ready = true;
+                self.started = true;
                 Ok(())
             }
-            _ => Err(GivenUp),
+            _ => Err(Disconnected),
         }
     }
 
-    /// The next part of the body.
-    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, GivenUp> {
-        if self.last {
+    /// Receives the next chunk of the body.
+    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, Disconnected> {
+        if self.body_done {
             return Ok(None);
         }
-        match self.packets.recv().await {
+        match self.messages.recv().await {
             Some(Kind::Chunk(Chunk { data, last })) => {
-                self.last = last;
+                self.body_done = last;
                 Ok((!data.is_empty()).then_some(data))
             }
-            _ => Err(GivenUp),
+            _ => Err(Disconnected),
         }
     }
 
-    /// The first message of an exchange.
-    pub(crate) async fn first(&mut self) -> Option<Kind> {
-        self.ready = false;
-        self.last = false;
-        self.packets.recv().await
+    /// Receives the first message of the next exchange.
+    pub(crate) async fn next_request(&mut self) -> Option<Kind> {
+        self.started = false;
+        self.body_done = false;
+        self.messages.recv().await
     }
 }
 
 /// The sending side of a link that another agent opened.
-pub(crate) struct LinkOutlet {
-    sink: Sink,
-    broken: bool,
+pub(crate) struct LinkSender {
+    sink: MessageSink,
+    failed: bool,
 }
 
-impl LinkOutlet {
-    /// Sends a message.
-    pub(crate) async fn send(&mut self, kind: Kind) -> Result<(), GivenUp> {
-        if self.broken {
-            return Err(GivenUp);
+impl LinkSender {
+    /// Sends a message. Fails if the link is closed or was reset.
+    pub(crate) async fn send(&mut self, kind: Kind) -> Result<(), Disconnected> {
+        if self.failed {
+            return Err(Disconnected);
         }
         let sent = self.sink.send(kind).await;
-        self.broken |= sent.is_err();
+        self.failed |= sent.is_err();
         sent
     }
 
-    /// Says that a slot was taken.
-    pub(crate) async fn taken(&mut self, load: f64) -> Result<(), GivenUp> {
+    /// Accepts an offer and reports the load; a slot is reserved for it.
+    pub(crate) async fn accept_offer(&mut self, load: f64) -> Result<(), Disconnected> {
         self.send(Kind::Taken(Taken { load })).await
     }
 
-    /// Sends the head of an answer.
-    pub(crate) async fn head(
+    /// Sends the head of a response.
+    pub(crate) async fn send_head(
         &mut self,
         status: StatusCode,
         headers: &HeaderMap,
         upstream: &str,
-    ) -> Result<(), GivenUp> {
+    ) -> Result<(), Disconnected> {
         let head = Head {
             status: u32::from(status.as_u16()),
             fields: fields(headers),
@@ -213,26 +213,26 @@
         self.send(Kind::Head(head)).await
     }
 
-    /// Sends a part of an answer's body.
-    pub(crate) async fn data(&mut self, data: Bytes, last: bool) -> Result<(), GivenUp> {
+    /// Sends a chunk of a response body.
+    pub(crate) async fn send_data(&mut self, data: Bytes, last: bool) -> Result<(), Disconnected> {
         self.send(Kind::Chunk(Chunk { data, last })).await
     }
 
-    /// Lets the link end here: the other side takes that for a broken answer.
+    /// Marks the link as failed, so that it is closed; the peer treats the response as aborted.
     pub(crate) fn reset(&mut self) {
-        self.broken = true;
+        self.failed = true;
     }
 
-    /// Whether another exchange may follow.
+    /// Whether the link can be used for another exchange.
     pub(crate) fn is_usable(&self) -> bool {
-        !self.broken
+        !self.failed
     }
 }
 
-/// Splits a link that another agent opened. A task reads it until it closes; the end tells when.
-pub(crate) fn accept(stream: Stream) -> (LinkInlet, LinkOutlet, CancellationToken) {
+/// Splits a link that another agent opened. A task reads from it until it closes, which cancels the token.
+pub(crate) fn accept(stream: Stream) -> (LinkReceiver, LinkSender, CancellationToken) {
     let (sink, mut stream) = stream.split();
-    let (sender, packets) = mpsc::channel(PACKETS);
+    let (sender, messages) = mpsc::channel(MESSAGE_CHANNEL_CAPACITY);
     let closed = CancellationToken::new();
     let guard = closed.clone().drop_guard();
     tokio::spawn(async move {
@@ -250,20 +250,20 @@
             }
         }
     });
-    let inlet = LinkInlet { packets, ready: false, last: false };
-    (inlet, LinkOutlet { sink: Sink(sink), broken: false }, closed)
+    let receiver = LinkReceiver { messages, started: false, body_done: false };
+    (receiver, LinkSender { sink: MessageSink(sink), failed: false }, closed)
 }
 
-/// The end of an exchange over a link: that the link closes.
-pub(crate) fn ended(closed: &CancellationToken) -> Ended {
+/// A watcher that completes when the link closes.
+pub(crate) fn end_watcher(closed: &CancellationToken) -> EndWatcher {
     let closed = closed.clone();
-    Ended::new(async move {
+    EndWatcher::new(async move {
         closed.cancelled().await;
-        End::GivenUp
+        StreamEnd::Cancelled
     })
 }
 
-/// Header fields as a message carries them.
+/// Converts headers to the fields of a message.
 pub(crate) fn fields(headers: &HeaderMap) -> Vec<Field> {
     let field = |(name, value): (&HeaderName, &HeaderValue)| Field {
         name: name.as_str().to_owned(),
@@ -272,7 +272,7 @@
     headers.iter().map(field).collect()
 }
 
-/// Header fields from a message; malformed ones are left out.
+/// Converts the fields of a message to headers; malformed ones are left out.
 pub(crate) fn headers(fields: &[Field]) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for field in fields {
--- a/crates/daemon/src/agent/local.rs
+++ b/crates/daemon/src/agent/local.rs
@@ -1,4 +1,4 @@
-//! Running a request at the agent's own upstream.
+//! Runs requests at the agent's own upstream.
 
 use std::{io, pin::pin, time::Duration};
 
@@ -13,32 +13,32 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{
-    body::{Body, GivenUp, KEPT, Outlet},
-    meter,
+    body::{Disconnected, REPLAY_LIMIT_BYTES, RequestBody, ResponseWriter},
+    metrics,
     node::Node,
-    quic::Ended,
-    request::{self, Course},
-    upstream::{AttemptError, Conn, Payload},
-    work::Slot,
+    quic::EndWatcher,
+    request::{self, RequestContext},
+    slots::Slot,
+    upstream::{AttemptError, RequestPayload, UpstreamConnection},
 };
 use crate::clock;
 
 const NOT_RUN: &str = "camphorwinch-not-run";
-/// A request that still streams its body or its answer after this long is no longer counted against the slots.
-const LONG: Duration = Duration::from_millis(100);
-const PARTS: usize = 2;
+/// A request that still streams its body or response after this time releases its slot.
+const MAX_SLOT_HOLD: Duration = Duration::from_millis(100);
+const BODY_CHANNEL_CAPACITY: usize = 2;
 
-type Parts = mpsc::Sender<Result<Bytes, io::Error>>;
+type BodySender = mpsc::Sender<Result<Bytes, io::Error>>;
 
-/// Runs the request. None if an answer was passed on, whole or broken off.
+/// Runs the request. None if a response was relayed, complete or not.
 pub(crate) async fn run(
-    course: &mut Course,
-    body: &mut Body,
-    outlet: &mut Outlet,
-    ended: &mut Ended,
+    context: &mut RequestContext,
+    body: &mut RequestBody,
+    writer: &mut ResponseWriter,
+    end_watcher: &mut EndWatcher,
     slot: Slot,
 ) -> Option<Report> {
-    let node = course.node.clone();
+    let node = context.node.clone();
     if !node.gate.lock().pass(clock::now_ms()) {
         return Some(Report::Refused { retry_ms: 0 });
     }
@@ -46,169 +46,172 @@
         node.gate.lock().dropped();
         return Some(Report::Consumed { retry_ms: 0 });
     }
-    if outlet.ready(body, node.work.load()).await.is_err() {
+    if writer.wait_for_start(body, node.work.load()).await.is_err() {
         node.gate.lock().dropped();
         return Some(Report::Cancelled);
     }
-    let mut conn = match node.upstream.connect(course.ask.is_idempotent()).await {
+    let mut conn = match node.upstream.connect(context.head.is_idempotent()).await {
         Ok(it) => it,
-        Err(e) => return Some(failed(course, &e)),
+        Err(e) => return Some(record_failure(context, &e)),
     };
-    let (parts, payload) = payload(body);
-    let wanted = CancellationToken::new();
-    let request = match build(course, payload, body, &wanted) {
+    let (sender, payload) = request_payload(body);
+    let continued = CancellationToken::new();
+    let request = match build_request(context, payload, body, &continued) {
         Ok(it) => it,
         Err(e) => {
             node.gate.lock().dropped();
-            tracing::debug!("build request: {e}");
+            tracing::debug!("build the request to the upstream: {e}");
             return Some(Report::Refused { retry_ms: 0 });
         }
     };
-    let pump = pump(body, parts, &wanted);
-    let exchange = exchange(course, &mut conn, request, pump, &wanted, outlet, ended, slot).await;
+    let body_copy = copy_body(body, sender, &continued);
+    let exchange =
+        exchange(context, &mut conn, request, body_copy, &continued, writer, end_watcher, slot)
+            .await;
     match exchange {
-        Exchange::Next(report) => Some(report),
-        Exchange::Whole => {
-            node.upstream.keep(conn);
+        Exchange::NoResponse(report) => Some(report),
+        Exchange::Complete => {
+            node.upstream.put_idle(conn);
             None
         }
-        Exchange::Broken => None,
+        Exchange::Aborted => None,
     }
 }
 
 enum Exchange {
-    /// No answer to pass on.
-    Next(Report),
-    /// The answer was passed on whole.
-    Whole,
-    /// The answer broke off.
-    Broken,
+    /// There was no response to relay.
+    NoResponse(Report),
+    /// The response was relayed completely.
+    Complete,
+    /// The response was aborted.
+    Aborted,
 }
 
 async fn exchange<P>(
-    course: &mut Course,
-    conn: &mut Conn,
-    request: Request<Payload>,
-    pump: P,
-    wanted: &CancellationToken,
-    outlet: &mut Outlet,
-    ended: &mut Ended,
+    context: &mut RequestContext,
+    conn: &mut UpstreamConnection,
+    request: Request<RequestPayload>,
+    body_copy: P,
+    continued: &CancellationToken,
+    writer: &mut ResponseWriter,
+    end_watcher: &mut EndWatcher,
     slot: Slot,
 ) -> Exchange
 where
-    P: Future<Output = Result<(), GivenUp>>,
+    P: Future<Output = Result<(), Disconnected>>,
 {
-    let node = course.node.clone();
+    let node = context.node.clone();
     let started = Instant::now();
     let mut slot = Some(slot);
     let mut sending = pin!(conn.send(request));
-    let mut pump = pin!(pump);
-    let mut hopeless = pin!(hopeless(&node, course.ask.is_idempotent(), course.ask.deadline));
-    let mut pumped = false;
-    let mut resumed = false;
+    let mut body_copy = pin!(body_copy);
+    let mut timed_out =
+        pin!(response_timeout(&node, context.head.is_idempotent(), context.head.deadline));
+    let mut body_done = false;
+    let mut continue_sent = false;
     let sent = loop {
         tokio::select! {
             sent = &mut sending => break sent,
-            result = &mut pump, if !pumped => {
-                pumped = true;
+            result = &mut body_copy, if !body_done => {
+                body_done = true;
                 if result.is_err() {
                     node.gate.lock().dropped();
-                    return Exchange::Next(Report::Cancelled);
+                    return Exchange::NoResponse(Report::Cancelled);
                 }
             }
-            () = wanted.cancelled(), if !resumed => {
-                resumed = true;
-                outlet.resume().await;
+            () = continued.cancelled(), if !continue_sent => {
+                continue_sent = true;
+                writer.send_continue().await;
             }
-            _ = ended.wait() => {
+            _ = end_watcher.wait() => {
                 node.gate.lock().dropped();
-                return Exchange::Next(Report::Cancelled);
+                return Exchange::NoResponse(Report::Cancelled);
             }
-            () = &mut hopeless => {
+            () = &mut timed_out => {
                 node.gate.lock().refused(clock::now_ms());
-                meter::count(&meter::ATTEMPTS, "given-up");
-                return Exchange::Next(Report::Lost);
+                metrics::count(&metrics::ATTEMPTS, "given-up");
+                return Exchange::NoResponse(Report::Lost);
             }
-            () = time::sleep_until(started + LONG), if slot.is_some() && !pumped => slot = None,
+            () = time::sleep_until(started + MAX_SLOT_HOLD), if slot.is_some() && !body_done => slot = None,
         }
     };
     let response = match sent {
         Ok(it) => it,
-        Err(e) => return Exchange::Next(failed(course, &e)),
+        Err(e) => return Exchange::NoResponse(record_failure(context, &e)),
     };
-    if let Some(retry_ms) = refusal(&response) {
-        meter::count(&meter::ATTEMPTS, "refused");
+    if let Some(retry_ms) = rejected_retry_ms(&response) {
+        metrics::count(&metrics::ATTEMPTS, "refused");
         node.gate.lock().refused(clock::now_ms());
-        return Exchange::Next(Report::Refused { retry_ms });
+        return Exchange::NoResponse(Report::Refused { retry_ms });
     }
     node.gate.lock().taken();
-    if !course.head() {
-        return Exchange::Broken;
+    if !context.on_response_head() {
+        return Exchange::Aborted;
     }
-    meter::count(&meter::ATTEMPTS, "answered");
-    let relay = relay(course, response, outlet, started, slot);
+    metrics::count(&metrics::ATTEMPTS, "answered");
+    let relay = relay_response(context, response, writer, started, slot);
     let mut relay = pin!(relay);
-    let relayed = if pumped {
+    let relayed = if body_done {
         relay.await
     } else {
-        match future::select(relay.as_mut(), pump).await {
+        match future::select(relay.as_mut(), body_copy).await {
             Either::Left((relayed, _)) => relayed,
             Either::Right((Ok(()), _)) => relay.await,
-            Either::Right((Err(GivenUp), _)) => Err(Broken::Caller),
+            Either::Right((Err(Disconnected), _)) => Err(AbortedBy::Caller),
         }
     };
     match relayed {
         Ok(()) => {
-            meter::count(&meter::REQUESTS, "answered");
-            Exchange::Whole
+            metrics::count(&metrics::REQUESTS, "answered");
+            Exchange::Complete
         }
-        Err(Broken::Caller) => {
-            meter::count(&meter::REQUESTS, "cancelled");
-            Exchange::Broken
+        Err(AbortedBy::Caller) => {
+            metrics::count(&metrics::REQUESTS, "cancelled");
+            Exchange::Aborted
         }
-        Err(Broken::Upstream) => {
-            meter::count(&meter::REQUESTS, "cut");
-            Exchange::Broken
+        Err(AbortedBy::Upstream) => {
+            metrics::count(&metrics::REQUESTS, "cut");
+            Exchange::Aborted
         }
     }
 }
 
-/// Completes when an answer is no longer waited for. That of a request that must not run twice may come late.
-async fn hopeless(node: &Node, idempotent: bool, deadline: Option<u64>) {
+/// Completes when waiting for a response should end. For a request that must not run twice, only the deadline ends it.
+async fn response_timeout(node: &Node, idempotent: bool, deadline: Option<u64>) {
     if idempotent {
         tokio::select! {
-            () = node.lost() => {}
-            () = request::overdue(deadline) => {}
+            () = node.upstream_lost() => {}
+            () = request::past_deadline(deadline) => {}
         }
     } else {
-        request::overdue(deadline).await;
+        request::past_deadline(deadline).await;
     }
 }
 
-/// Who broke off an answer.
+/// Side that aborted a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Broken {
+enum AbortedBy {
     Caller,
     Upstream,
 }
 
-async fn relay(
-    course: &Course,
+async fn relay_response(
+    context: &RequestContext,
     response: Response<Incoming>,
-    outlet: &mut Outlet,
+    writer: &mut ResponseWriter,
     started: Instant,
     mut slot: Option<Slot>,
-) -> Result<(), Broken> {
+) -> Result<(), AbortedBy> {
     let (parts, mut incoming) = response.into_parts();
     let mut headers = parts.headers;
-    request::strip(&mut headers);
-    let name = &course.node.settings.name;
-    course.answer_headers(&mut headers, Some(name));
-    outlet.head(parts.status, &headers, name).await.map_err(|_| Broken::Caller)?;
+    request::strip_headers(&mut headers);
+    let name = &context.node.settings.name;
+    context.add_response_headers(&mut headers, Some(name));
+    writer.send_head(parts.status, &headers, name).await.map_err(|_| AbortedBy::Caller)?;
     loop {
         let frame = tokio::select! {
             frame = incoming.frame() => frame,
-            () = time::sleep_until(started + LONG), if slot.is_some() => {
+            () = time::sleep_until(started + MAX_SLOT_HOLD), if slot.is_some() => {
                 slot = None;
                 continue;
             }
@@ -216,112 +219,114 @@
         match frame {
             None => break,
             Some(Ok(frame)) => {
-                let Ok(part) = frame.into_data() else {
+                let Ok(chunk) = frame.into_data() else {
                     continue;
                 };
-                outlet.data(part).await.map_err(|_| Broken::Caller)?;
+                writer.send_data(chunk).await.map_err(|_| AbortedBy::Caller)?;
             }
             Some(Err(e)) => {
-                tracing::debug!("answer of the upstream: {e}");
-                outlet.reset(Code::H3_INTERNAL_ERROR);
-                return Err(Broken::Upstream);
+                tracing::debug!("read the response of the upstream: {e}");
+                writer.reset(Code::H3_INTERNAL_ERROR);
+                return Err(AbortedBy::Upstream);
             }
         }
     }
-    outlet.finish().await.map_err(|_| Broken::Caller)
+    writer.finish().await.map_err(|_| AbortedBy::Caller)
 }
 
-fn failed(course: &Course, e: &AttemptError) -> Report {
-    tracing::debug!("request {}: {e}", course.ask.id_text());
-    course.node.gate.lock().refused(clock::now_ms());
+/// Records a failed attempt.
+fn record_failure(context: &RequestContext, e: &AttemptError) -> Report {
+    tracing::debug!("request {}: {e}", context.head.id_text());
+    context.node.gate.lock().refused(clock::now_ms());
     match e {
         AttemptError::NotSent(_) => {
-            meter::count(&meter::ATTEMPTS, "not-sent");
+            metrics::count(&metrics::ATTEMPTS, "not-sent");
             Report::Refused { retry_ms: 0 }
         }
         AttemptError::MaybeSent(_) => {
-            meter::count(&meter::ATTEMPTS, "lost");
+            metrics::count(&metrics::ATTEMPTS, "lost");
             Report::Lost
         }
     }
 }
 
-/// If the upstream says that it has not begun the request: the time after which it may be asked again.
-fn refusal(response: &Response<Incoming>) -> Option<u64> {
+/// If the upstream rejected the request without running it: the time until a retry, in milliseconds.
+fn rejected_retry_ms(response: &Response<Incoming>) -> Option<u64> {
     if response.status() != StatusCode::SERVICE_UNAVAILABLE {
         return None;
     }
     let headers = response.headers();
     let not_run = headers.get(NOT_RUN).is_some_and(|it| it.as_bytes() == b"true");
-    not_run.then(|| retry_after(headers))
+    not_run.then(|| retry_after_ms(headers))
 }
 
-fn retry_after(headers: &HeaderMap) -> u64 {
-    let given = headers.get(header::RETRY_AFTER).and_then(|it| it.to_str().ok());
-    given.and_then(|it| it.parse::<u64>().ok()).map_or(0, |it| it.saturating_mul(1_000))
+fn retry_after_ms(headers: &HeaderMap) -> u64 {
+    let value = headers.get(header::RETRY_AFTER).and_then(|it| it.to_str().ok());
+    value.and_then(|it| it.parse::<u64>().ok()).map_or(0, |it| it.saturating_mul(1_000))
 }
 
-fn payload(body: &Body) -> (Option<Parts>, Payload) {
+fn request_payload(body: &RequestBody) -> (Option<BodySender>, RequestPayload) {
     if !body.is_expected() {
         let empty = Empty::new().map_err(|never| match never {});
         return (None, UnsyncBoxBody::new(empty));
     }
-    let (sender, receiver) = mpsc::channel::<Result<Bytes, io::Error>>(PARTS);
+    let (sender, receiver) = mpsc::channel::<Result<Bytes, io::Error>>(BODY_CHANNEL_CAPACITY);
     let stream = futures::stream::unfold(receiver, |mut receiver| async move {
-        let part = receiver.recv().await?;
-        Some((part.map(Frame::data), receiver))
+        let chunk = receiver.recv().await?;
+        Some((chunk.map(Frame::data), receiver))
     });
     (Some(sender), UnsyncBoxBody::new(StreamBody::new(stream)))
 }
 
-/// Passes the body on. A caller that breaks off makes the attempt fail, so that no upstream takes a part for the whole.
-async fn pump(
-    body: &mut Body,
-    parts: Option<Parts>,
-    wanted: &CancellationToken,
-) -> Result<(), GivenUp> {
-    let Some(parts) = parts else {
+/// Sends the body to the upstream. If the caller disconnects, the attempt fails, so that the upstream doesn't accept an
+/// incomplete body.
+async fn copy_body(
+    body: &mut RequestBody,
+    sender: Option<BodySender>,
+    continued: &CancellationToken,
+) -> Result<(), Disconnected> {
+    let Some(sender) = sender else {
         return Ok(());
     };
     loop {
-        match body.next_when(wanted).await {
-            Ok(Some(part)) => {
-                if parts.send(Ok(part)).await.is_err() {
-                    // The upstream has answered or gone; the answer tells which.
+        match body.next_after_continue(continued).await {
+            Ok(Some(chunk)) => {
+                if sender.send(Ok(chunk)).await.is_err() {
+                    // The upstream has responded or disconnected; the response shows which.
                     return Ok(());
                 }
             }
             Ok(None) => return Ok(()),
             Err(e) => {
-                let broken = io::Error::new(io::ErrorKind::ConnectionAborted, e);
-                // If nobody listens any more, nobody needs to know.
-                let _ = parts.send(Err(broken)).await;
+                let error = io::Error::new(io::ErrorKind::ConnectionAborted, e);
+                // Fails only if the attempt has ended already.
+                let _ = sender.send(Err(error)).await;
                 return Err(e);
             }
         }
     }
 }
 
-fn build(
-    course: &Course,
-    payload: Payload,
-    body: &Body,
-    wanted: &CancellationToken,
-) -> Result<Request<Payload>, http::Error> {
+fn build_request(
+    context: &RequestContext,
+    payload: RequestPayload,
+    body: &RequestBody,
+    continued: &CancellationToken,
+) -> Result<Request<RequestPayload>, http::Error> {
     let mut request = Request::builder()
-        .method(course.ask.method.clone())
-        .uri(course.ask.path.as_str())
+        .method(context.head.method.clone())
+        .uri(context.head.path.as_str())
         .body(payload)?;
-    *request.headers_mut() = course.ask.upstream_headers(&course.service);
+    *request.headers_mut() = context.head.upstream_headers(&context.service);
     if !request.headers().contains_key(header::HOST) {
-        request::put(request.headers_mut(), header::HOST, &course.service.name);
+        request::set_header(request.headers_mut(), header::HOST, &context.service.name);
     }
-    if body.is_expected() && course.ask.length().is_none_or(|it| it > KEPT as u64) {
-        request::put(request.headers_mut(), header::EXPECT, "100-continue");
-        let wanted = wanted.clone();
+    if body.is_expected() && context.head.length().is_none_or(|it| it > REPLAY_LIMIT_BYTES as u64) {
+        request::set_header(request.headers_mut(), header::EXPECT, "100-continue");
+        let continued = continued.clone();
         hyper::ext::on_informational(&mut request, move |response| {
             if response.status() == StatusCode::CONTINUE {
-                wanted.cancel();
+                continued.cancel();
             }
         });
     }
--- a/crates/daemon/src/agent/meter.rs
+++ b/crates/daemon/src/agent/metrics.rs
@@ -6,12 +6,12 @@
 
 use crate::metrics;
 
-/// Encapsulated datagrams by what became of them.
+/// Encapsulated datagrams by outcome.
 pub(crate) static DATAGRAMS: LazyLock<IntCounterVec> = LazyLock::new(|| {
     metrics::counter("agent_datagrams_total", "Encapsulated datagrams by outcome", "outcome")
 });
 
-/// Flows by what became of them.
+/// Flows by outcome.
 pub(crate) static FLOWS: LazyLock<IntCounterVec> =
     LazyLock::new(|| metrics::counter("agent_flows_total", "Flows by outcome", "outcome"));
 
@@ -19,25 +19,25 @@
 pub(crate) static REQUESTS: LazyLock<IntCounterVec> =
     LazyLock::new(|| metrics::counter("agent_requests_total", "Requests by outcome", "outcome"));
 
-/// Requests sent to the upstream or to another agent, by what became of the attempt.
+/// Attempts to run a request at the upstream or another agent, by outcome.
 pub(crate) static ATTEMPTS: LazyLock<IntCounterVec> = LazyLock::new(|| {
     metrics::counter("agent_attempts_total", "Attempts to run a request by outcome", "outcome")
 });
 
-/// Flows held.
-pub(crate) static HELD: LazyLock<IntGauge> =
+/// Number of open flows.
+pub(crate) static OPEN_FLOWS: LazyLock<IntGauge> =
     LazyLock::new(|| metrics::gauge("agent_flows", "Flows held"));
 
-/// Requests that run or wait for a slot.
-pub(crate) static BUSY: LazyLock<IntGauge> =
+/// Number of slots in use.
+pub(crate) static BUSY_SLOTS: LazyLock<IntGauge> =
     LazyLock::new(|| metrics::gauge("agent_busy", "Requests that run or wait for a slot"));
 
-/// Time from a request's head to the answer's head.
-pub(crate) static ANSWERED: LazyLock<Histogram> = LazyLock::new(|| {
+/// Time from the head of a request to the head of its response.
+pub(crate) static RESPONSE_SECONDS: LazyLock<Histogram> = LazyLock::new(|| {
     metrics::seconds("agent_answer_seconds", "Time from a request's head to the answer's head")
 });
 
-/// Counts one of `outcome`.
+/// Increments the counter of `outcome`.
 pub(crate) fn count(counter: &IntCounterVec, outcome: &str) {
     counter.with_label_values(&[outcome]).inc();
 }
--- a/crates/daemon/src/agent/mod.rs
+++ b/crates/daemon/src/agent/mod.rs
@@ -1,27 +1,27 @@
-//! The agent: ends callers' flows beside an upstream and runs their requests.
+//! The agent: terminates callers' flows next to an upstream and runs their requests.
 
-mod absent;
 mod body;
 mod claim;
 mod datagram;
+mod down_agents;
 mod flow;
 mod handover;
 mod link;
 mod local;
-mod meter;
+mod metrics;
 mod node;
-mod notice;
 mod quic;
 mod request;
 mod reset;
 mod rosters;
 mod run;
 mod service;
+mod slots;
 mod socket;
 #[cfg(test)]
 mod tests;
+mod throttled;
 mod upstream;
-mod work;
 
 pub(crate) use self::{
     node::{Node, Settings},
--- a/crates/daemon/src/agent/node.rs
+++ b/crates/daemon/src/agent/node.rs
@@ -1,7 +1,7 @@
-//! State of the agent that all its parts share.
+//! State shared by all parts of the agent.
 //!
-//! Lock order: `services` before a service's own locks; `claims` before `open`; otherwise no two locks are held
-//! together.
+//! Lock order: `services` before a service's own locks; `claims` before `keyed_requests`; otherwise no two
+//! locks are held together.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -30,14 +30,15 @@
 use tokio_util::task::TaskTracker;
 
 use super::{
-    absent::Absent,
-    link::{Dial, Links},
-    meter, notice,
+    down_agents::DownAgents,
+    link::{Dial, LinkCache},
+    metrics,
     rosters::Rosters,
     service::Service,
+    slots::SlotLimiter,
     socket::DataSocket,
+    throttled,
     upstream::Upstream,
-    work::Work,
 };
 use crate::{
     clock,
@@ -45,35 +46,31 @@
     event::{self, About, Id},
 };
 
-/// What an agent must know of itself.
+/// Settings of one agent.
 #[derive(Clone, Debug)]
 pub(crate) struct Settings {
-    /// Name.
     pub(crate) name: String,
-    /// VM.
     pub(crate) vm: String,
-    /// Availability zone.
     pub(crate) zone: String,
-    /// Pool of the upstream.
+    /// Pool that the upstream belongs to.
     pub(crate) pool: String,
-    /// Address for encapsulated datagrams.
+    /// Address that receives encapsulated datagrams.
     pub(crate) data: SocketAddr,
-    /// Address of the upstream.
     pub(crate) upstream: SocketAddr,
-    /// Requests that the upstream runs at once.
+    /// Requests that the upstream runs concurrently.
     pub(crate) slots: u32,
-    /// Flows that the agent holds at most.
+    /// Maximum number of open flows.
     pub(crate) connections: u32,
-    /// Source address of answers.
+    /// Source address of packets to callers.
     pub(crate) reply: AddressMode,
-    /// Handshakes under way at which callers must first prove their address.
-    pub(crate) unproven: u32,
+    /// Pending handshakes per service from which on callers must first validate their address.
+    pub(crate) max_unvalidated_handshakes: u32,
 }
 
-const MAX_UNPROVEN: u32 = 256;
+const MAX_UNVALIDATED_HANDSHAKES: u32 = 256;
 
 impl Settings {
-    /// The part of the configuration that concerns flows and requests.
+    /// Takes the settings for flows and requests from the process configuration.
     pub(crate) fn new(config: &AgentConfig) -> Settings {
         Settings {
             name: config.common.name.clone(),
@@ -85,7 +82,7 @@
             slots: config.slots,
             connections: config.connections,
             reply: config.reply,
-            unproven: MAX_UNPROVEN,
+            max_unvalidated_handshakes: MAX_UNVALIDATED_HANDSHAKES,
         }
     }
 }
@@ -93,123 +90,134 @@
 /// The agent's shared state.
 pub(crate) struct Node {
     pub(crate) settings: Settings,
-    /// Data address as connection IDs carry it.
-    pub(crate) home: SocketAddrV4,
-    pub(crate) data: Arc<DataSocket>,
-    pub(crate) ring: Arc<ArcSwapOption<KeyRing>>,
-    pub(crate) work: Work,
+    /// Data address as encoded in connection IDs.
+    pub(crate) data_address: SocketAddrV4,
+    pub(crate) data_socket: Arc<DataSocket>,
+    pub(crate) key_ring: Arc<ArcSwapOption<KeyRing>>,
+    pub(crate) work: SlotLimiter,
     pub(crate) gate: Mutex<Gate>,
     pub(crate) hints: Mutex<Hints>,
     pub(crate) upstream: Upstream,
-    pub(crate) links: Links,
+    pub(crate) links: LinkCache,
     pub(crate) claims: Mutex<Claims>,
     pub(crate) rosters: Mutex<Rosters>,
-    /// Keyed requests in hand.
-    pub(crate) open: Mutex<BTreeSet<RequestId>>,
-    /// Agents found dead.
-    pub(crate) absent: Absent,
-    /// Flows and requests in progress.
+    /// Requests with an idempotency key that this agent is processing.
+    pub(crate) keyed_requests: Mutex<BTreeSet<RequestId>>,
+    /// Agents that were detected as down.
+    pub(crate) down_agents: DownAgents,
+    /// Tasks of flows and requests in progress.
     pub(crate) tasks: TaskTracker,
     snapshot: ArcSwap<Snapshot>,
     services: Mutex<BTreeMap<ServiceId, Arc<Service>>>,
     flows: Arc<AtomicU32>,
-    epochs: Epochs,
+    epoch_counts: EpochCounts,
     stopping: AtomicBool,
     draining: AtomicBool,
-    drained: AtomicBool,
-    reachable: watch::Sender<bool>,
+    drain_reported: AtomicBool,
+    upstream_reachable: watch::Sender<bool>,
     changed: watch::Sender<u64>,
 }
 
-/// Flows by the epoch of the key that seals their connection IDs.
-type Epochs = Arc<Mutex<BTreeMap<u8, u32>>>;
+/// Number of flows by epoch of the key that encrypts their connection IDs.
+type EpochCounts = Arc<Mutex<BTreeMap<u8, u32>>>;
 
-/// A flow counted at the agent; uncounted when dropped.
+/// Counts an open flow until it is dropped.
 #[derive(Debug)]
-pub(crate) struct FlowCount {
-    all: Arc<AtomicU32>,
-    own: Arc<AtomicU32>,
-    epochs: Epochs,
+pub(crate) struct FlowGuard {
+    total_flows: Arc<AtomicU32>,
+    service_flows: Arc<AtomicU32>,
+    epoch_counts: EpochCounts,
     epoch: u8,
 }
 
-impl FlowCount {
-    fn new(all: &Arc<AtomicU32>, own: &Arc<AtomicU32>, epochs: &Epochs, epoch: u8) -> FlowCount {
-        all.fetch_add(1, Ordering::Relaxed);
-        own.fetch_add(1, Ordering::Relaxed);
-        *epochs.lock().entry(epoch).or_default() += 1;
-        meter::HELD.inc();
-        FlowCount { all: Arc::clone(all), own: Arc::clone(own), epochs: Arc::clone(epochs), epoch }
+impl FlowGuard {
+    fn new(
+        total_flows: &Arc<AtomicU32>,
+        service_flows: &Arc<AtomicU32>,
+        epoch_counts: &EpochCounts,
+        epoch: u8,
+    ) -> FlowGuard {
+        total_flows.fetch_add(1, Ordering::Relaxed);
+        service_flows.fetch_add(1, Ordering::Relaxed);
+        *epoch_counts.lock().entry(epoch).or_default() += 1;
+        metrics::OPEN_FLOWS.inc();
+        FlowGuard {
+            total_flows: Arc::clone(total_flows),
+            service_flows: Arc::clone(service_flows),
+            epoch_counts: Arc::clone(epoch_counts),
+            epoch,
+        }
     }
 }
 
-impl Drop for FlowCount {
+impl Drop for FlowGuard {
     fn drop(&mut self) {
-        self.all.fetch_sub(1, Ordering::Relaxed);
-        self.own.fetch_sub(1, Ordering::Relaxed);
-        let mut epochs = self.epochs.lock();
-        if let Some(count) = epochs.get_mut(&self.epoch) {
+        self.total_flows.fetch_sub(1, Ordering::Relaxed);
+        self.service_flows.fetch_sub(1, Ordering::Relaxed);
+        let mut epoch_counts = self.epoch_counts.lock();
+        if let Some(count) = epoch_counts.get_mut(&self.epoch) {
             *count -= 1;
             if *count == 0 {
-                epochs.remove(&self.epoch);
+                epoch_counts.remove(&self.epoch);
             }
         }
-        drop(epochs);
-        meter::HELD.dec();
+        drop(epoch_counts);
+        metrics::OPEN_FLOWS.dec();
     }
 }
 
 impl Node {
-    /// Binds the data socket.
+    /// Creates the state and binds the data socket. Fails if the data address is not IPv4.
     pub(crate) fn new(settings: Settings, dial: Arc<dyn Dial>) -> anyhow::Result<Arc<Node>> {
-        let data = Arc::new(DataSocket::bind(settings.data)?);
-        let home = seal::sealable(data.local()).context("the data address must be IPv4")?;
+        let data_socket = Arc::new(DataSocket::bind(settings.data)?);
+        let data_address =
+            seal::sealable(data_socket.local_addr()).context("the data address must be IPv4")?;
         Ok(Arc::new(Node {
-            home,
-            data,
-            ring: Arc::default(),
-            work: Work::new(settings.slots),
+            data_address,
+            data_socket,
+            key_ring: Arc::default(),
+            work: SlotLimiter::new(settings.slots),
             gate: Mutex::new(Gate::new()),
             hints: Mutex::new(Hints::new()),
             upstream: Upstream::new(settings.upstream),
-            links: Links::new(dial),
+            links: LinkCache::new(dial),
             claims: Mutex::new(Claims::new()),
             rosters: Mutex::new(Rosters::new(&settings.name)),
-            open: Mutex::default(),
-            absent: Absent::default(),
+            keyed_requests: Mutex::default(),
+            down_agents: DownAgents::default(),
             tasks: TaskTracker::new(),
             snapshot: ArcSwap::default(),
             services: Mutex::default(),
             flows: Arc::default(),
-            epochs: Epochs::default(),
+            epoch_counts: EpochCounts::default(),
             stopping: AtomicBool::new(false),
             draining: AtomicBool::new(false),
-            drained: AtomicBool::new(false),
-            reachable: watch::Sender::new(false),
+            drain_reported: AtomicBool::new(false),
+            upstream_reachable: watch::Sender::new(false),
             changed: watch::Sender::new(0),
             settings,
         }))
     }
 
-    /// Configuration and members in force here.
+    /// Current configuration and membership.
     pub(crate) fn snapshot(&self) -> Arc<Snapshot> {
         self.snapshot.load_full()
     }
 
-    /// Puts a snapshot in force.
+    /// Applies a snapshot to the agent and its services.
     pub(crate) fn apply(self: &Arc<Self>, snapshot: Arc<Snapshot>) {
         self.apply_keys(&snapshot);
-        // Whoever sees an agent as dead must find it among the absent: else it resets flows of one that is only paused.
-        self.absent.add(&snapshot);
+        // Must precede the snapshot: otherwise flows of a down agent are reset even if it is only paused.
+        self.down_agents.add(&snapshot);
         self.snapshot.store(Arc::clone(&snapshot));
-        self.absent.retain(&snapshot);
+        self.down_agents.retain(&snapshot);
         self.rosters.lock().apply(&snapshot, clock::now_ms());
         self.hints.lock().retain(|it| snapshot.agents.contains_key(it));
-        self.refresh();
+        self.update_draining();
         for service in self.services() {
             service.apply(&snapshot, self);
         }
-        self.bump();
+        self.notify_changed();
     }
 
     fn apply_keys(&self, snapshot: &Snapshot) {
@@ -220,111 +228,111 @@
             return;
         }
         let Some(ring) = KeyRing::new(keys) else {
-            event::emit(Id::ConfigRefused, About::new(), "keys/fleet: no key seals");
+            event::emit(Id::ConfigRefused, About::new(), "keys/fleet: no key with use \"seal\"");
             return;
         };
         let epoch = ring.epoch();
-        let former = self.ring.swap(Some(Arc::new(ring)));
-        if former.is_some_and(|it| it.epoch() != epoch) {
-            event::emit(Id::KeyRotated, About::new(), &format!("sealing epoch {epoch}"));
+        let previous = self.key_ring.swap(Some(Arc::new(ring)));
+        if previous.is_some_and(|it| it.epoch() != epoch) {
+            event::emit(Id::KeyRotated, About::new(), &format!("key epoch {epoch}"));
         }
     }
 
-    /// Asks for a graceful stop: no new work from here on.
+    /// Begins a graceful stop: the agent accepts no new work.
     pub(crate) fn stop(&self) {
         self.stopping.store(true, Ordering::SeqCst);
-        self.refresh();
+        self.update_draining();
         let snapshot = self.snapshot();
         for service in self.services() {
             service.apply(&snapshot, self);
         }
     }
 
-    /// Notes whether the upstream accepts connections.
-    pub(crate) fn set_reachable(&self, reachable: bool) {
-        if self.reachable.send_replace(reachable) != reachable {
-            self.bump();
+    /// Records whether the upstream is reachable.
+    pub(crate) fn set_upstream_reachable(&self, upstream_reachable: bool) {
+        if self.upstream_reachable.send_replace(upstream_reachable) != upstream_reachable {
+            self.notify_changed();
         }
     }
 
-    /// Completes when the upstream no longer answers.
-    pub(crate) async fn lost(&self) {
+    /// Completes when the upstream is not reachable.
+    pub(crate) async fn upstream_lost(&self) {
         // The sender lives as long as the node.
-        let _ = self.reachable.subscribe().wait_for(|it| !*it).await;
+        let _ = self.upstream_reachable.subscribe().wait_for(|it| !*it).await;
     }
 
-    /// Signals changes of the agent's own state.
+    /// Receiver that is notified of each change of the agent's state.
     pub(crate) fn changed(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Tells those that follow the agent's state to look again.
-    pub(crate) fn bump(&self) {
+    /// Notifies the receivers of [`Node::changed`].
+    pub(crate) fn notify_changed(&self) {
         self.changed.send_modify(|it| *it += 1);
     }
 
-    /// Whether the agent drains, by a planned change or because it stops.
-    pub(crate) fn drains(&self) -> bool {
+    /// Whether the agent drains, because of a configured change or a stop.
+    pub(crate) fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Whether the agent takes new work.
+    /// Whether the agent accepts new work.
     pub(crate) fn intake(&self) -> Intake {
-        if self.drains() {
+        if self.is_draining() {
             return Intake::Draining;
         }
-        let reachable = *self.reachable.borrow();
-        if reachable && self.gate.lock().is_open(clock::now_ms()) {
+        let upstream_reachable = *self.upstream_reachable.borrow();
+        if upstream_reachable && self.gate.lock().is_open(clock::now_ms()) {
             Intake::Open
         } else {
             Intake::Closed
         }
     }
 
-    /// State to announce.
+    /// State to report to the other members.
     pub(crate) fn state(&self) -> AgentState {
-        const CLOSED_MS: u64 = 3_000;
+        const MAX_CLOSED_MS: u64 = 3_000;
         if self.stopping.load(Ordering::SeqCst) {
             return AgentState::Draining;
         }
-        let closed = self.gate.lock().closed_for(clock::now_ms());
-        if *self.reachable.borrow() && closed < CLOSED_MS {
+        let closed_ms = self.gate.lock().closed_for(clock::now_ms());
+        if *self.upstream_reachable.borrow() && closed_ms < MAX_CLOSED_MS {
             AgentState::Ready
         } else {
             AgentState::Starting
         }
     }
 
-    /// Flows held.
+    /// Number of open flows.
     pub(crate) fn flows(&self) -> u32 {
         self.flows.load(Ordering::Relaxed)
     }
 
-    /// Counts a flow of a service whose own count is `own`.
-    pub(crate) fn count_flow(&self, own: &Arc<AtomicU32>) -> FlowCount {
-        // A flow keeps the connection IDs that it began with, whatever key seals later ones.
-        let epoch = self.ring.load().as_ref().map_or(0, |it| it.epoch());
-        FlowCount::new(&self.flows, own, &self.epochs, epoch)
+    /// Counts a flow, also in the counter of its service.
+    pub(crate) fn count_flow(&self, service_flows: &Arc<AtomicU32>) -> FlowGuard {
+        // A flow keeps the connection IDs issued at its start, also after the key was rotated.
+        let epoch = self.key_ring.load().as_ref().map_or(0, |it| it.epoch());
+        FlowGuard::new(&self.flows, service_flows, &self.epoch_counts, epoch)
     }
 
-    /// Epochs of the keys that flows held here need.
+    /// Epochs of the keys that open flows still use.
     pub(crate) fn epochs(&self) -> Vec<u8> {
-        self.epochs.lock().keys().copied().collect()
+        self.epoch_counts.lock().keys().copied().collect()
     }
 
-    /// The services that flows came for so far.
+    /// The services that have received datagrams so far.
     pub(crate) fn services(&self) -> Vec<Arc<Service>> {
         self.services.lock().values().cloned().collect()
     }
 
-    /// The service with this number; set up at its first datagram.
-    pub(crate) fn service(self: &Arc<Self>, id: ServiceId) -> Option<Arc<Service>> {
+    /// The service with this ID, opened at its first use. None if it is unknown, there are no keys, or opening failed.
+    pub(crate) fn get_or_open_service(self: &Arc<Self>, id: ServiceId) -> Option<Arc<Service>> {
         if let Some(it) = self.services.lock().get(&id) {
             return Some(Arc::clone(it));
         }
         let snapshot = self.snapshot();
         let entry = snapshot.services.get(&id)?;
-        let ring = self.ring.load_full()?;
+        let ring = self.key_ring.load_full()?;
         let mut services = self.services.lock();
         if let Some(it) = services.get(&id) {
             return Some(Arc::clone(it));
@@ -339,19 +347,19 @@
             Err(e) => {
                 drop(services);
                 let about = About::new().with_service(&entry.name);
-                notice::emit(Id::ConfigRefused, about, &format!("{e:#}"));
+                throttled::emit(Id::ConfigRefused, about, &format!("{e:#}"));
                 None
             }
         }
     }
 
-    /// State, for operators.
+    /// Status for the operator API.
     pub(crate) fn status(&self) -> Value {
-        let service = |it: &Arc<Service>| json!({ "name": it.name, "flows": it.flows(), "here": it.is_here(self) });
+        let service = |it: &Arc<Service>| json!({ "name": it.name, "flows": it.flows(), "here": it.is_local(self) });
         let services: Vec<Value> = self.services().iter().map(service).collect();
         json!({
             "state": self.state(),
-            "draining": self.drains(),
+            "draining": self.is_draining(),
             "flows": self.flows(),
             "busy": self.work.busy(),
             "slots": self.work.slots(),
@@ -359,28 +367,28 @@
         })
     }
 
-    /// Says once that a drain is done: no flow and no request is left.
+    /// Reports once that a drain is complete: no flow and no request is left.
     pub(crate) fn report_drained(&self) {
-        let done = self.drains() && self.flows() == 0 && self.work.busy() == 0;
-        if self.drained.swap(done, Ordering::SeqCst) || !done {
+        let done = self.is_draining() && self.flows() == 0 && self.work.busy() == 0;
+        if self.drain_reported.swap(done, Ordering::SeqCst) || !done {
             return;
         }
         let about = About::new().with_upstream(&self.settings.name);
-        event::emit(Id::DrainDone, about, "no flow is left");
+        event::emit(Id::DrainDone, about, "no flow or request is left");
     }
 
-    fn refresh(&self) {
+    fn update_draining(&self) {
         let it = &self.settings;
-        let planned = self.snapshot.load().drains(&it.name, &it.vm, &it.zone);
-        let drains = planned || self.stopping.load(Ordering::SeqCst);
-        let drained = self.draining.swap(drains, Ordering::SeqCst);
-        if drains && !drained {
+        let configured = self.snapshot.load().drains(&it.name, &it.vm, &it.zone);
+        let draining = configured || self.stopping.load(Ordering::SeqCst);
+        let was_draining = self.draining.swap(draining, Ordering::SeqCst);
+        if draining && !was_draining {
             let text = format!("{} flows, {} requests", self.flows(), self.work.busy());
             event::emit(Id::DrainStarted, About::new().with_upstream(&it.name), &text);
         }
-        if drained && !drains {
-            event::emit(Id::DrainEnded, About::new().with_upstream(&it.name), "takes new work");
+        if was_draining && !draining {
+            event::emit(Id::DrainEnded, About::new().with_upstream(&it.name), "accepts new work");
         }
-        self.bump();
+        self.notify_changed();
     }
 }
--- a/crates/daemon/src/agent/quic.rs
+++ b/crates/daemon/src/agent/quic.rs
@@ -1,8 +1,8 @@
-//! QUIC connections of `quinn` as `h3` wants them.
+//! Adapter from `quinn` connections to the traits of `h3`.
 //!
-//! Used instead of the ready-made adapter for three things: a send stream that is dropped half-way resets the stream
-//! instead of ending it, so that no caller takes a part for the whole; one learns when a caller gives up a request
-//! before its answer; and one learns when an answer has arrived.
+//! Unlike the adapter of `h3-quinn`, a send stream that is dropped before its end resets the stream instead of
+//! finishing it, so that a caller never accepts an incomplete response. It also reports when a caller cancels a request
+//! and when a response was delivered.
 
 use std::{
     collections::BTreeMap,
@@ -23,31 +23,31 @@
 use parking_lot::Mutex;
 use quinn::{ReadError, VarInt, WriteError};
 
-type Streams = Result<(quinn::SendStream, quinn::RecvStream), quinn::ConnectionError>;
-type Accepting<T> = Pin<Box<dyn Future<Output = T> + Send + Sync>>;
+type BidiStreams = Result<(quinn::SendStream, quinn::RecvStream), quinn::ConnectionError>;
+type StreamFuture<T> = Pin<Box<dyn Future<Output = T> + Send + Sync>>;
 
-/// Waits until a caller gives up a request, or has got its whole answer.
-pub(crate) struct Ended {
-    waiting: Pin<Box<dyn Future<Output = End> + Send + Sync>>,
-    end: Option<End>,
+/// Waits until a caller cancels a request or has received its complete response.
+pub(crate) struct EndWatcher {
+    waiting: Pin<Box<dyn Future<Output = StreamEnd> + Send + Sync>>,
+    end: Option<StreamEnd>,
 }
 
-impl Ended {
-    /// The end that `waiting` tells.
-    pub(crate) fn new<F>(waiting: F) -> Ended
+impl EndWatcher {
+    /// A watcher for the end that `waiting` returns.
+    pub(crate) fn new<F>(waiting: F) -> EndWatcher
     where
-        F: Future<Output = End> + Send + Sync + 'static,
+        F: Future<Output = StreamEnd> + Send + Sync + 'static,
     {
-        Ended { waiting: Box::pin(waiting), end: None }
+        EndWatcher { waiting: Box::pin(waiting), end: None }
     }
 
-    /// An end that does not come: for a request that is run whatever its caller does.
-    pub(crate) fn never() -> Ended {
-        Ended::new(std::future::pending())
+    /// A watcher that never completes, for a request that continues without its caller.
+    pub(crate) fn never() -> EndWatcher {
+        EndWatcher::new(std::future::pending())
     }
 
-    /// Waits for the end. Can be cancelled and repeated.
-    pub(crate) async fn wait(&mut self) -> End {
+    /// Waits for the end. Cancel safe, and can be called again.
+    pub(crate) async fn wait(&mut self) -> StreamEnd {
         if let Some(end) = self.end {
             return end;
         }
@@ -59,87 +59,87 @@
 
 /// How a request's stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
-    /// The caller has all of the answer.
+pub(crate) enum StreamEnd {
+    /// The caller has acknowledged the complete response.
     Delivered,
-    /// The caller gave up, or its flow is gone.
-    GivenUp,
+    /// The caller cancelled the request, or its connection is closed.
+    Cancelled,
 }
 
-/// The ends of accepted request streams, by stream number, until their requests take them.
+/// Watchers of accepted request streams by stream ID, until their requests take them.
 #[derive(Clone, Default)]
-pub(crate) struct Ends {
-    by_stream: Arc<Mutex<BTreeMap<u64, Ended>>>,
-    delivering: Arc<AtomicUsize>,
+pub(crate) struct EndWatchers {
+    by_stream: Arc<Mutex<BTreeMap<u64, EndWatcher>>>,
+    unacknowledged: Arc<AtomicUsize>,
 }
 
-/// Counts an answer that was sent and not yet acknowledged.
-pub(crate) struct Delivering(Arc<AtomicUsize>);
+/// Counts a response as sent and not acknowledged until it is dropped.
+pub(crate) struct UnacknowledgedGuard(Arc<AtomicUsize>);
 
-impl Drop for Delivering {
+impl Drop for UnacknowledgedGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl Ends {
-    /// Takes the end of a stream.
-    pub(crate) fn take(&self, stream: StreamId) -> Option<Ended> {
+impl EndWatchers {
+    /// Takes the watcher of a stream.
+    pub(crate) fn take(&self, stream: StreamId) -> Option<EndWatcher> {
         self.by_stream.lock().remove(&stream.into_inner())
     }
 
-    /// Notes that an answer was sent to its end.
-    pub(crate) fn delivering(&self) -> Delivering {
-        self.delivering.fetch_add(1, Ordering::Relaxed);
-        Delivering(Arc::clone(&self.delivering))
+    /// Counts a completely sent response.
+    pub(crate) fn track_unacknowledged(&self) -> UnacknowledgedGuard {
+        self.unacknowledged.fetch_add(1, Ordering::Relaxed);
+        UnacknowledgedGuard(Arc::clone(&self.unacknowledged))
     }
 
-    /// Answers that were sent and not yet acknowledged.
+    /// Number of responses sent and not acknowledged.
     pub(crate) fn unacknowledged(&self) -> usize {
-        self.delivering.load(Ordering::Relaxed)
+        self.unacknowledged.load(Ordering::Relaxed)
     }
 
-    fn put(&self, send: &quinn::SendStream) {
+    fn insert(&self, send: &quinn::SendStream) {
         let stopped = send.stopped();
         let ended = async move {
             match stopped.await {
-                Ok(None) => End::Delivered,
-                Ok(Some(_)) | Err(_) => End::GivenUp,
+                Ok(None) => StreamEnd::Delivered,
+                Ok(Some(_)) | Err(_) => StreamEnd::Cancelled,
             }
         };
-        self.by_stream.lock().insert(u64::from(send.id()), Ended::new(ended));
+        self.by_stream.lock().insert(u64::from(send.id()), EndWatcher::new(ended));
     }
 }
 
 /// A QUIC connection.
 pub(crate) struct Connection {
     conn: quinn::Connection,
-    bidi: Accepting<Streams>,
-    uni: Accepting<Result<quinn::RecvStream, quinn::ConnectionError>>,
-    opener: Opener,
-    ends: Ends,
+    bidi: StreamFuture<BidiStreams>,
+    uni: StreamFuture<Result<quinn::RecvStream, quinn::ConnectionError>>,
+    opener: StreamOpener,
+    ends: EndWatchers,
 }
 
 impl Connection {
-    /// Wraps a connection; the ends of its request streams are put into `ends`.
-    pub(crate) fn new(conn: quinn::Connection, ends: Ends) -> Connection {
+    /// Wraps a connection; the watchers of its request streams are inserted into `ends`.
+    pub(crate) fn new(conn: quinn::Connection, ends: EndWatchers) -> Connection {
         Connection {
             bidi: accept_bidi(conn.clone()),
             uni: accept_uni(conn.clone()),
-            opener: Opener::new(conn.clone()),
+            opener: StreamOpener::new(conn.clone()),
             conn,
             ends,
         }
     }
 }
 
-fn accept_bidi(conn: quinn::Connection) -> Accepting<Streams> {
+fn accept_bidi(conn: quinn::Connection) -> StreamFuture<BidiStreams> {
     Box::pin(async move { conn.accept_bi().await })
 }
 
 fn accept_uni(
     conn: quinn::Connection,
-) -> Accepting<Result<quinn::RecvStream, quinn::ConnectionError>> {
+) -> StreamFuture<Result<quinn::RecvStream, quinn::ConnectionError>> {
     Box::pin(async move { conn.accept_uni().await })
 }
 
@@ -148,7 +148,7 @@
     B: Buf,
 {
     type RecvStream = RecvStream;
-    type OpenStreams = Opener;
+    type OpenStreams = StreamOpener;
 
     fn poll_accept_recv(
         &mut self,
@@ -166,12 +166,12 @@
         let accepted = ready!(self.bidi.as_mut().poll(cx));
         self.bidi = accept_bidi(self.conn.clone());
         let (send, recv) = accepted.map_err(connection_error)?;
-        self.ends.put(&send);
+        self.ends.insert(&send);
         Poll::Ready(Ok(BidiStream { send: SendStream::new(send), recv: RecvStream::new(recv) }))
     }
 
     fn opener(&self) -> Self::OpenStreams {
-        Opener::new(self.conn.clone())
+        StreamOpener::new(self.conn.clone())
     }
 }
 
@@ -202,19 +202,19 @@
 }
 
 /// Opens streams of a connection.
-pub(crate) struct Opener {
+pub(crate) struct StreamOpener {
     conn: quinn::Connection,
-    bidi: Option<Accepting<Streams>>,
-    uni: Option<Accepting<Result<quinn::SendStream, quinn::ConnectionError>>>,
+    bidi: Option<StreamFuture<BidiStreams>>,
+    uni: Option<StreamFuture<Result<quinn::SendStream, quinn::ConnectionError>>>,
 }
 
-impl Opener {
-    fn new(conn: quinn::Connection) -> Opener {
-        Opener { conn, bidi: None, uni: None }
+impl StreamOpener {
+    fn new(conn: quinn::Connection) -> StreamOpener {
+        StreamOpener { conn, bidi: None, uni: None }
     }
 }
 
-impl<B> quic::OpenStreams<B> for Opener
+impl<B> quic::OpenStreams<B> for StreamOpener
 where
     B: Buf,
 {
@@ -232,7 +232,7 @@
         });
         let opened = ready!(open.as_mut().poll(cx));
         self.bidi = None;
-        let (send, recv) = opened.map_err(stream_lost)?;
+        let (send, recv) = opened.map_err(stream_connection_error)?;
         Poll::Ready(Ok(BidiStream { send: SendStream::new(send), recv: RecvStream::new(recv) }))
     }
 
@@ -247,7 +247,7 @@
         });
         let opened = ready!(open.as_mut().poll(cx));
         self.uni = None;
-        Poll::Ready(opened.map(SendStream::new).map_err(stream_lost))
+        Poll::Ready(opened.map(SendStream::new).map_err(stream_connection_error))
     }
 
     fn close(&mut self, code: Code, reason: &[u8]) {
@@ -255,7 +255,7 @@
     }
 }
 
-/// A stream in both directions.
+/// A bidirectional stream.
 pub(crate) struct BidiStream<B>
 where
     B: Buf,
@@ -326,7 +326,7 @@
     }
 }
 
-/// The sending side of a stream. Dropped before it was finished or reset, it resets the stream.
+/// The sending side of a stream. Resets the stream if it is dropped before it was finished or reset.
 pub(crate) struct SendStream<B>
 where
     B: Buf,
@@ -352,7 +352,7 @@
     fn drop(&mut self) {
         if !self.ended {
             let code = var_int(Code::H3_INTERNAL_ERROR.value());
-            // An error says that the stream has ended already.
+            // Fails only if the stream has ended already.
             let _ = self.stream.reset(code);
         }
     }
@@ -379,7 +379,7 @@
         T: Into<WriteBuf<B>>,
     {
         if self.writing.is_some() {
-            let reason = "data sent before the former was written".to_owned();
+            let reason = "send_data was called before the previous data was written".to_owned();
             let connection_error = ConnectionErrorIncoming::InternalError(reason);
             return Err(StreamErrorIncoming::ConnectionErrorIncoming { connection_error });
         }
@@ -396,7 +396,7 @@
 
     fn reset(&mut self, reset_code: u64) {
         self.ended = true;
-        // An error says that the stream has ended already.
+        // Fails only if the stream has ended already.
         let _ = self.stream.reset(var_int(reset_code));
     }
 
@@ -429,7 +429,7 @@
     }
 
     fn stop_sending(&mut self, error_code: u64) {
-        // An error says that the stream has ended already.
+        // Fails only if the stream has ended already.
         let _ = self.stream.stop(var_int(error_code));
     }
 
@@ -447,7 +447,7 @@
 }
 
 fn stream_id(id: quinn::StreamId) -> StreamId {
-    u64::from(id).try_into().expect("a stream number of QUIC is one of HTTP/3")
+    u64::from(id).try_into().expect("a QUIC stream ID is a valid HTTP/3 stream ID")
 }
 
 fn connection_error(e: quinn::ConnectionError) -> ConnectionErrorIncoming {
@@ -460,7 +460,7 @@
     }
 }
 
-fn stream_lost(e: quinn::ConnectionError) -> StreamErrorIncoming {
+fn stream_connection_error(e: quinn::ConnectionError) -> StreamErrorIncoming {
     StreamErrorIncoming::ConnectionErrorIncoming { connection_error: connection_error(e) }
 }
 
@@ -469,7 +469,7 @@
         ReadError::Reset(code) => {
             StreamErrorIncoming::StreamTerminated { error_code: code.into_inner() }
         }
-        ReadError::ConnectionLost(e) => stream_lost(e),
+        ReadError::ConnectionLost(e) => stream_connection_error(e),
         other => StreamErrorIncoming::Unknown(Box::new(other)),
     }
 }
@@ -479,7 +479,7 @@
         WriteError::Stopped(code) => {
             StreamErrorIncoming::StreamTerminated { error_code: code.into_inner() }
         }
-        WriteError::ConnectionLost(e) => stream_lost(e),
+        WriteError::ConnectionLost(e) => stream_connection_error(e),
         other => StreamErrorIncoming::Unknown(Box::new(other)),
     }
 }
--- a/crates/daemon/src/agent/request.rs
+++ b/crates/daemon/src/agent/request.rs
@@ -1,4 +1,4 @@
-//! One request of a flow, from its head to its final answer.
+//! Handling of one request, from its head to its final response.
 
 use std::{
     sync::Arc,
@@ -20,13 +20,13 @@
 use tokio::time;
 
 use super::{
-    body::{Body, Inlet, Outlet, Way},
-    claim::{self, BadKey, Verdict},
-    handover, local, meter,
+    body::{BodySource, RequestBody, ResponseTarget, ResponseWriter},
+    claim::{self, BadKey, ClaimOutcome},
+    handover, local, metrics,
     node::Node,
-    notice,
-    quic::{BidiStream, Connection, Ended, Ends},
+    quic::{BidiStream, Connection, EndWatcher, EndWatchers},
     service::Service,
+    throttled,
 };
 use crate::{
     clock,
@@ -39,7 +39,7 @@
 const OUTCOME: HeaderName = HeaderName::from_static("camphorwinch-outcome");
 const UPSTREAM: HeaderName = HeaderName::from_static("camphorwinch-upstream");
 const AGENT: HeaderName = HeaderName::from_static("camphorwinch-agent");
-const OWN_PREFIX: &str = "camphorwinch-";
+const RESERVED_PREFIX: &str = "camphorwinch-";
 const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "expect",
@@ -50,54 +50,56 @@
     "transfer-encoding",
     "upgrade",
 ];
-/// Time after the deadline in which an upstream may still say that it passed.
-const OVERDUE_MS: u64 = 500;
-/// Time after which a request may be asked again whose key is in use.
-const REPEAT_MS: u64 = 1_000;
-const MAX_DEADLINE_MS: u64 = 24 * 3_600 * 1_000;
+/// Time after the deadline in which the upstream can still respond that it was exceeded.
+const DEADLINE_GRACE_MS: u64 = 500;
+/// Retry delay sent to a caller whose idempotency key is in use.
+const KEY_RETRY_MS: u64 = 1_000;
+const MAX_TIMEOUT_MS: u64 = 24 * 3_600 * 1_000;
 
-/// What is asked for.
-pub(crate) struct Ask {
+/// Head of a request.
+pub(crate) struct RequestHead {
     pub(crate) id: RequestId,
     pub(crate) method: Method,
     pub(crate) path: String,
     pub(crate) headers: HeaderMap,
+    /// In milliseconds since the Unix epoch.
     pub(crate) deadline: Option<u64>,
+    /// Number of agents that forwarded the request before.
     pub(crate) hop: u8,
 }
 
-impl Ask {
-    /// Reads the head of a caller's request.
-    fn new(parts: Parts) -> Ask {
+impl RequestHead {
+    /// Builds the head of a request that a caller sent.
+    fn new(parts: Parts) -> RequestHead {
         let mut headers = parts.headers;
-        let given = headers.get(DEADLINE).and_then(|it| it.to_str().ok()?.parse::<u64>().ok());
-        let deadline = given.map(|it| clock::now_ms() + it.min(MAX_DEADLINE_MS));
-        strip(&mut headers);
+        let timeout_ms = headers.get(DEADLINE).and_then(|it| it.to_str().ok()?.parse::<u64>().ok());
+        let deadline = timeout_ms.map(|it| clock::now_ms() + it.min(MAX_TIMEOUT_MS));
+        strip_headers(&mut headers);
         if let Some(authority) = parts.uri.authority() {
             if let Ok(host) = HeaderValue::from_str(authority.as_str()) {
                 headers.insert(header::HOST, host);
             }
         }
         let path = parts.uri.path_and_query().map_or("/", |it| it.as_str()).to_owned();
-        Ask { id: rand::random(), method: parts.method, path, headers, deadline, hop: 0 }
+        RequestHead { id: rand::random(), method: parts.method, path, headers, deadline, hop: 0 }
     }
 
-    /// The request's number as text.
+    /// The request ID in hexadecimal.
     pub(crate) fn id_text(&self) -> String {
         format!("{:032x}", self.id)
     }
 
-    /// Whether running it twice has the same effect as once.
+    /// Whether the method is idempotent.
     pub(crate) fn is_idempotent(&self) -> bool {
         self.method.is_idempotent()
     }
 
-    /// Length of the body, if the head tells.
+    /// Value of `Content-Length`, if present.
     pub(crate) fn length(&self) -> Option<u64> {
         self.headers.get(header::CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
     }
 
-    /// Whether a body follows the head.
+    /// Whether the request has a body; without a length, judged by the method.
     fn has_body(&self) -> bool {
         match self.length() {
             Some(len) => len != 0,
@@ -105,32 +107,32 @@
         }
     }
 
-    /// Header fields for the upstream.
+    /// Headers of the request to the upstream.
     pub(crate) fn upstream_headers(&self, service: &Service) -> HeaderMap {
         let mut headers = self.headers.clone();
-        put(&mut headers, SERVICE, &service.name);
-        put(&mut headers, REQUEST, &self.id_text());
+        set_header(&mut headers, SERVICE, &service.name);
+        set_header(&mut headers, REQUEST, &self.id_text());
         if let Some(deadline) = self.deadline {
-            let left = deadline.saturating_sub(clock::now_ms());
-            put(&mut headers, DEADLINE, &left.to_string());
+            let remaining_ms = deadline.saturating_sub(clock::now_ms());
+            set_header(&mut headers, DEADLINE, &remaining_ms.to_string());
         }
         headers
     }
 }
 
-/// Completes when no answer is worth waiting for: some time after the caller's deadline.
-pub(crate) async fn overdue(deadline: Option<u64>) {
+/// Completes shortly after the caller's deadline, or never if there is none.
+pub(crate) async fn past_deadline(deadline: Option<u64>) {
     match deadline {
         Some(deadline) => {
-            let left = (deadline + OVERDUE_MS).saturating_sub(clock::now_ms());
-            time::sleep(Duration::from_millis(left)).await;
+            let remaining_ms = (deadline + DEADLINE_GRACE_MS).saturating_sub(clock::now_ms());
+            time::sleep(Duration::from_millis(remaining_ms)).await;
         }
         None => std::future::pending().await,
     }
 }
 
-/// Removes fields that concern one connection only, and those that only the system may set.
-pub(crate) fn strip(headers: &mut HeaderMap) {
+/// Removes hop-by-hop headers and those reserved for the load balancer.
+pub(crate) fn strip_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -144,35 +146,35 @@
     for name in HOP_BY_HOP {
         headers.remove(name);
     }
-    let own: Vec<HeaderName> =
-        headers.keys().filter(|it| it.as_str().starts_with(OWN_PREFIX)).cloned().collect();
-    for name in own {
+    let reserved: Vec<HeaderName> =
+        headers.keys().filter(|it| it.as_str().starts_with(RESERVED_PREFIX)).cloned().collect();
+    for name in reserved {
         headers.remove(name);
     }
 }
 
-pub(crate) fn put(headers: &mut HeaderMap, name: HeaderName, value: &str) {
+pub(crate) fn set_header(headers: &mut HeaderMap, name: HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
 }
 
-/// A request on its course.
-pub(crate) struct Course {
+/// A request in progress.
+pub(crate) struct RequestContext {
     pub(crate) node: Arc<Node>,
     pub(crate) service: Arc<Service>,
-    pub(crate) ask: Ask,
+    pub(crate) head: RequestHead,
     dispatch: Dispatch,
-    since: Instant,
+    started: Instant,
 }
 
-impl Course {
-    /// A request that has just arrived.
-    pub(crate) fn new(node: Arc<Node>, service: Arc<Service>, ask: Ask) -> Course {
+impl RequestContext {
+    /// Starts the handling of a request that has just arrived.
+    pub(crate) fn new(node: Arc<Node>, service: Arc<Service>, head: RequestHead) -> RequestContext {
         let request =
-            Request { idempotent: ask.is_idempotent(), hop: ask.hop, deadline: ask.deadline };
+            Request { idempotent: head.is_idempotent(), hop: head.hop, deadline: head.deadline };
         let dispatch = Dispatch::new(request);
-        Course { node, service, ask, dispatch, since: Instant::now() }
+        RequestContext { node, service, head, dispatch, started: Instant::now() }
     }
 
     fn start(&mut self) -> Step {
@@ -183,21 +185,22 @@
         self.decide(Some(report))
     }
 
-    /// The answer's head came: from here on the answer is passed on. False if the request had its answer already.
-    pub(crate) fn head(&mut self) -> bool {
-        if self.ask.hop == 0 {
-            meter::ANSWERED.observe(self.since.elapsed().as_secs_f64());
+    /// Records that the head of a response arrived. False if the request was answered already.
+    pub(crate) fn on_response_head(&mut self) -> bool {
+        if self.head.hop == 0 {
+            metrics::RESPONSE_SECONDS.observe(self.started.elapsed().as_secs_f64());
         }
         self.next(Report::Head) == Step::Answer(Outcome::Relay)
     }
 
     fn decide(&mut self, report: Option<Report>) -> Step {
-        let local = self.node.intake() == Intake::Open && self.service.is_here(&self.node);
-        let calm = matches!(report, None | Some(Report::Slot | Report::Head | Report::Cancelled));
+        let local = self.node.intake() == Intake::Open && self.service.is_local(&self.node);
+        let no_failure =
+            matches!(report, None | Some(Report::Slot | Report::Head | Report::Cancelled));
         let snapshot = self.node.snapshot();
         let now = clock::now_ms();
         let policy = self.service.entry().spec.policy;
-        let peers = if calm && local {
+        let peers = if no_failure && local {
             Vec::new()
         } else {
             let own = &self.node.settings;
@@ -212,7 +215,7 @@
                     weight: snapshot.weight(self.service.id, it),
                 })
                 .collect();
-            self.node.hints.lock().draw(&peers, policy, self.ask.id as u64 ^ now, now)
+            self.node.hints.lock().draw(&peers, policy, self.head.id as u64 ^ now, now)
         };
         let mut budget = self.service.budget.lock();
         let mut view = View { now, local, peers: &peers, budget: &mut budget, policy };
@@ -222,147 +225,164 @@
         }
     }
 
-    /// Whether an upstream may have begun the request.
+    /// Whether an upstream may have started the request.
     fn may_have_begun(&self) -> bool {
         self.dispatch.may_have_begun()
     }
 
-    /// Header fields of an answer to the caller.
-    pub(crate) fn answer_headers(&self, headers: &mut HeaderMap, upstream: Option<&str>) {
-        put(headers, SERVICE, &self.service.name);
-        put(headers, REQUEST, &self.ask.id_text());
-        put(headers, AGENT, &self.node.settings.name);
+    /// Adds the load balancer's headers to a response.
+    pub(crate) fn add_response_headers(&self, headers: &mut HeaderMap, upstream: Option<&str>) {
+        set_header(headers, SERVICE, &self.service.name);
+        set_header(headers, REQUEST, &self.head.id_text());
+        set_header(headers, AGENT, &self.node.settings.name);
         if let Some(upstream) = upstream {
-            put(headers, UPSTREAM, upstream);
+            set_header(headers, UPSTREAM, upstream);
         }
     }
 }
 
-/// Serves a request of a flow. It is rejected if the flow has told its caller so before.
+/// Handles a request of a flow. One that is not `accepted` because of GOAWAY is rejected.
 pub(crate) async fn serve(
     node: Arc<Node>,
     service: Arc<Service>,
     resolver: RequestResolver<Connection, Bytes>,
-    ends: Ends,
-    taken: bool,
+    ends: EndWatchers,
+    accepted: bool,
 ) {
     let (request, mut stream) = match resolver.resolve_request().await {
         Ok(it) => it,
         Err(e) => {
-            meter::count(&meter::REQUESTS, "malformed");
-            tracing::debug!("request head on a flow of {}: {e}", service.name);
+            metrics::count(&metrics::REQUESTS, "malformed");
+            tracing::debug!("read a request head on a flow of service {}: {e}", service.name);
             return;
         }
     };
-    let Some(mut ended) = ends.take(stream.id()) else {
+    let Some(mut end_watcher) = ends.take(stream.id()) else {
         return;
     };
-    if !taken {
-        meter::count(&meter::REQUESTS, "rejected");
+    if !accepted {
+        metrics::count(&metrics::REQUESTS, "rejected");
         stream.stop_sending(Code::H3_REQUEST_REJECTED);
         stream.stop_stream(Code::H3_REQUEST_REJECTED);
         return;
     }
-    let ask = Ask::new(request.into_parts().0);
-    run(Course::new(node, service, ask), stream, &ends, &mut ended).await;
+    let head = RequestHead::new(request.into_parts().0);
+    run(RequestContext::new(node, service, head), stream, &ends, &mut end_watcher).await;
 }
 
 async fn run(
-    mut course: Course,
+    mut context: RequestContext,
     stream: RequestStream<BidiStream<Bytes>, Bytes>,
-    ends: &Ends,
-    ended: &mut Ended,
+    ends: &EndWatchers,
+    end_watcher: &mut EndWatcher,
 ) {
     let (send, recv) = stream.split();
-    let mut outlet = Outlet::new(Way::Flow(Box::new(send)));
-    let mut body = Body::new(Inlet::Flow(recv), course.ask.has_body());
-    match claim::key(&course.ask, course.service.id) {
+    let mut writer = ResponseWriter::new(ResponseTarget::Flow(Box::new(send)));
+    let mut body = RequestBody::new(BodySource::Flow(recv), context.head.has_body());
+    match claim::idempotency_key(&context.head, context.service.id) {
         Ok(None) => {
-            let outcome = carry(&mut course, &mut body, &mut outlet, ended).await;
-            answer(&course, &mut outlet, outcome.unwrap_or(Outcome::Relay)).await;
+            let outcome = execute(&mut context, &mut body, &mut writer, end_watcher).await;
+            send_outcome(&context, &mut writer, outcome.unwrap_or(Outcome::Relay)).await;
         }
-        Err(BadKey) => repeat(&course, &mut outlet, Verdict::BadKey).await,
-        Ok(Some(key)) => run_once(&mut course, key, &mut body, &mut outlet).await,
+        Err(BadKey) => send_claim_outcome(&context, &mut writer, ClaimOutcome::BadKey).await,
+        Ok(Some(key)) => run_once(&mut context, key, &mut body, &mut writer).await,
     }
     body.close();
-    if outlet.is_finished() {
-        // The flow may be closed only after the caller has the answer.
-        let _delivering = ends.delivering();
-        ended.wait().await;
+    if writer.is_finished() {
+        // The flow may be closed only after the caller has acknowledged the response.
+        let _guard = ends.track_unacknowledged();
+        end_watcher.wait().await;
     }
 }
 
-/// Runs a request under an idempotency key, unless one has run under it before. It runs to its end whatever its caller
-/// does, since the caller may ask again.
-async fn run_once(course: &mut Course, key: ClaimKey, body: &mut Body, outlet: &mut Outlet) {
-    let held = match claim::claim(course, key).await {
-        Verdict::Run(held) => held,
+/// Runs a request with an idempotency key at most once. A caller that disconnects doesn't cancel it, since it may retry
+/// with the same key.
+async fn run_once(
+    context: &mut RequestContext,
+    key: ClaimKey,
+    body: &mut RequestBody,
+    writer: &mut ResponseWriter,
+) {
+    let held = match claim::claim(context, key).await {
+        ClaimOutcome::Run(held) => held,
         other => {
-            repeat(course, outlet, other).await;
+            send_claim_outcome(context, writer, other).await;
             return;
         }
     };
-    outlet.keep();
-    let outcome = carry(course, body, outlet, &mut Ended::never()).await;
+    writer.record();
+    let outcome = execute(context, body, writer, &mut EndWatcher::never()).await;
     let state = match outcome {
         Some(Outcome::NotRun { .. }) => None,
-        Some(Outcome::Cancelled) if !course.may_have_begun() => None,
+        Some(Outcome::Cancelled) if !context.may_have_begun() => None,
         Some(_) => Some(State::Unknown),
-        None => Some(outlet.kept().map_or(State::Unknown, |it| State::Done(Arc::new(it)))),
+        None => Some(writer.take_recorded().map_or(State::Unknown, |it| State::Done(Arc::new(it)))),
     };
-    held.settle(&course.node, state);
-    answer(course, outlet, outcome.unwrap_or(Outcome::Relay)).await;
+    held.resolve(&context.node, state);
+    send_outcome(context, writer, outcome.unwrap_or(Outcome::Relay)).await;
 }
 
-/// Answers a request that does not run, because of its key.
-async fn repeat(course: &Course, outlet: &mut Outlet, verdict: Verdict) {
+/// Responds to a request that is not run because of its idempotency key.
+async fn send_claim_outcome(
+    context: &RequestContext,
+    writer: &mut ResponseWriter,
+    outcome: ClaimOutcome,
+) {
     let about =
-        || About::new().with_service(&course.service.name).with_request(&course.ask.id_text());
+        || About::new().with_service(&context.service.name).with_request(&context.head.id_text());
     let mut headers = HeaderMap::new();
-    let (status, body) = match verdict {
-        Verdict::Repeat(kept) => {
-            notice::emit(Id::ClaimRepeated, about(), "answered as before");
-            meter::count(&meter::REQUESTS, "repeated");
-            headers = kept_headers(&kept);
-            put(&mut headers, AGENT, &course.node.settings.name);
-            (StatusCode::from_u16(kept.status), kept.body.clone())
+    let (status, body) = match outcome {
+        ClaimOutcome::Replay(response) => {
+            throttled::emit(Id::ClaimRepeated, about(), "sent the stored response");
+            metrics::count(&metrics::REQUESTS, "repeated");
+            headers = stored_headers(&response);
+            set_header(&mut headers, AGENT, &context.node.settings.name);
+            (StatusCode::from_u16(response.status), response.body.clone())
         }
-        Verdict::Mismatch => {
-            notice::emit(Id::ClaimRepeated, about(), "the key was used for something else");
-            meter::count(&meter::REQUESTS, "key-mismatch");
-            course.answer_headers(&mut headers, None);
-            put(&mut headers, OUTCOME, "not-run");
+        ClaimOutcome::Mismatch => {
+            throttled::emit(Id::ClaimRepeated, about(), "the key was used for a different request");
+            metrics::count(&metrics::REQUESTS, "key-mismatch");
+            context.add_response_headers(&mut headers, None);
+            set_header(&mut headers, OUTCOME, "not-run");
             (Ok(StatusCode::UNPROCESSABLE_ENTITY), Vec::new())
         }
-        Verdict::BadKey => {
-            meter::count(&meter::REQUESTS, "bad-key");
-            course.answer_headers(&mut headers, None);
-            put(&mut headers, OUTCOME, "not-run");
+        ClaimOutcome::BadKey => {
+            metrics::count(&metrics::REQUESTS, "bad-key");
+            context.add_response_headers(&mut headers, None);
+            set_header(&mut headers, OUTCOME, "not-run");
             (Ok(StatusCode::BAD_REQUEST), Vec::new())
         }
-        Verdict::Unknown => {
-            notice::emit(Id::ClaimRepeated, about(), "an earlier request may have run");
-            return answer(course, outlet, Outcome::Unknown { retry_ms: REPEAT_MS }).await;
+        ClaimOutcome::Unknown => {
+            throttled::emit(
+                Id::ClaimRepeated,
+                about(),
+                "an earlier request with this key may have run",
+            );
+            return send_outcome(context, writer, Outcome::Unknown { retry_ms: KEY_RETRY_MS })
+                .await;
         }
-        // The earlier request may yet run: a caller that took this for "not run" could ask again under another key.
-        Verdict::Running => {
-            return answer(course, outlet, Outcome::Unknown { retry_ms: REPEAT_MS }).await;
+        // Not "not-run": the earlier request may still run, and the caller could retry with another key.
+        ClaimOutcome::InProgress => {
+            return send_outcome(context, writer, Outcome::Unknown { retry_ms: KEY_RETRY_MS })
+                .await;
         }
-        Verdict::Run(_) | Verdict::Unavailable => {
-            return answer(course, outlet, Outcome::NotRun { retry_ms: REPEAT_MS }).await;
+        ClaimOutcome::Run(_) | ClaimOutcome::Unavailable => {
+            return send_outcome(context, writer, Outcome::NotRun { retry_ms: KEY_RETRY_MS }).await;
         }
     };
-    put(&mut headers, header::CONTENT_LENGTH, &body.len().to_string());
+    set_header(&mut headers, header::CONTENT_LENGTH, &body.len().to_string());
     let status = status.unwrap_or(StatusCode::OK);
-    // If the caller has gone meanwhile, nobody waits for the answer.
-    if outlet.head(status, &headers, "").await.is_ok() && outlet.data(body.into()).await.is_ok() {
-        let _ = outlet.finish().await;
+    // Errors mean that the caller has disconnected.
+    if writer.send_head(status, &headers, "").await.is_ok()
+        && writer.send_data(body.into()).await.is_ok()
+    {
+        let _ = writer.finish().await;
     }
 }
 
-fn kept_headers(kept: &Answer) -> HeaderMap {
+fn stored_headers(response: &Answer) -> HeaderMap {
     let mut headers = HeaderMap::new();
-    for (name, value) in &kept.headers {
+    for (name, value) in &response.headers {
         let name = HeaderName::from_bytes(name.as_bytes());
         if let (Ok(name), Ok(value)) = (name, HeaderValue::from_bytes(value)) {
             headers.append(name, value);
@@ -371,66 +391,67 @@
     headers
 }
 
-/// Carries out steps until the answer is passed on (none) or there is another outcome.
-pub(crate) async fn carry(
-    course: &mut Course,
-    body: &mut Body,
-    outlet: &mut Outlet,
-    ended: &mut Ended,
+/// Executes the steps of a request. None if a response was relayed, otherwise the outcome to report.
+pub(crate) async fn execute(
+    context: &mut RequestContext,
+    body: &mut RequestBody,
+    writer: &mut ResponseWriter,
+    end_watcher: &mut EndWatcher,
 ) -> Option<Outcome> {
     let mut slot = None;
-    let mut step = course.start();
+    let mut step = context.start();
     loop {
         let report = match step {
             Step::Answer(outcome) => return Some(outcome),
             Step::Take { wait_ms } => tokio::select! {
-                taken = course.node.work.take(wait_ms) => {
-                    slot = taken;
+                acquired = context.node.work.acquire(wait_ms) => {
+                    slot = acquired;
                     if slot.is_some() { Report::Slot } else { Report::Full }
                 }
-                _ = ended.wait() => Report::Cancelled,
+                _ = end_watcher.wait() => Report::Cancelled,
             },
             Step::Run => match slot.take() {
-                Some(slot) => local::run(course, body, outlet, ended, slot).await?,
+                Some(slot) => local::run(context, body, writer, end_watcher, slot).await?,
                 None => Report::Refused { retry_ms: 0 },
             },
-            Step::Offer { to } => handover::offer(course, &to, body, outlet, ended).await?,
+            Step::Offer { to } => handover::offer(context, &to, body, writer, end_watcher).await?,
         };
         if report != Report::Slot {
             slot = None;
         }
-        step = course.next(report);
+        step = context.next(report);
     }
 }
 
-async fn answer(course: &Course, outlet: &mut Outlet, outcome: Outcome) {
+/// Sends the response for an outcome other than a relayed response.
+async fn send_outcome(context: &RequestContext, writer: &mut ResponseWriter, outcome: Outcome) {
     let about =
-        || About::new().with_service(&course.service.name).with_request(&course.ask.id_text());
-    let (status, told, retry_ms) = match outcome {
+        || About::new().with_service(&context.service.name).with_request(&context.head.id_text());
+    let (status, outcome_name, retry_ms) = match outcome {
         Outcome::Relay => return,
         Outcome::NotRun { retry_ms } => {
-            meter::count(&meter::REQUESTS, "not-run");
-            notice::emit(Id::RequestRefused, about(), "no upstream took it");
+            metrics::count(&metrics::REQUESTS, "not-run");
+            throttled::emit(Id::RequestRefused, about(), "no upstream accepted it");
             (StatusCode::SERVICE_UNAVAILABLE, "not-run", retry_ms)
         }
         Outcome::Unknown { retry_ms } => {
-            meter::count(&meter::REQUESTS, "unknown");
-            notice::emit(Id::RequestUnknown, about(), "an upstream may have run it");
+            metrics::count(&metrics::REQUESTS, "unknown");
+            throttled::emit(Id::RequestUnknown, about(), "an upstream may have run it");
             (StatusCode::BAD_GATEWAY, "unknown", retry_ms)
         }
         Outcome::Cancelled => {
-            meter::count(&meter::REQUESTS, "cancelled");
-            outlet.reset(Code::H3_REQUEST_CANCELLED);
+            metrics::count(&metrics::REQUESTS, "cancelled");
+            writer.reset(Code::H3_REQUEST_CANCELLED);
             return;
         }
     };
     let mut headers = HeaderMap::new();
-    course.answer_headers(&mut headers, None);
-    put(&mut headers, OUTCOME, told);
-    put(&mut headers, header::RETRY_AFTER, &retry_ms.div_ceil(1_000).to_string());
-    put(&mut headers, header::CONTENT_LENGTH, "0");
-    // If the caller has gone meanwhile, nobody waits for the answer.
-    if outlet.head(status, &headers, "").await.is_ok() {
-        let _ = outlet.finish().await;
+    context.add_response_headers(&mut headers, None);
+    set_header(&mut headers, OUTCOME, outcome_name);
+    set_header(&mut headers, header::RETRY_AFTER, &retry_ms.div_ceil(1_000).to_string());
+    set_header(&mut headers, header::CONTENT_LENGTH, "0");
+    // Errors mean that the caller has disconnected.
+    if writer.send_head(status, &headers, "").await.is_ok() {
+        let _ = writer.finish().await;
     }
 }
--- a/crates/daemon/src/agent/rosters.rs
+++ b/crates/daemon/src/agent/rosters.rs
@@ -1,4 +1,4 @@
-//! The rosters of all services, kept up to date with each snapshot.
+//! The rosters of all services, updated with each snapshot.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,24 +14,25 @@
 #[derive(Debug)]
 pub(crate) struct Rosters {
     me: String,
-    services: BTreeMap<ServiceId, Entry>,
+    services: BTreeMap<ServiceId, ServiceRoster>,
 }
 
 #[derive(Debug)]
-struct Entry {
+struct ServiceRoster {
     roster: Roster,
+    /// Time that idempotency keys are remembered, in milliseconds.
     window: u64,
-    /// Pools that the service had, the present one included.
+    /// The current and all earlier pools of the service.
     pools: BTreeSet<String>,
 }
 
 impl Rosters {
-    /// No rosters yet, at the agent named `me`.
+    /// Creates the rosters of the agent named `me`, without any service.
     pub(crate) fn new(me: &str) -> Rosters {
         Rosters { me: me.to_owned(), services: BTreeMap::new() }
     }
 
-    /// Takes in a snapshot.
+    /// Updates the rosters with a snapshot.
     pub(crate) fn apply(&mut self, snapshot: &Snapshot, now: u64) {
         self.services.retain(|id, _| snapshot.services.contains_key(id));
         for (id, service) in &snapshot.services {
@@ -39,41 +40,46 @@
             if let Some(it) = self.services.get_mut(id) {
                 it.window = window;
                 it.pools.insert(service.spec.pool.clone());
-                it.roster.update(now, window, &seen(snapshot, service, &it.pools));
+                it.roster.update(now, window, &live_members(snapshot, service, &it.pools));
                 continue;
             }
             let pools = BTreeSet::from([service.spec.pool.clone()]);
-            let roster = Roster::new(&self.me, now, &seen(snapshot, service, &pools));
-            self.services.insert(*id, Entry { roster, window, pools });
+            let roster = Roster::new(&self.me, now, &live_members(snapshot, service, &pools));
+            self.services.insert(*id, ServiceRoster { roster, window, pools });
         }
     }
 
-    /// Takes note that this process was paused.
-    pub(crate) fn wake(&mut self, now: u64) {
+    /// Records that this process was paused until `now`.
+    pub(crate) fn record_pause(&mut self, now: u64) {
         for it in self.services.values_mut() {
             it.roster.wake(&self.me, now);
         }
     }
 
-    /// Whether the members of the key's service have not changed for the time that a key is remembered.
-    pub(crate) fn is_settled(&self, key: &ClaimKey, now: u64) -> bool {
+    /// Whether the membership of the key's service has been stable for as long as a key is remembered.
+    pub(crate) fn is_stable(&self, key: &ClaimKey, now: u64) -> bool {
         let entry = self.services.get(&key.service);
         entry.is_some_and(|it| it.roster.is_settled(now, it.window))
     }
 
     /// Whether a claim on `key` may be recorded here; see [`Roster::admits`].
-    pub(crate) fn admits(&self, key: &ClaimKey, asked: Option<u64>, now: u64) -> bool {
+    pub(crate) fn accepts_claim(
+        &self,
+        key: &ClaimKey,
+        expected_digest: Option<u64>,
+        now: u64,
+    ) -> bool {
         let entry = self.services.get(&key.service);
-        entry.is_some_and(|it| it.roster.admits(asked, now, it.window))
+        entry.is_some_and(|it| it.roster.admits(expected_digest, now, it.window))
     }
 
-    /// Digest of the members of the key's service.
+    /// Digest of the membership of the key's service.
     pub(crate) fn digest(&self, key: &ClaimKey) -> u64 {
         self.services.get(&key.service).map_or(0, |it| it.roster.digest())
     }
 
-    /// Names of the agents that must record a claim that this agent makes on `key`, the arbiter first.
-    pub(crate) fn ask(&self, key: &ClaimKey, all: bool) -> Vec<String> {
+    /// Names of the agents that must record a claim of this agent on `key`, the arbiter first.
+    pub(crate) fn claim_holders(&self, key: &ClaimKey, all: bool) -> Vec<String> {
         let Some(it) = self.services.get(&key.service) else {
             return Vec::new();
         };
@@ -81,55 +87,56 @@
         names.into_iter().map(str::to_owned).collect()
     }
 
-    /// Names of the service's other members, to which this agent hands over what it knows when it leaves.
-    pub(crate) fn others(&self, service: ServiceId) -> Vec<String> {
+    /// Names of the service's other members.
+    pub(crate) fn other_members(&self, service: ServiceId) -> Vec<String> {
         let Some(it) = self.services.get(&service) else {
             return Vec::new();
         };
         it.roster.members().filter(|name| *name != self.me).map(str::to_owned).collect()
     }
 
-    /// Members that died lately, by service.
-    pub(crate) fn losses(&self) -> Vec<(ServiceId, Vec<Lost>)> {
-        let mut losses = Vec::new();
+    /// Members that failed recently, by service.
+    pub(crate) fn failed_members(&self) -> Vec<(ServiceId, Vec<Lost>)> {
+        let mut failed = Vec::new();
         for (id, it) in &self.services {
             let lost = it.roster.losses();
             if !lost.is_empty() {
-                losses.push((*id, lost.to_vec()));
+                failed.push((*id, lost.to_vec()));
             }
         }
-        losses
+        failed
     }
 
-    /// Takes in what another agent knows of members that died.
-    pub(crate) fn add_losses(&mut self, service: ServiceId, losses: &[Lost]) {
+    /// Adds failed members that another agent reported.
+    pub(crate) fn add_failed_members(&mut self, service: ServiceId, failed: &[Lost]) {
         if let Some(it) = self.services.get_mut(&service) {
-            it.roster.add_losses(losses);
+            it.roster.add_losses(failed);
         }
     }
 
-    /// Whether an earlier claim on `key` may have been forgotten.
-    pub(crate) fn is_doubtful(&self, key: &ClaimKey, now: u64) -> bool {
+    /// Whether an earlier claim on `key` may have been lost.
+    pub(crate) fn claim_may_be_lost(&self, key: &ClaimKey, now: u64) -> bool {
         let entry = self.services.get(&key.service);
         entry.is_some_and(|it| it.roster.is_doubtful(key, now, it.window))
     }
 }
 
-fn seen<'a>(
+/// Members of the service that a snapshot shows as alive.
+fn live_members<'a>(
     snapshot: &'a Snapshot,
     service: &ServiceEntry,
     pools: &BTreeSet<String>,
 ) -> Vec<Seen<'a>> {
-    let mut seen = Vec::new();
+    let mut members = Vec::new();
     for agent in snapshot.agents.values() {
         if !pools.contains(&agent.pool) || !agent.state.answers() {
             continue;
         }
         let incarnation = snapshot.incarnations.get(&agent.name).copied().unwrap_or_default();
         let part = part(agent, service);
-        seen.push(Seen { name: &agent.name, incarnation, zone: &agent.place.zone, part });
+        members.push(Seen { name: &agent.name, incarnation, zone: &agent.place.zone, part });
     }
-    seen
+    members
 }
 
 fn part(agent: &Agent, service: &ServiceEntry) -> Part {
--- a/crates/daemon/src/agent/run.rs
+++ b/crates/daemon/src/agent/run.rs
@@ -1,4 +1,4 @@
-//! Running the agent: snapshots put in force, the upstream watched, and the graceful stop.
+//! Background tasks of the agent: applies snapshots, probes the upstream, and performs the graceful stop.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,43 +18,43 @@
     event::{self, About, Id},
 };
 
-const PROBE_EVERY: Duration = Duration::from_millis(500);
-/// Time between looks whether the process was paused.
-const PAUSE_LOOK: Duration = Duration::from_millis(100);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval of the check for pauses of the process.
+const PAUSE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest wait for other agents to take over the claims of this one.
-const HAND_OVER_LIMIT: Duration = Duration::from_secs(10);
-/// Failed probes in a row after which the upstream counts as lost.
-const LOST_AFTER: u32 = 3;
+/// Timeout for the transfer of claims to other agents.
+const CLAIM_TRANSFER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Consecutive failed probes after which the upstream is reported as lost.
+const LOST_AFTER_FAILURES: u32 = 3;
 
-/// What the upstream says of itself. It may lag or lie: only that it answers counts.
+/// Response of the upstream to a probe. The state is only reported: any response proves that the upstream is reachable.
 #[derive(Debug, Deserialize)]
 struct Load {
     state: String,
 }
 
-/// Tasks of a running agent; they end when this value is dropped.
+/// Background tasks of an agent, which are aborted on drop.
 pub(crate) struct Running {
     node: Arc<Node>,
     tasks: JoinSet<()>,
 }
 
 impl Running {
-    /// Starts taking in datagrams under the snapshots that come.
+    /// Starts the tasks. Sends the revision of each applied snapshot to `applied`.
     pub(crate) fn start(
         node: Arc<Node>,
         snapshots: watch::Receiver<Arc<Snapshot>>,
         applied: watch::Sender<u64>,
     ) -> Running {
         let mut tasks = JoinSet::new();
-        tasks.spawn(follow(Arc::clone(&node), snapshots, applied));
-        tasks.spawn(probe(Arc::clone(&node)));
+        tasks.spawn(apply_snapshots(Arc::clone(&node), snapshots, applied));
+        tasks.spawn(probe_upstream(Arc::clone(&node)));
         tasks.spawn(datagram::run(Arc::clone(&node)));
-        tasks.spawn(notice_pauses(Arc::clone(&node)));
+        tasks.spawn(detect_pauses(Arc::clone(&node)));
         Running { node, tasks }
     }
 
-    /// Serves links that other agents open, until no more come.
+    /// Serves links that other agents open, until the channel closes.
     pub(crate) fn links(
         &self,
         accepted: Option<mpsc::Receiver<Accepted>>,
@@ -69,7 +69,7 @@
                 tokio::select! {
                     link = accepted.recv() => match link {
                         Some(link) => {
-                            links.spawn(handover::serve(Arc::clone(&node), link));
+                            links.spawn(handover::serve_link(Arc::clone(&node), link));
                         }
                         None => return,
                     },
@@ -79,30 +79,30 @@
         }
     }
 
-    /// Takes no new work, waits until flows and requests have ended, at most for `limit`, and hands over the claims. False
-    /// if some flows were left.
-    pub(crate) async fn drain(&mut self, limit: Duration) -> bool {
+    /// Rejects new work, waits up to `timeout` for flows and requests to end, and transfers the claims. False if
+    /// some were still in progress after the timeout.
+    pub(crate) async fn drain(&mut self, timeout: Duration) -> bool {
         self.node.stop();
         self.node.tasks.close();
-        let done = time::timeout(limit, self.node.tasks.wait()).await.is_ok();
+        let done = time::timeout(timeout, self.node.tasks.wait()).await.is_ok();
         let about = About::new().with_upstream(&self.node.settings.name);
         if done {
             self.node.report_drained();
         } else {
-            let text = format!("{} flows are left", self.node.flows());
+            let text = format!("{} flows are still open", self.node.flows());
             event::emit(Id::DrainTimeout, about, &text);
         }
-        claim::hand_over(&self.node, HAND_OVER_LIMIT).await;
+        claim::transfer_claims(&self.node, CLAIM_TRANSFER_TIMEOUT).await;
         done
     }
 
-    /// Ends the tasks.
+    /// Aborts the tasks and waits for them.
     pub(crate) async fn stop(mut self) {
         self.tasks.shutdown().await;
     }
 }
 
-async fn follow(
+async fn apply_snapshots(
     node: Arc<Node>,
     mut snapshots: watch::Receiver<Arc<Snapshot>>,
     applied: watch::Sender<u64>,
@@ -118,53 +118,53 @@
     }
 }
 
-/// Notices that the process was paused: it may have been taken for dead, and knows nothing of what was claimed meanwhile.
-async fn notice_pauses(node: Arc<Node>) {
+/// Detects pauses of this process: it may have been reported as down and have missed claims.
+async fn detect_pauses(node: Arc<Node>) {
     let mut last = clock::now_ms();
     loop {
-        time::sleep(PAUSE_LOOK).await;
+        time::sleep(PAUSE_CHECK_INTERVAL).await;
         let now = clock::now_ms();
         if now.saturating_sub(last) > PAUSE_MS {
-            node.rosters.lock().wake(now);
+            node.rosters.lock().record_pause(now);
         }
         last = now;
     }
 }
 
-async fn probe(node: Arc<Node>) {
-    let mut ticks = time::interval(PROBE_EVERY);
+async fn probe_upstream(node: Arc<Node>) {
+    let mut ticks = time::interval(PROBE_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut failed = 0;
+    let mut failures = 0;
     let mut reachable = false;
     loop {
         ticks.tick().await;
         let about = || About::new().with_upstream(&node.settings.name);
-        match ask(&node).await {
+        match query_load(&node).await {
             Ok(load) => {
-                failed = 0;
+                failures = 0;
                 if !reachable {
                     reachable = true;
                     event::emit(Id::UpstreamBack, about(), &format!("state {}", load.state));
                 }
             }
             Err(e) => {
-                failed += 1;
-                if reachable && failed >= LOST_AFTER {
+                failures += 1;
+                if reachable && failures >= LOST_AFTER_FAILURES {
                     reachable = false;
                     event::emit(Id::UpstreamLost, about(), &format!("{e:#}"));
                 }
             }
         }
-        node.set_reachable(reachable);
+        node.set_upstream_reachable(reachable);
         node.report_drained();
-        node.links.sweep();
-        node.bump();
+        node.links.close_expired();
+        node.notify_changed();
     }
 }
 
-async fn ask(node: &Node) -> anyhow::Result<Load> {
-    let step = || format!("ask upstream {} for its load", node.upstream.address());
-    let body = time::timeout(PROBE_TIMEOUT, node.upstream.load())
+async fn query_load(node: &Node) -> anyhow::Result<Load> {
+    let step = || format!("query the load of upstream {}", node.upstream.address());
+    let body = time::timeout(PROBE_TIMEOUT, node.upstream.fetch_load())
         .await
         .with_context(step)?
         .with_context(step)?;
