--- a/crates/daemon/src/agent/service.rs
+++ b/crates/daemon/src/agent/service.rs
@@ -1,4 +1,4 @@
-//! One service at the agent: its QUIC endpoint, certificate and flows.
+//! A service at the agent: its QUIC endpoint, certificate and admission of flows.
 
 use std::{
     collections::BTreeMap,
@@ -33,10 +33,10 @@
 use tokio::sync::watch;
 
 use super::{
-    flow, meter,
-    node::{FlowCount, Node},
-    notice,
+    flow, metrics,
+    node::{FlowGuard, Node},
     socket::{DataSocket, ServiceSocket},
+    throttled,
 };
 use crate::{
     clock,
@@ -44,110 +44,111 @@
     event::{self, About, Id},
 };
 
-/// Largest UDP payload: with the encapsulation it fits an Ethernet frame.
-const MAX_UDP_PAYLOAD: u16 = 1_400;
-/// A flow's connection IDs are renewed that often, so that a former sealing key is soon out of use.
+/// With the encapsulation, a payload of this size fits an Ethernet frame.
+const MAX_UDP_PAYLOAD_BYTES: u16 = 1_400;
+/// Connection IDs are replaced after this time, so that a rotated key is no longer used.
 const CID_LIFETIME: Duration = Duration::from_secs(120);
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 const KEEP_ALIVE: Duration = Duration::from_secs(20);
 const MAX_STREAMS: u32 = 256;
-/// How long the decision on a first packet is kept for its repetitions.
-const PLACED_MS: u64 = 10_000;
-/// Most decisions kept; beyond that, new flows are refused until older ones expire.
-const MAX_PLACED: usize = 100_000;
+/// Time that an admission decision is kept for retransmissions of the first packet.
+const DECISION_TTL_MS: u64 = 10_000;
+/// Beyond this number of decisions, first packets of new flows are dropped until older decisions expire.
+const MAX_DECISIONS: usize = 100_000;
 
-/// The first packet of a flow, as it is told from others: its caller and the connection ID that the caller chose.
-type First = (SocketAddr, Vec<u8>);
+/// Identifies the first packet of a flow: the caller's address and the connection ID that it chose.
+type FirstPacket = (SocketAddr, Vec<u8>);
 
-/// Decision on a flow's first packet.
+/// Admission decision on a flow's first packet.
 #[derive(Debug)]
-pub(crate) enum Placed {
-    /// Taken here. The count is taken over by the flow.
-    Accepted(Option<FlowCount>),
-    /// Left to another agent.
-    Passed(SocketAddrV4),
-    /// Refused.
-    Refused,
+pub(crate) enum FlowDecision {
+    /// Accepted here. The flow takes the guard.
+    Accepted(Option<FlowGuard>),
+    /// Forwarded to the next candidate.
+    Forwarded(SocketAddrV4),
+    /// Rejected: this agent is the last candidate and can't accept it.
+    Rejected,
 }
 
-/// What is to be done with a flow's first packet.
+/// How to handle a flow's first packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Course {
-    /// Give it to the QUIC stack, which accepts or refuses.
+pub(crate) enum FirstPacketAction {
+    /// Deliver it to the QUIC stack, which accepts or refuses the connection.
     Deliver,
-    /// Send it on.
-    Pass(SocketAddrV4),
-    /// Drop it.
+    /// Forward it to the next candidate.
+    Forward(SocketAddrV4),
+    /// Drop the packet.
     Drop,
 }
 
+/// Recent admission decisions with their times in milliseconds.
 #[derive(Default)]
-struct Decisions {
-    by_first: BTreeMap<First, (u64, Placed)>,
-    swept: u64,
+struct DecisionCache {
+    by_first_packet: BTreeMap<FirstPacket, (u64, FlowDecision)>,
+    last_cleanup_ms: u64,
 }
 
-/// A service at the agent.
+/// A service that the agent has opened.
 pub(crate) struct Service {
     pub(crate) id: ServiceId,
     pub(crate) name: String,
     pub(crate) socket: Arc<ServiceSocket>,
     pub(crate) budget: Mutex<Budget>,
     entry: ArcSwap<ServiceEntry>,
-    certs: Arc<Certs>,
-    /// What was last found wrong with the certificate.
-    fault: Mutex<String>,
+    certificate: Arc<CertificateStore>,
+    /// Last error of the certificate; empty if there is none.
+    certificate_error: Mutex<String>,
     flows: Arc<AtomicU32>,
-    decisions: Mutex<Decisions>,
-    /// Flows whose handshake is not done.
-    pub(crate) pending: Arc<AtomicU32>,
-    leaving: watch::Sender<bool>,
+    decisions: Mutex<DecisionCache>,
+    /// Number of flows with a pending handshake.
+    pub(crate) pending_handshakes: Arc<AtomicU32>,
+    draining: watch::Sender<bool>,
 }
 
 impl Service {
-    /// Sets up the endpoint and starts accepting.
+    /// Opens the QUIC endpoint and starts accepting flows.
     pub(crate) fn open(
         node: &Arc<Node>,
         id: ServiceId,
         entry: &ServiceEntry,
         ring: &KeyRing,
     ) -> anyhow::Result<Arc<Service>> {
-        let out = match node.settings.reply {
-            AddressMode::Own => Arc::clone(&node.data),
+        let data_socket = match node.settings.reply {
+            AddressMode::Own => Arc::clone(&node.data_socket),
             AddressMode::Service => Arc::new(DataSocket::bind(entry.spec.address)?),
         };
-        let socket = Arc::new(ServiceSocket::new(out));
-        let certs = Arc::new(Certs::default());
+        let socket = Arc::new(ServiceSocket::new(data_socket));
+        let certificate = Arc::new(CertificateStore::default());
         let endpoint = Endpoint::new_with_abstract_socket(
             endpoint_config(node, id, ring)?,
-            Some(server_config(&certs, ring)?),
+            Some(server_config(&certificate, ring)?),
             Arc::clone(&socket) as Arc<dyn quinn::AsyncUdpSocket>,
             Arc::new(quinn::TokioRuntime),
         )
-        .with_context(|| format!("open the endpoint of service {}", entry.name))?;
+        .with_context(|| format!("open the QUIC endpoint of service {}", entry.name))?;
         let service = Arc::new(Service {
             id,
             name: entry.name.clone(),
             socket,
             budget: Mutex::new(Budget::new(entry.spec.retry_budget, clock::now_ms())),
             entry: ArcSwap::from_pointee(entry.clone()),
-            certs,
-            fault: Mutex::default(),
+            certificate,
+            certificate_error: Mutex::default(),
             flows: Arc::default(),
             decisions: Mutex::default(),
-            pending: Arc::default(),
-            leaving: watch::Sender::new(false),
+            pending_handshakes: Arc::default(),
+            draining: watch::Sender::new(false),
         });
         tokio::spawn(flow::accept(Arc::clone(node), Arc::clone(&service), endpoint));
         Ok(service)
     }
 
-    /// The service's settings, the last known ones if it was deleted.
+    /// The service's current settings, or the last ones if it was deleted.
     pub(crate) fn entry(&self) -> Arc<ServiceEntry> {
         self.entry.load_full()
     }
 
-    /// Puts the service's part of a snapshot in force.
+    /// Applies the service's settings and certificate of a snapshot.
     pub(crate) fn apply(&self, snapshot: &Snapshot, node: &Node) {
         let entry = snapshot.services.get(&self.id);
         if let Some(entry) = entry {
@@ -155,15 +156,15 @@
             self.budget.lock().set_share(entry.spec.retry_budget);
             self.apply_certificate(entry, snapshot);
         }
-        let here = entry.is_some_and(|it| it.spec.pool == node.settings.pool);
-        let leaving = node.drains() || !here;
-        self.leaving.send_if_modified(|it| std::mem::replace(it, leaving) != leaving);
+        let is_local = entry.is_some_and(|it| it.spec.pool == node.settings.pool);
+        let draining = node.is_draining() || !is_local;
+        self.draining.send_if_modified(|it| std::mem::replace(it, draining) != draining);
     }
 
     fn apply_certificate(&self, entry: &ServiceEntry, snapshot: &Snapshot) {
         let about = || About::new().with_service(&self.name);
         let name = &entry.spec.certificate;
-        let fault = match snapshot.certificates.get(name).map(|it| self.certs.put(it)) {
+        let error = match snapshot.certificates.get(name).map(|it| self.certificate.set(it)) {
             None => format!("certificate/{name}: missing"),
             Some(Err(e)) => format!("certificate/{name}: {e:#}"),
             Some(Ok(replaced)) => {
@@ -173,46 +174,51 @@
                 String::new()
             }
         };
-        // Snapshots come often; a fault is reported once.
-        let former = std::mem::replace(&mut *self.fault.lock(), fault.clone());
-        if !fault.is_empty() && former != fault {
-            event::emit(Id::ConfigRefused, about(), &fault);
+        // Each error is reported once, not with every snapshot.
+        let previous = std::mem::replace(&mut *self.certificate_error.lock(), error.clone());
+        if !error.is_empty() && previous != error {
+            event::emit(Id::ConfigRefused, about(), &error);
         }
     }
 
-    /// Flows held.
+    /// Number of open flows.
     pub(crate) fn flows(&self) -> u32 {
         self.flows.load(Ordering::Relaxed)
     }
 
-    /// Turns true when the service's flows must leave this agent.
-    pub(crate) fn leaving(&self) -> watch::Receiver<bool> {
-        self.leaving.subscribe()
+    /// Receiver whose value is true while the service's flows must be drained from this agent.
+    pub(crate) fn draining(&self) -> watch::Receiver<bool> {
+        self.draining.subscribe()
     }
 
-    /// Whether requests of the service may run at this agent's upstream.
-    pub(crate) fn is_here(&self, node: &Node) -> bool {
+    /// Whether the agent's upstream belongs to the service's pool.
+    pub(crate) fn is_local(&self, node: &Node) -> bool {
         self.entry.load().spec.pool == node.settings.pool
     }
 
-    /// Decides on a flow's first packet; repetitions get the same decision.
-    pub(crate) fn place(&self, node: &Node, first: First, next: Option<SocketAddrV4>) -> Course {
+    /// Decides on a flow's first packet. Retransmissions get the same decision.
+    pub(crate) fn decide(
+        &self,
+        node: &Node,
+        first: FirstPacket,
+        next: Option<SocketAddrV4>,
+    ) -> FirstPacketAction {
         let now = clock::now_ms();
         let mut decisions = self.decisions.lock();
-        decisions.sweep(now);
-        if let Some((_, placed)) = decisions.by_first.get(&first) {
-            return placed.course();
+        decisions.remove_expired(now);
+        if let Some((_, decision)) = decisions.by_first_packet.get(&first) {
+            return decision.action();
         }
-        if decisions.by_first.len() >= MAX_PLACED {
-            return Course::Drop;
+        if decisions.by_first_packet.len() >= MAX_DECISIONS {
+            return FirstPacketAction::Drop;
         }
-        let placed = self.admit(node, next);
-        let course = placed.course();
-        decisions.by_first.insert(first, (now, placed));
-        course
+        let decision = self.admit(node, next);
+        let action = decision.action();
+        decisions.by_first_packet.insert(first, (now, decision));
+        action
     }
 
-    fn admit(&self, node: &Node, next: Option<SocketAddrV4>) -> Placed {
+    fn admit(&self, node: &Node, next: Option<SocketAddrV4>) -> FlowDecision {
         let entry = self.entry();
         let room = Room {
             flows: self.flows(),
@@ -222,115 +228,121 @@
             busy: node.work.busy(),
             slots: node.work.slots(),
         };
-        let here = self.is_here(node) && self.certs.is_set();
-        let decision = match (here, next) {
+        let can_accept = self.is_local(node) && self.certificate.is_set();
+        let admission = match (can_accept, next) {
             (true, _) => admit(entry.spec.policy, node.intake(), &room, next.is_none()),
             (false, Some(_)) => Admission::Pass,
             (false, None) => Admission::Refuse,
         };
-        match (decision, next) {
-            (Admission::Accept, _) => Placed::Accepted(Some(node.count_flow(&self.flows))),
-            (Admission::Pass, Some(to)) => Placed::Passed(to),
-            (Admission::Pass, None) | (Admission::Refuse, _) => Placed::Refused,
+        match (admission, next) {
+            (Admission::Accept, _) => FlowDecision::Accepted(Some(node.count_flow(&self.flows))),
+            (Admission::Pass, Some(to)) => FlowDecision::Forwarded(to),
+            (Admission::Pass, None) | (Admission::Refuse, _) => FlowDecision::Rejected,
         }
     }
 
-    /// The count of a flow that was accepted at its first packet. None if it was not, or was taken before.
-    pub(crate) fn take_accepted(&self, first: &First) -> Option<FlowCount> {
-        match self.decisions.lock().by_first.get_mut(first) {
-            Some((_, Placed::Accepted(count))) => count.take(),
+    /// Takes the guard of a flow that was accepted at its first packet. None if it was not accepted or already taken.
+    pub(crate) fn take_accepted(&self, first: &FirstPacket) -> Option<FlowGuard> {
+        match self.decisions.lock().by_first_packet.get_mut(first) {
+            Some((_, FlowDecision::Accepted(guard))) => guard.take(),
             _ => None,
         }
     }
 
-    /// Takes a flow that was asked to prove its address and did.
-    pub(crate) fn admit_proven(&self, node: &Node) -> Option<FlowCount> {
+    /// Admits a flow whose caller has validated its address after a Retry.
+    pub(crate) fn admit_validated(&self, node: &Node) -> Option<FlowGuard> {
         match self.admit(node, None) {
-            Placed::Accepted(count) => count,
-            Placed::Passed(_) | Placed::Refused => None,
+            FlowDecision::Accepted(guard) => guard,
+            FlowDecision::Forwarded(_) | FlowDecision::Rejected => None,
         }
     }
 
-    /// Whether the flow with this first packet was taken here.
-    pub(crate) fn was_accepted(&self, first: &First) -> bool {
-        matches!(self.decisions.lock().by_first.get(first), Some((_, Placed::Accepted(_))))
+    /// Whether the flow with this first packet was accepted here.
+    pub(crate) fn was_accepted(&self, first: &FirstPacket) -> bool {
+        matches!(
+            self.decisions.lock().by_first_packet.get(first),
+            Some((_, FlowDecision::Accepted(_)))
+        )
     }
 
-    /// Whether the flow with this first packet was refused.
-    pub(crate) fn was_refused(&self, first: &First) -> bool {
-        matches!(self.decisions.lock().by_first.get(first), Some((_, Placed::Refused)))
+    /// Whether the flow with this first packet was rejected.
+    pub(crate) fn was_rejected(&self, first: &FirstPacket) -> bool {
+        matches!(
+            self.decisions.lock().by_first_packet.get(first),
+            Some((_, FlowDecision::Rejected))
+        )
     }
 }
 
-impl Placed {
-    fn course(&self) -> Course {
+impl FlowDecision {
+    fn action(&self) -> FirstPacketAction {
         match self {
-            Placed::Accepted(_) | Placed::Refused => Course::Deliver,
-            Placed::Passed(to) => Course::Pass(*to),
+            FlowDecision::Accepted(_) | FlowDecision::Rejected => FirstPacketAction::Deliver,
+            FlowDecision::Forwarded(to) => FirstPacketAction::Forward(*to),
         }
     }
 }
 
-impl Decisions {
-    fn sweep(&mut self, now: u64) {
-        if now < self.swept + PLACED_MS / 4 {
+impl DecisionCache {
+    fn remove_expired(&mut self, now: u64) {
+        if now < self.last_cleanup_ms + DECISION_TTL_MS / 4 {
             return;
         }
-        self.swept = now;
-        self.by_first.retain(|_, (at, _)| now < *at + PLACED_MS);
+        self.last_cleanup_ms = now;
+        self.by_first_packet.retain(|_, (at, _)| now < *at + DECISION_TTL_MS);
     }
 }
 
-/// The certificate of a service; new handshakes use the newest.
+/// The certificate of a service, which can be replaced while flows are open.
 #[derive(Debug, Default)]
-struct Certs {
+struct CertificateStore {
     current: ArcSwapOption<CertifiedKey>,
     source: Mutex<Option<Certificate>>,
 }
 
-impl Certs {
+impl CertificateStore {
     fn is_set(&self) -> bool {
         self.current.load().is_some()
     }
 
-    /// Takes a certificate into use; whether it replaced another one.
-    fn put(&self, certificate: &Certificate) -> anyhow::Result<bool> {
+    /// Uses a certificate for new handshakes. Returns whether it replaced another one.
+    fn set(&self, certificate: &Certificate) -> anyhow::Result<bool> {
         let mut source = self.source.lock();
         if source.as_ref() == Some(certificate) {
             return Ok(false);
         }
         let mut chain = Vec::new();
         for it in CertificateDer::pem_slice_iter(certificate.chain_pem.as_bytes()) {
-            chain.push(it.context("read the chain")?);
+            chain.push(it.context("parse the certificate chain")?);
         }
         let key = PrivateKeyDer::from_pem_slice(certificate.key_pem.as_bytes())
-            .context("read the private key")?;
+            .context("parse the private key")?;
         let provider = rustls::crypto::ring::default_provider();
         let certified = CertifiedKey::from_der(chain, key, &provider)
-            .context("use the chain with the private key")?;
+            .context("combine the certificate chain with the private key")?;
         self.current.store(Some(Arc::new(certified)));
-        let former = source.replace(certificate.clone());
-        Ok(former.is_some())
+        let previous = source.replace(certificate.clone());
+        Ok(previous.is_some())
     }
 }
 
-impl ResolvesServerCert for Certs {
+impl ResolvesServerCert for CertificateStore {
     fn resolve(&self, _hello: ClientHello<'_>) -> Option<Arc<CertifiedKey>> {
         self.current.load_full()
     }
 }
 
-/// Makes connection IDs that say where the flow lives.
-struct SealedIds {
+/// Generates connection IDs that contain the encrypted address of the agent and the service ID.
+struct CidGenerator {
     ring: Arc<ArcSwapOption<KeyRing>>,
     home: Home,
 }
 
-impl ConnectionIdGenerator for SealedIds {
+impl ConnectionIdGenerator for CidGenerator {
     fn generate_cid(&mut self) -> ConnectionId {
         let nonce: [u8; NONCE_LEN] = rand::random();
         let ring = self.ring.load();
-        let ring = ring.as_ref().expect("a service is opened only when there are keys");
+        let ring = ring.as_ref().expect("a service is opened only once there are keys");
         ConnectionId::new(&ring.seal(self.home, nonce))
     }
 
@@ -346,24 +358,27 @@
 fn endpoint_config(node: &Node, id: ServiceId, ring: &KeyRing) -> anyhow::Result<EndpointConfig> {
     let reset = hmac::Key::new(hmac::HMAC_SHA256, ring.reset_key());
     let mut config = EndpointConfig::new(Arc::new(reset));
-    config.max_udp_payload_size(MAX_UDP_PAYLOAD).context("set the largest UDP payload")?;
-    // When an agent dies, all its flows ask at once, and each must learn of it. A reset is smaller than what it answers.
+    config.max_udp_payload_size(MAX_UDP_PAYLOAD_BYTES).context("set the maximum UDP payload")?;
+    // After a failure of an agent all its flows need a reset at once. Each reset is smaller than the packet it answers.
     config.min_reset_interval(Duration::ZERO);
-    let ring = Arc::clone(&node.ring);
-    let home = Home { agent: node.home, service: id };
-    config.cid_generator(move || Box::new(SealedIds { ring: Arc::clone(&ring), home }));
+    let ring = Arc::clone(&node.key_ring);
+    let home = Home { agent: node.data_address, service: id };
+    config.cid_generator(move || Box::new(CidGenerator { ring: Arc::clone(&ring), home }));
     Ok(config)
 }
 
-fn server_config(certs: &Arc<Certs>, ring: &KeyRing) -> anyhow::Result<ServerConfig> {
+fn server_config(
+    certificate: &Arc<CertificateStore>,
+    ring: &KeyRing,
+) -> anyhow::Result<ServerConfig> {
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let mut tls = rustls::ServerConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .context("choose TLS 1.3")?
+        .context("select TLS 1.3")?
         .with_no_client_auth()
-        .with_cert_resolver(Arc::clone(certs) as Arc<dyn ResolvesServerCert>);
+        .with_cert_resolver(Arc::clone(certificate) as Arc<dyn ResolvesServerCert>);
     tls.alpn_protocols = vec![b"h3".to_vec()];
-    // A request in early data could be replayed, and sessions are known to one agent only.
+    // Early data can be replayed, and only the agent that issued a ticket could resume its session.
     tls.max_early_data_size = 0;
     tls.send_tls13_tickets = 0;
     let crypto = QuicServerConfig::try_from(tls).context("set up TLS for QUIC")?;
@@ -375,7 +390,7 @@
 
 fn transport_config() -> anyhow::Result<TransportConfig> {
     let mut mtu = MtuDiscoveryConfig::default();
-    mtu.upper_bound(MAX_UDP_PAYLOAD);
+    mtu.upper_bound(MAX_UDP_PAYLOAD_BYTES);
     let mut config = TransportConfig::default();
     config
         .max_idle_timeout(Some(IDLE_TIMEOUT.try_into().context("set the idle timeout")?))
@@ -385,9 +400,9 @@
     Ok(config)
 }
 
-/// Counts a flow that was refused, and says so.
-pub(crate) fn refused(service: &Service, caller: SocketAddr) {
-    meter::count(&meter::FLOWS, "refused");
+/// Counts and reports a rejected flow.
+pub(crate) fn report_rejected(service: &Service, caller: SocketAddr) {
+    metrics::count(&metrics::FLOWS, "refused");
     let about = About::new().with_service(&service.name);
-    notice::emit(Id::FlowRefused, about, &format!("caller {caller}"));
+    throttled::emit(Id::FlowRefused, about, &format!("caller {caller}"));
 }
--- a/crates/daemon/src/agent/work.rs
+++ b/crates/daemon/src/agent/slots.rs
@@ -1,4 +1,4 @@
-//! Slots of the upstream, counted where the requests are sent.
+//! Limit on the requests that the upstream runs concurrently.
 
 use std::{
     sync::{
@@ -13,64 +13,64 @@
     time,
 };
 
-use super::meter;
+use super::metrics;
 
-/// Slots of one upstream.
-pub(crate) struct Work {
+/// Limits the concurrent requests of one upstream to its number of slots.
+pub(crate) struct SlotLimiter {
     slots: u32,
-    free: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
     waiting: Arc<AtomicU32>,
 }
 
-/// A slot in use; given back when dropped.
+/// A slot in use; released when dropped.
 pub(crate) struct Slot {
     _permit: OwnedSemaphorePermit,
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        meter::BUSY.dec();
+        metrics::BUSY_SLOTS.dec();
     }
 }
 
-/// Counts one that waits, however the wait ends.
-struct Waiting(Arc<AtomicU32>);
+/// Counts a waiting request until it is dropped.
+struct WaitingGuard(Arc<AtomicU32>);
 
-impl Drop for Waiting {
+impl Drop for WaitingGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl Work {
-    /// That many free slots.
-    pub(crate) fn new(slots: u32) -> Work {
-        Work {
+impl SlotLimiter {
+    /// A limiter with `slots` free slots.
+    pub(crate) fn new(slots: u32) -> SlotLimiter {
+        SlotLimiter {
             slots,
-            free: Arc::new(Semaphore::new(slots as usize)),
+            permits: Arc::new(Semaphore::new(slots as usize)),
             waiting: Arc::new(AtomicU32::new(0)),
         }
     }
 
-    /// Number of slots.
+    /// Total number of slots.
     pub(crate) fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Requests that run or wait.
+    /// Number of requests that run or wait for a slot.
     pub(crate) fn busy(&self) -> u32 {
-        let free = u32::try_from(self.free.available_permits()).unwrap_or(self.slots);
+        let free = u32::try_from(self.permits.available_permits()).unwrap_or(self.slots);
         self.slots.saturating_sub(free) + self.waiting.load(Ordering::Relaxed)
     }
 
-    /// Share of the slots in use; above 1 if requests wait.
+    /// Ratio of busy requests to slots; above 1 if requests wait.
     pub(crate) fn load(&self) -> f64 {
         f64::from(self.busy()) / f64::from(self.slots)
     }
 
-    /// Takes a slot, waiting at most `wait_ms` and only while not more wait than there are slots.
-    pub(crate) async fn take(&self, wait_ms: u64) -> Option<Slot> {
-        if let Ok(permit) = Arc::clone(&self.free).try_acquire_owned() {
+    /// Acquires a slot, waiting at most `wait_ms`. Fails at once if as many requests wait as there are slots.
+    pub(crate) async fn acquire(&self, wait_ms: u64) -> Option<Slot> {
+        if let Ok(permit) = Arc::clone(&self.permits).try_acquire_owned() {
             return Some(Slot::new(permit));
         }
         if wait_ms == 0 || self.waiting.fetch_add(1, Ordering::Relaxed) >= self.slots {
@@ -79,8 +79,8 @@
             }
             return None;
         }
-        let _waiting = Waiting(Arc::clone(&self.waiting));
-        let acquire = Arc::clone(&self.free).acquire_owned();
+        let _waiting = WaitingGuard(Arc::clone(&self.waiting));
+        let acquire = Arc::clone(&self.permits).acquire_owned();
         match time::timeout(Duration::from_millis(wait_ms), acquire).await {
             Ok(Ok(permit)) => Some(Slot::new(permit)),
             Ok(Err(_)) | Err(_) => None,
@@ -90,7 +90,7 @@
 
 impl Slot {
     fn new(permit: OwnedSemaphorePermit) -> Slot {
-        meter::BUSY.inc();
+        metrics::BUSY_SLOTS.inc();
         Slot { _permit: permit }
     }
 }
--- a/crates/daemon/src/agent/socket.rs
+++ b/crates/daemon/src/agent/socket.rs
@@ -1,4 +1,4 @@
-//! The agent's UDP sockets: one on which encapsulated packets arrive, and per service one that the QUIC stack sees.
+//! The agent's UDP sockets: one that receives encapsulated datagrams, and a virtual one per service for the QUIC stack.
 
 use std::{
     collections::VecDeque,
@@ -21,11 +21,11 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use tokio::{io::Interest, net::UdpSocket};
 
-/// Datagrams that may wait for the QUIC stack; further ones are dropped, as by any full queue on the way.
-const INBOX: usize = 4_096;
-const SOCKET_BUFFER: usize = 4 << 20;
+/// Maximum number of datagrams queued for the QUIC stack; further ones are dropped.
+const INBOX_CAPACITY: usize = 4_096;
+const SOCKET_BUFFER_BYTES: usize = 4 << 20;
 
-/// A UDP socket with batched system calls.
+/// A UDP socket that sends and receives in batches.
 pub(crate) struct DataSocket {
     io: UdpSocket,
     state: UdpSocketState,
@@ -41,7 +41,7 @@
 impl DataSocket {
     /// Binds a socket.
     pub(crate) fn bind(address: SocketAddr) -> anyhow::Result<DataSocket> {
-        let socket = bound(address).with_context(|| format!("bind UDP socket {address}"))?;
+        let socket = bind_socket(address).with_context(|| format!("bind UDP socket {address}"))?;
         let local = socket.local_addr()?;
         let state = UdpSocketState::new(UdpSockRef::from(&socket))
             .with_context(|| format!("set up UDP socket {address}"))?;
@@ -49,21 +49,21 @@
     }
 
     /// The bound address.
-    pub(crate) fn local(&self) -> SocketAddr {
+    pub(crate) fn local_addr(&self) -> SocketAddr {
         self.local
     }
 
-    /// Most datagrams that one receive buffer may hold.
-    pub(crate) fn segments(&self) -> usize {
+    /// Maximum number of datagrams that one receive buffer can hold.
+    pub(crate) fn max_segments(&self) -> usize {
         self.state.gro_segments()
     }
 
-    /// Sends at once, or fails with `WouldBlock`.
+    /// Sends without waiting; fails with `WouldBlock` if the socket is not writable.
     pub(crate) fn try_send(&self, transmit: &Transmit<'_>) -> io::Result<()> {
         self.io.try_io(Interest::WRITABLE, || self.state.send((&self.io).into(), transmit))
     }
 
-    /// Receives at least one buffer.
+    /// Receives into at least one buffer and returns how many were filled.
     pub(crate) async fn recv(
         &self,
         buffers: &mut [IoSliceMut<'_>],
@@ -82,17 +82,17 @@
     }
 }
 
-fn bound(address: SocketAddr) -> io::Result<std::net::UdpSocket> {
+fn bind_socket(address: SocketAddr) -> io::Result<std::net::UdpSocket> {
     let socket = Socket::new(Domain::for_address(address), Type::DGRAM, Some(Protocol::UDP))?;
     socket.set_nonblocking(true)?;
-    // The system may grant less; that costs datagrams under bursts, nothing else.
-    let _ = socket.set_recv_buffer_size(SOCKET_BUFFER);
-    let _ = socket.set_send_buffer_size(SOCKET_BUFFER);
+    // Errors are ignored: smaller buffers only lose more datagrams in bursts.
+    let _ = socket.set_recv_buffer_size(SOCKET_BUFFER_BYTES);
+    let _ = socket.set_send_buffer_size(SOCKET_BUFFER_BYTES);
     socket.bind(&address.into())?;
     Ok(socket.into())
 }
 
-/// The socket of one service as the QUIC stack sees it: callers' datagrams come in, answers go straight to the callers.
+/// Virtual socket of one service: receives the decapsulated datagrams of callers and sends directly to them.
 pub(crate) struct ServiceSocket {
     out: Arc<DataSocket>,
     inbox: Mutex<Inbox>,
@@ -111,15 +111,15 @@
 }
 
 impl ServiceSocket {
-    /// A socket that sends through `out`.
+    /// Creates a socket that sends through `out`.
     pub(crate) fn new(out: Arc<DataSocket>) -> ServiceSocket {
         ServiceSocket { out, inbox: Mutex::default() }
     }
 
-    /// Hands a caller's datagram to the QUIC stack; false if it was dropped.
+    /// Queues a caller's datagram for the QUIC stack; false if the queue is full.
     pub(crate) fn deliver(&self, caller: SocketAddr, payload: Bytes) -> bool {
         let mut inbox = self.inbox.lock();
-        if inbox.queue.len() >= INBOX {
+        if inbox.queue.len() >= INBOX_CAPACITY {
             return false;
         }
         inbox.queue.push_back((caller, payload));
@@ -134,7 +134,7 @@
 
 impl AsyncUdpSocket for ServiceSocket {
     fn create_io_poller(self: Arc<Self>) -> Pin<Box<dyn UdpPoller>> {
-        Box::pin(WritePoller { out: Arc::clone(&self.out), waiting: None })
+        Box::pin(WritePoller { out: Arc::clone(&self.out), writable: None })
     }
 
     fn try_send(&self, transmit: &Transmit<'_>) -> io::Result<()> {
@@ -178,11 +178,11 @@
     }
 }
 
-type Writable = Pin<Box<dyn Future<Output = io::Result<()>> + Send + Sync>>;
+type WritableFuture = Pin<Box<dyn Future<Output = io::Result<()>> + Send + Sync>>;
 
 struct WritePoller {
     out: Arc<DataSocket>,
-    waiting: Option<Writable>,
+    writable: Option<WritableFuture>,
 }
 
 impl fmt::Debug for WritePoller {
@@ -194,11 +194,11 @@
 impl UdpPoller for WritePoller {
     fn poll_writable(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let out = Arc::clone(&self.out);
-        let waiting =
-            self.waiting.get_or_insert_with(|| Box::pin(async move { out.io.writable().await }));
-        let ready = waiting.as_mut().poll(cx);
+        let writable =
+            self.writable.get_or_insert_with(|| Box::pin(async move { out.io.writable().await }));
+        let ready = writable.as_mut().poll(cx);
         if ready.is_ready() {
-            self.waiting = None;
+            self.writable = None;
         }
         ready
     }
--- a/crates/daemon/src/agent/tests/bench.rs
+++ b/crates/daemon/src/agent/tests/harness.rs
@@ -1,4 +1,4 @@
-//! Agents with their upstreams in this process, a relay in front of them, and callers.
+//! Test harness: agents with their upstreams in one process, behind a relay that acts as the balancer, and callers.
 
 use std::{
     collections::BTreeMap,
@@ -51,12 +51,13 @@
 
 pub(crate) const SERVICE: &str = "ledger";
 const POOL: &str = "ledger";
-const PATIENCE: Duration = Duration::from_secs(15);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Each bench has loopback addresses of its own.
-static NEXT: AtomicU8 = AtomicU8::new(1);
+/// Gives each harness its own loopback address.
+static NEXT_ADDRESS: AtomicU8 = AtomicU8::new(1);
 
-pub(crate) struct Seat {
+/// An agent with its upstream.
+pub(crate) struct TestAgent {
     pub(crate) node: Arc<Node>,
     pub(crate) upstream: Upstream,
     running: Option<Running>,
@@ -64,24 +65,25 @@
     member: Agent,
 }
 
-pub(crate) struct Bench {
-    pub(crate) seats: Vec<Seat>,
+/// Agents, the relay and an endpoint for callers.
+pub(crate) struct Harness {
+    pub(crate) agents: Vec<TestAgent>,
     snapshot: watch::Sender<Arc<Snapshot>>,
     service: SocketAddr,
     endpoint: Endpoint,
     tls: Tls,
-    first: Arc<AtomicUsize>,
-    opening_only: Arc<AtomicBool>,
+    first_candidate: Arc<AtomicUsize>,
+    drop_established: Arc<AtomicBool>,
     relay: JoinHandle<()>,
 }
 
-impl Drop for Bench {
+impl Drop for Harness {
     fn drop(&mut self) {
         self.relay.abort();
     }
 }
 
-fn any(ip: Ipv4Addr) -> SocketAddr {
+fn any_port(ip: Ipv4Addr) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(ip), 0)
 }
 
@@ -90,17 +92,17 @@
     Keys { reset: [9; 32], keys: vec![key] }
 }
 
-impl Bench {
-    /// Agents `agent-0`, `agent-1` and so on, all of one service.
-    pub(crate) async fn start(agents: usize) -> Bench {
-        Bench::with_pools(&vec![POOL; agents]).await
+impl Harness {
+    /// Starts the agents `agent-0`, `agent-1` and so on in the pool of the service.
+    pub(crate) async fn start(agents: usize) -> Harness {
+        Harness::with_pools(&vec![POOL; agents]).await
     }
 
-    /// An agent in each of these pools; the service has the first.
-    pub(crate) async fn with_pools(pools: &[&str]) -> Bench {
-        let ip = Ipv4Addr::new(127, 90, NEXT.fetch_add(1, Ordering::Relaxed), 1);
+    /// Starts an agent in each of these pools; the service uses the first pool.
+    pub(crate) async fn with_pools(pools: &[&str]) -> Harness {
+        let ip = Ipv4Addr::new(127, 90, NEXT_ADDRESS.fetch_add(1, Ordering::Relaxed), 1);
         let issued = rcgen::generate_simple_self_signed([SERVICE.to_owned()]).expect("certificate");
-        let relay = UdpSocket::bind(any(ip)).await.expect("relay");
+        let relay = UdpSocket::bind(any_port(ip)).await.expect("relay");
         let address = relay.local_addr().expect("relay address");
         let service = Service {
             address,
@@ -121,61 +123,61 @@
         };
         snapshot.certificates.insert("cert".to_owned(), certificate);
         let (sender, _) = watch::channel(Arc::new(Snapshot::default()));
-        let mut bench = Bench {
-            seats: Vec::new(),
+        let mut harness = Harness {
+            agents: Vec::new(),
             snapshot: sender,
             service: address,
             endpoint: endpoint(ip, issued.cert.der()),
-            tls: fleet(),
-            first: Arc::default(),
-            opening_only: Arc::default(),
+            tls: fleet_tls(),
+            first_candidate: Arc::default(),
+            drop_established: Arc::default(),
             relay: tokio::spawn(async {}),
         };
-        for (at, pool) in pools.iter().enumerate() {
-            let seat = bench.seat(ip, at, pool).await;
-            snapshot.agents.insert(seat.member.name.clone(), seat.member.clone());
-            bench.seats.push(seat);
+        for (index, pool) in pools.iter().enumerate() {
+            let agent = harness.start_agent(ip, index, pool).await;
+            snapshot.agents.insert(agent.member.name.clone(), agent.member.clone());
+            harness.agents.push(agent);
         }
-        bench.relay = tokio::spawn(forward(
+        harness.relay = tokio::spawn(run_relay(
             relay,
-            bench.snapshot.subscribe(),
-            Arc::clone(&bench.first),
-            Arc::clone(&bench.opening_only),
+            harness.snapshot.subscribe(),
+            Arc::clone(&harness.first_candidate),
+            Arc::clone(&harness.drop_established),
         ));
-        bench.snapshot.send_replace(Arc::new(snapshot));
-        for seat in &bench.seats {
-            let mut changed = seat.node.changed();
-            while seat.node.state() != AgentState::Ready || seat.node.snapshot().revision == 0 {
-                changed.changed().await.expect("the agent lives");
+        harness.snapshot.send_replace(Arc::new(snapshot));
+        for agent in &harness.agents {
+            let mut changed = agent.node.changed();
+            while agent.node.state() != AgentState::Ready || agent.node.snapshot().revision == 0 {
+                changed.changed().await.expect("the agent is running");
             }
         }
-        bench
+        harness
     }
 
-    async fn seat(&self, ip: Ipv4Addr, at: usize, pool: &str) -> Seat {
-        let name = format!("agent-{at}");
-        let settings = UpstreamSettings::new(any(ip), any(ip), &name, pool);
+    async fn start_agent(&self, ip: Ipv4Addr, index: usize, pool: &str) -> TestAgent {
+        let name = format!("agent-{index}");
+        let settings = UpstreamSettings::new(any_port(ip), any_port(ip), &name, pool);
         let upstream = Upstream::start(settings, Faults::default()).await.expect("upstream");
-        let listener = TcpListener::bind(any(ip)).await.expect("control");
+        let listener = TcpListener::bind(any_port(ip)).await.expect("control");
         let node = Node::new(
             Settings {
                 name: name.clone(),
-                vm: format!("vm-{at}"),
+                vm: format!("vm-{index}"),
                 zone: "zone-a".to_owned(),
                 pool: pool.to_owned(),
-                data: any(ip),
+                data: any_port(ip),
                 upstream: upstream.addr(),
                 slots: 7,
                 connections: 2_000,
                 reply: AddressMode::Own,
-                unproven: 16,
+                max_unvalidated_handshakes: 16,
             },
-            Arc::new(Wire { tls: self.tls.clone(), name: name.clone() }),
+            Arc::new(TestDial { tls: self.tls.clone(), name: name.clone() }),
         )
         .expect("agent");
         let control = listener.local_addr().expect("control address");
         let place = Place {
-            vm: format!("vm-{at}"),
+            vm: format!("vm-{index}"),
             zone: "zone-a".to_owned(),
             region: "default".to_owned(),
         };
@@ -183,7 +185,7 @@
             name,
             place,
             pool: pool.to_owned(),
-            data: node.home.into(),
+            data: node.data_address.into(),
             control,
             weight: 1.0,
             slots: 7,
@@ -194,13 +196,13 @@
         let running = Running::start(Arc::clone(&node), self.snapshot.subscribe(), applied);
         let (sender, accepted) = mpsc::channel(16);
         let links = vec![
-            tokio::spawn(listen(listener, self.tls.clone(), sender)),
+            tokio::spawn(accept_links(listener, self.tls.clone(), sender)),
             tokio::spawn(running.links(Some(accepted))),
         ];
-        Seat { node, upstream, running: Some(running), links, member }
+        TestAgent { node, upstream, running: Some(running), links, member }
     }
 
-    /// Changes the configuration or the members.
+    /// Changes the configuration or the membership.
     pub(crate) fn change<F>(&self, change: F)
     where
         F: FnOnce(&mut Snapshot),
@@ -212,46 +214,46 @@
     }
 
     /// Makes the agent the first candidate of new flows.
-    pub(crate) fn prefer(&self, at: usize) {
-        self.first.store(at, Ordering::Relaxed);
+    pub(crate) fn prefer_agent(&self, index: usize) {
+        self.first_candidate.store(index, Ordering::Relaxed);
     }
 
-    /// Drops, while it is set, all that callers send after the packets that open a flow.
-    pub(crate) fn pass_opening_only(&self, set: bool) {
-        self.opening_only.store(set, Ordering::Relaxed);
+    /// While enabled, the relay drops all packets that callers send after the first flight of a handshake.
+    pub(crate) fn drop_established_packets(&self, enabled: bool) {
+        self.drop_established.store(enabled, Ordering::Relaxed);
     }
 
-    /// How often requests under this idempotency key were started, over all upstreams.
-    pub(crate) fn starts(&self, key: &str) -> u64 {
-        let records = self.seats.iter().map(|it| it.upstream.record());
+    /// Number of requests with this idempotency key that all upstreams started.
+    pub(crate) fn started_requests(&self, key: &str) -> u64 {
+        let records = self.agents.iter().map(|it| it.upstream.record());
         records.filter_map(|it| it.keys.get(key).map(|it| it.started)).sum()
     }
 
-    /// Ends the relay.
-    pub(crate) fn cut_callers(&self) {
+    /// Stops the relay, so that no packet passes between callers and agents.
+    pub(crate) fn stop_relay(&self) {
         self.relay.abort();
     }
 
-    /// Stops an agent at once.
-    pub(crate) async fn kill(&mut self, at: usize) {
-        let running = self.seats[at].running.take().expect("the agent runs");
+    /// Stops an agent without a drain.
+    pub(crate) async fn kill(&mut self, index: usize) {
+        let running = self.agents[index].running.take().expect("the agent is running");
         running.stop().await;
-        for link in self.seats[at].links.drain(..) {
+        for link in self.agents[index].links.drain(..) {
             link.abort();
             let _ = link.await;
         }
     }
 
-    /// Tells everyone that an agent is down.
-    pub(crate) fn down(&self, at: usize) {
-        let name = self.seats[at].member.name.clone();
+    /// Reports an agent as down to all agents and the relay.
+    pub(crate) fn mark_down(&self, index: usize) {
+        let name = self.agents[index].member.name.clone();
         self.change(|it| {
             it.agents.get_mut(&name).expect("the agent is a member").state = AgentState::Down;
         });
     }
 
-    /// Makes a new key seal; the former ones still open.
-    pub(crate) fn rotate(&self, epoch: u8) {
+    /// Adds a key that encrypts new connection IDs; the earlier keys still decrypt.
+    pub(crate) fn rotate_key(&self, epoch: u8) {
         self.change(|it| {
             let keys = it.keys.as_mut().expect("there are keys");
             for key in &mut keys.keys {
@@ -262,38 +264,38 @@
         });
     }
 
-    /// Gives the service another pool; waits until the agents know.
-    pub(crate) async fn swap_pool(&self, pool: &str) {
+    /// Changes the pool of the service and waits until the agents have applied it.
+    pub(crate) async fn change_pool(&self, pool: &str) {
         self.change(|it| {
             let entry = it.services.get_mut(&ServiceId::new(SERVICE)).expect("the service");
             entry.spec.pool = pool.to_owned();
         });
         let revision = self.snapshot.borrow().revision;
-        for seat in &self.seats {
-            let mut changed = seat.node.changed();
-            while seat.node.snapshot().revision < revision {
-                changed.changed().await.expect("the agent lives");
+        for agent in &self.agents {
+            let mut changed = agent.node.changed();
+            while agent.node.snapshot().revision < revision {
+                changed.changed().await.expect("the agent is running");
             }
         }
     }
 
-    /// Plans a drain, and waits until the agent knows.
-    pub(crate) async fn drain(&self, at: usize) {
-        let name = self.seats[at].member.name.clone();
+    /// Configures a drain of an agent and waits until the agent has applied it.
+    pub(crate) async fn drain(&self, index: usize) {
+        let name = self.agents[index].member.name.clone();
         let change = Change { action: Action::Drain, target: Target::Upstream(name) };
         self.change(|it| {
             it.changes.insert("drain".to_owned(), change);
         });
-        let node = &self.seats[at].node;
+        let node = &self.agents[index].node;
         let mut changed = node.changed();
-        while !node.drains() {
-            changed.changed().await.expect("the agent lives");
+        while !node.is_draining() {
+            changed.changed().await.expect("the agent is running");
         }
     }
 
-    /// Sets faults of an upstream.
-    pub(crate) async fn faults(&self, at: usize, json: &str) {
-        let admin = self.seats[at].upstream.admin();
+    /// Configures the faults that an upstream injects.
+    pub(crate) async fn set_faults(&self, index: usize, json: &str) {
+        let admin = self.agents[index].upstream.admin();
         let stream = tokio::net::TcpStream::connect(admin).await.expect("admin");
         let io = hyper_util::rt::TokioIo::new(stream);
         let (mut sender, conn) = hyper::client::conn::http1::handshake(io).await.expect("admin");
@@ -306,29 +308,29 @@
         assert_eq!(response.status(), StatusCode::OK);
     }
 
-    /// Stops an agent gracefully; whether all its flows ended.
-    pub(crate) async fn stop(&mut self, at: usize) -> bool {
-        let mut running = self.seats[at].running.take().expect("the agent runs");
-        let done = running.drain(PATIENCE).await;
+    /// Stops an agent gracefully. Returns whether all its flows and requests ended in time.
+    pub(crate) async fn stop_gracefully(&mut self, index: usize) -> bool {
+        let mut running = self.agents[index].running.take().expect("the agent is running");
+        let done = running.drain(CALLER_TIMEOUT).await;
         running.stop().await;
         done
     }
 
     /// Opens a flow.
-    pub(crate) async fn open(&self) -> Flow {
-        self.try_open().await.expect("the flow is accepted")
+    pub(crate) async fn open_flow(&self) -> TestFlow {
+        self.try_open_flow().await.expect("the flow is accepted")
     }
 
-    /// Opens a flow, which may be refused.
-    pub(crate) async fn try_open(&self) -> Result<Flow, quinn::ConnectionError> {
+    /// Opens a flow; fails if it is rejected.
+    pub(crate) async fn try_open_flow(&self) -> Result<TestFlow, quinn::ConnectionError> {
         let conn = self.endpoint.connect(self.service, SERVICE).expect("connect").await?;
         let (mut driver, sender) =
             h3::client::new(h3_quinn::Connection::new(conn.clone())).await.expect("h3");
         tokio::spawn(async move { driver.wait_idle().await });
-        Ok(Flow { conn, sender })
+        Ok(TestFlow { conn, sender })
     }
 
-    /// Violations of any invariant in this process.
+    /// Number of violated invariants in this process.
     pub(crate) fn invariant_failures(&self) -> u64 {
         Invariant::ALL.iter().map(|&it| invariant::violations(it)).sum()
     }
@@ -345,13 +347,13 @@
         .with_no_client_auth();
     tls.alpn_protocols = vec![b"h3".to_vec()];
     let crypto = quinn::crypto::rustls::QuicClientConfig::try_from(tls).expect("tls");
-    let mut endpoint = Endpoint::client(any(ip)).expect("endpoint");
+    let mut endpoint = Endpoint::client(any_port(ip)).expect("endpoint");
     endpoint.set_default_client_config(quinn::ClientConfig::new(Arc::new(crypto)));
     endpoint
 }
 
-/// TLS of a fleet that trusts itself.
-fn fleet() -> Tls {
+/// TLS with a new fleet certificate and its CA.
+fn fleet_tls() -> Tls {
     let key = rcgen::KeyPair::generate().expect("key");
     let mut params =
         rcgen::CertificateParams::new(vec!["fleet.camphorwinch".to_owned()]).expect("params");
@@ -366,13 +368,13 @@
     Tls::new(&pem).expect("tls")
 }
 
-/// Links between the agents of the bench.
-struct Wire {
+/// Opens links between the agents of the harness.
+struct TestDial {
     tls: Tls,
     name: String,
 }
 
-impl Dial for Wire {
+impl Dial for TestDial {
     fn dial<'a>(
         &'a self,
         _peer: &'a str,
@@ -387,9 +389,9 @@
     }
 }
 
-async fn listen(listener: TcpListener, tls: Tls, accepted: mpsc::Sender<Accepted>) {
+async fn accept_links(listener: TcpListener, tls: Tls, accepted: mpsc::Sender<Accepted>) {
     while let Ok((stream, _)) = listener.accept().await {
-        // Somebody may only have looked whether the agent listens.
+        // The connection may only have checked whether the agent listens.
         let Ok(stream) = tls.accept(stream).await else {
             continue;
         };
@@ -402,32 +404,32 @@
     }
 }
 
-/// Acts as fabric and balancer: one socket towards callers; answers of agents are passed back through it.
-async fn forward(
+/// Acts as the balancer: encapsulates the packets of callers, and sends back to them what agents send.
+async fn run_relay(
     callers: UdpSocket,
     snapshot: watch::Receiver<Arc<Snapshot>>,
-    first: Arc<AtomicUsize>,
-    opening_only: Arc<AtomicBool>,
+    first_candidate: Arc<AtomicUsize>,
+    drop_established: Arc<AtomicBool>,
 ) {
     let local = callers.local_addr().expect("address");
     let callers = Arc::new(callers);
-    // One socket per caller stands for the caller towards the agents.
-    let faces: RwLock<BTreeMap<SocketAddr, Arc<UdpSocket>>> = RwLock::default();
+    // Agents see each caller under the address of its own relay socket.
+    let caller_sockets: RwLock<BTreeMap<SocketAddr, Arc<UdpSocket>>> = RwLock::default();
     let mut buffer = vec![0; 2_048];
     let mut out = Vec::new();
     loop {
         let Ok((len, caller)) = callers.recv_from(&mut buffer).await else {
             continue;
         };
-        let known = faces.read().get(&caller).cloned();
-        let face = match known {
+        let known = caller_sockets.read().get(&caller).cloned();
+        let socket = match known {
             Some(it) => it,
             None => {
-                let face = UdpSocket::bind((local.ip(), 0)).await.expect("face");
-                let face = Arc::new(face);
-                faces.write().insert(caller, Arc::clone(&face));
-                tokio::spawn(back(Arc::clone(&callers), Arc::clone(&face), caller));
-                face
+                let socket = UdpSocket::bind((local.ip(), 0)).await.expect("caller socket");
+                let socket = Arc::new(socket);
+                caller_sockets.write().insert(caller, Arc::clone(&socket));
+                tokio::spawn(send_back(Arc::clone(&callers), Arc::clone(&socket), caller));
+                socket
             }
         };
         let now = Arc::clone(&snapshot.borrow());
@@ -443,22 +445,22 @@
         let mut header = Header {
             hop: 0,
             service: ServiceId::new(SERVICE),
-            caller: face.local_addr().expect("address"),
+            caller: socket.local_addr().expect("address"),
             candidates: Candidates::NONE,
         };
         let to = match ring.open(cid) {
-            Some(_) if opening_only.load(Ordering::Relaxed) => continue,
+            Some(_) if drop_established.load(Ordering::Relaxed) => continue,
             Some(home) => {
                 let down = |it: &&Agent| it.data == home.agent.into() && !it.state.answers();
-                let dead = now.agents.values().any(|it| down(&it));
+                let is_down = now.agents.values().any(|it| down(&it));
                 let live = now.agents.values().find(|it| it.state.answers());
                 match live.map(|it| it.data) {
-                    Some(SocketAddr::V4(data)) if dead => data,
+                    Some(SocketAddr::V4(data)) if is_down => data,
                     _ => home.agent,
                 }
             }
             None => {
-                let first = first.load(Ordering::Relaxed);
+                let first = first_candidate.load(Ordering::Relaxed);
                 for agent in now.agents.values().skip(first) {
                     let SocketAddr::V4(data) = agent.data else {
                         continue;
@@ -474,52 +476,52 @@
     }
 }
 
-async fn back(callers: Arc<UdpSocket>, face: Arc<UdpSocket>, caller: SocketAddr) {
+async fn send_back(callers: Arc<UdpSocket>, socket: Arc<UdpSocket>, caller: SocketAddr) {
     let mut buffer = vec![0; 2_048];
-    while let Ok((len, _)) = face.recv_from(&mut buffer).await {
+    while let Ok((len, _)) = socket.recv_from(&mut buffer).await {
         let _ = callers.send_to(&buffer[..len], caller).await;
     }
 }
 
-/// A request.
-pub(crate) struct Call {
-    request: http::request::Builder,
+/// A request of a caller.
+pub(crate) struct TestRequest {
+    head: http::request::Builder,
     body: Vec<u8>,
 }
 
-impl Call {
-    pub(crate) fn new(method: Method, path: &str) -> Call {
+impl TestRequest {
+    pub(crate) fn new(method: Method, path: &str) -> TestRequest {
         let uri = format!("https://{SERVICE}{path}");
-        Call { request: Request::builder().method(method).uri(uri), body: Vec::new() }
+        TestRequest { head: Request::builder().method(method).uri(uri), body: Vec::new() }
     }
 
-    pub(crate) fn with_body(mut self, body: Vec<u8>) -> Call {
+    pub(crate) fn with_body(mut self, body: Vec<u8>) -> TestRequest {
         self.body = body;
         self
     }
 
-    pub(crate) fn with_header(mut self, name: &str, value: &str) -> Call {
-        self.request = self.request.header(name, value);
+    pub(crate) fn with_header(mut self, name: &str, value: &str) -> TestRequest {
+        self.head = self.head.header(name, value);
         self
     }
 }
 
-/// An answer, or how it broke.
+/// A response, or the error that ended it.
 #[derive(Debug)]
-pub(crate) struct Reply {
+pub(crate) struct TestResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: BytesMut,
-    pub(crate) broken: Option<String>,
+    pub(crate) error: Option<String>,
 }
 
-impl Reply {
-    fn none() -> Reply {
-        Reply {
+impl TestResponse {
+    fn empty() -> TestResponse {
+        TestResponse {
             status: StatusCode::IM_A_TEAPOT,
             headers: HeaderMap::new(),
             body: BytesMut::new(),
-            broken: None,
+            error: None,
         }
     }
 
@@ -533,26 +535,29 @@
 }
 
 /// A flow of a caller.
-pub(crate) struct Flow {
+pub(crate) struct TestFlow {
     pub(crate) conn: quinn::Connection,
     sender: SendRequest<OpenStreams, Bytes>,
 }
 
-impl Flow {
-    /// Sends a request and reads the whole answer.
-    pub(crate) fn call(&self, call: Call) -> impl Future<Output = Reply> + Send + 'static {
+impl TestFlow {
+    /// Sends a request and reads the complete response.
+    pub(crate) fn send(
+        &self,
+        request: TestRequest,
+    ) -> impl Future<Output = TestResponse> + Send + 'static {
         let sender = self.sender.clone();
         async move {
-            match time::timeout(PATIENCE, exchange(sender, call)).await {
+            match time::timeout(CALLER_TIMEOUT, exchange(sender, request)).await {
                 Ok(it) => it,
-                Err(_) => Reply { broken: Some("late".to_owned()), ..Reply::none() },
+                Err(_) => TestResponse { error: Some("late".to_owned()), ..TestResponse::empty() },
             }
         }
     }
 
     /// Whether the agent closed the flow without an error.
     pub(crate) async fn closed_cleanly(&self) -> bool {
-        match time::timeout(PATIENCE, self.conn.closed()).await {
+        match time::timeout(CALLER_TIMEOUT, self.conn.closed()).await {
             Ok(quinn::ConnectionError::ApplicationClosed(close)) => {
                 close.error_code.into_inner() == Code::H3_NO_ERROR.value()
             }
@@ -561,42 +566,45 @@
     }
 }
 
-async fn exchange(mut sender: SendRequest<OpenStreams, Bytes>, call: Call) -> Reply {
-    let mut reply = Reply::none();
-    if let Err(e) = attempt(&mut sender, call, &mut reply).await {
-        reply.broken = Some(match e {
+async fn exchange(
+    mut sender: SendRequest<OpenStreams, Bytes>,
+    request: TestRequest,
+) -> TestResponse {
+    let mut response = TestResponse::empty();
+    if let Err(e) = attempt(&mut sender, request, &mut response).await {
+        response.error = Some(match e {
             StreamError::RemoteTerminate { code } => format!("{code}"),
             other => format!("{other}"),
         });
     }
-    reply
+    response
 }
 
 async fn attempt(
     sender: &mut SendRequest<OpenStreams, Bytes>,
-    call: Call,
-    reply: &mut Reply,
+    request: TestRequest,
+    response: &mut TestResponse,
 ) -> Result<(), StreamError> {
-    let request = call.request.body(()).expect("request");
-    let mut stream = sender.send_request(request).await?;
+    let head = request.head.body(()).expect("request");
+    let mut stream = sender.send_request(head).await?;
     let sent = async {
-        for part in call.body.chunks(50_000) {
+        for part in request.body.chunks(50_000) {
             stream.send_data(Bytes::copy_from_slice(part)).await?;
         }
         stream.finish().await
     };
     match sent.await {
-        // The agent has answered before it had the whole request and needs no more of it: the answer counts (RFC 9114, 4.1).
+        // The agent responded before it received the complete request, which is allowed (RFC 9114, 4.1).
         Ok(()) | Err(StreamError::RemoteTerminate { code: Code::H3_NO_ERROR }) => {}
         Err(e) => return Err(e),
     }
-    let head = stream.recv_response().await?;
-    reply.status = head.status();
-    reply.headers = head.headers().clone();
+    let response_head = stream.recv_response().await?;
+    response.status = response_head.status();
+    response.headers = response_head.headers().clone();
     while let Some(mut part) = stream.recv_data().await? {
         while part.has_remaining() {
             let len = part.chunk().len();
-            reply.body.extend_from_slice(part.chunk());
+            response.body.extend_from_slice(part.chunk());
             part.advance(len);
         }
     }
--- a/crates/daemon/src/agent/notice.rs
+++ b/crates/daemon/src/agent/throttled.rs
@@ -1,4 +1,4 @@
-//! Events that may come with every request: only a few of each kind per second are reported.
+//! Rate limit for events that can occur with every request.
 
 use std::{collections::BTreeMap, sync::LazyLock};
 
@@ -9,26 +9,26 @@
     event::{self, About, Id},
 };
 
-const PER_SECOND: u32 = 5;
+const EVENTS_PER_S: u32 = 5;
 
 #[derive(Clone, Copy, Default)]
 struct Window {
     second: u64,
     count: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
 static WINDOWS: LazyLock<Mutex<BTreeMap<u16, Window>>> = LazyLock::new(Mutex::default);
 
-/// Reports an event, or counts it as left out; the next one that is reported says how many were.
+/// Emits an event unless the limit of its kind is reached. The next emitted one reports how many were suppressed.
 pub(crate) fn emit(id: Id, about: About, text: &str) {
-    let Some(left_out) = admit(id) else {
+    let Some(suppressed) = admit(id) else {
         return;
     };
-    if left_out == 0 {
+    if suppressed == 0 {
         event::emit(id, about, text);
     } else {
-        event::emit(id, about, &format!("{text} ({left_out} more left out)"));
+        event::emit(id, about, &format!("{text} ({suppressed} more suppressed)"));
     }
 }
 
@@ -40,10 +40,10 @@
         window.second = second;
         window.count = 0;
     }
-    if window.count >= PER_SECOND {
-        window.left_out += 1;
+    if window.count >= EVENTS_PER_S {
+        window.suppressed += 1;
         return None;
     }
     window.count += 1;
-    Some(std::mem::take(&mut window.left_out))
+    Some(std::mem::take(&mut window.suppressed))
 }
--- a/crates/daemon/src/agent/upstream.rs
+++ b/crates/daemon/src/agent/upstream.rs
@@ -1,7 +1,7 @@
-//! Connections to the upstream (HTTP/1.1).
+//! HTTP/1.1 connections to the upstream.
 //!
-//! What matters for a request is whether any of its bytes may have reached the upstream. A request that is not
-//! idempotent gets a connection of its own, since a kept one may be closed by the other side at the same moment.
+//! Errors distinguish whether any byte of a request may have reached the upstream. A request that is not idempotent
+//! uses a new connection, since the upstream may close an idle one at any time.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -18,53 +18,53 @@
 use tokio::{net::TcpStream, task::JoinHandle, time, time::Instant};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A connection idle for longer is not used again.
-const KEEP: Duration = Duration::from_secs(2);
-const MAX_KEPT: usize = 64;
+/// Connections that were idle for longer are not reused.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_IDLE: usize = 64;
 
 /// Body of a request to the upstream.
-pub(crate) type Payload = UnsyncBoxBody<Bytes, io::Error>;
+pub(crate) type RequestPayload = UnsyncBoxBody<Bytes, io::Error>;
 
 /// Why an attempt failed.
 #[derive(Debug, Error)]
 pub(crate) enum AttemptError {
-    /// No byte of the request left.
+    /// No byte of the request was sent.
     #[error("{0}")]
     NotSent(String),
-    /// Bytes of the request may have reached the upstream.
+    /// Some bytes of the request may have reached the upstream.
     #[error("{0}")]
     MaybeSent(String),
 }
 
-/// The upstream and connections to it.
+/// The upstream with idle connections to it.
 pub(crate) struct Upstream {
     address: SocketAddr,
-    kept: Mutex<Vec<(Instant, Conn)>>,
+    idle: Mutex<Vec<(Instant, UpstreamConnection)>>,
 }
 
-/// A connection. Dropped, it closes, which cancels the request on it.
-pub(crate) struct Conn {
-    sender: SendRequest<Payload>,
+/// A connection to the upstream. Dropping it closes the connection and cancels its request.
+pub(crate) struct UpstreamConnection {
+    sender: SendRequest<RequestPayload>,
     driver: JoinHandle<()>,
 }
 
-impl Drop for Conn {
+impl Drop for UpstreamConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
-impl Conn {
-    /// Sends a request and waits for the answer's head.
+impl UpstreamConnection {
+    /// Sends a request and waits for the head of the response.
     pub(crate) async fn send(
         &mut self,
-        request: Request<Payload>,
+        request: Request<RequestPayload>,
     ) -> Result<Response<Incoming>, AttemptError> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
             Err(mut e) => {
                 let unsent = e.take_message().is_some();
-                let text = format!("send to the upstream: {}", e.into_error());
+                let text = format!("send the request to the upstream: {}", e.into_error());
                 Err(if unsent {
                     AttemptError::NotSent(text)
                 } else {
@@ -76,20 +76,19 @@
 }
 
 impl Upstream {
-    /// The upstream at `address`; connects when needed.
+    /// The upstream at `address`. Connects on demand.
     pub(crate) fn new(address: SocketAddr) -> Upstream {
-        Upstream { address, kept: Mutex::default() }
+        Upstream { address, idle: Mutex::default() }
     }
 
-    /// Its address.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// A connection, a kept one if `reuse`.
-    pub(crate) async fn connect(&self, reuse: bool) -> Result<Conn, AttemptError> {
+    /// Returns a connection, an idle one if `reuse` is set and there is one.
+    pub(crate) async fn connect(&self, reuse: bool) -> Result<UpstreamConnection, AttemptError> {
         if reuse {
-            if let Some(conn) = self.take_kept() {
+            if let Some(conn) = self.take_idle() {
                 return Ok(conn);
             }
         }
@@ -97,34 +96,34 @@
             |e: String| AttemptError::NotSent(format!("connect to upstream {}: {e}", self.address));
         let stream = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address))
             .await
-            .map_err(|_| not_sent("no answer in time".to_owned()))?
+            .map_err(|_| not_sent("timed out".to_owned()))?
             .map_err(|e| not_sent(e.to_string()))?;
         stream.set_nodelay(true).map_err(|e| not_sent(e.to_string()))?;
         let (sender, driver) =
             http1::handshake(TokioIo::new(stream)).await.map_err(|e| not_sent(e.to_string()))?;
         let driver = tokio::spawn(async move {
             if let Err(e) = driver.await {
-                tracing::debug!("upstream connection: {e}");
+                tracing::debug!("connection to the upstream: {e}");
             }
         });
-        Ok(Conn { sender, driver })
+        Ok(UpstreamConnection { sender, driver })
     }
 
-    /// Keeps a connection whose answer was read to the end.
-    pub(crate) fn keep(&self, conn: Conn) {
+    /// Keeps a connection for reuse after its response was read to the end.
+    pub(crate) fn put_idle(&self, conn: UpstreamConnection) {
         if conn.sender.is_closed() {
             return;
         }
-        let mut kept = self.kept.lock();
+        let mut idle = self.idle.lock();
         let now = Instant::now();
-        kept.retain(|(at, it)| now < *at + KEEP && !it.sender.is_closed());
-        if kept.len() < MAX_KEPT {
-            kept.push((now, conn));
+        idle.retain(|(at, it)| now < *at + IDLE_TIMEOUT && !it.sender.is_closed());
+        if idle.len() < MAX_IDLE {
+            idle.push((now, conn));
         }
     }
 
-    /// Asks the upstream for its load; the text of the answer.
-    pub(crate) async fn load(&self) -> Result<Bytes, AttemptError> {
+    /// Requests `/load` of the upstream and returns the response body.
+    pub(crate) async fn fetch_load(&self) -> Result<Bytes, AttemptError> {
         let mut conn = self.connect(false).await?;
         let empty = Empty::new().map_err(|never| match never {}).boxed_unsync();
         let request = Request::get("/load")
@@ -133,15 +132,16 @@
             .expect("the request is built from constants");
         let response = conn.send(request).await?;
         let body = response.into_body().collect().await;
-        let lost = |e: hyper::Error| AttemptError::MaybeSent(format!("read the load: {e}"));
+        let lost =
+            |e: hyper::Error| AttemptError::MaybeSent(format!("read the response to /load: {e}"));
         Ok(body.map_err(lost)?.to_bytes())
     }
 
-    fn take_kept(&self) -> Option<Conn> {
-        let mut kept = self.kept.lock();
+    fn take_idle(&self) -> Option<UpstreamConnection> {
+        let mut idle = self.idle.lock();
         let now = Instant::now();
-        while let Some((at, conn)) = kept.pop() {
-            if now < at + KEEP && conn.sender.is_ready() {
+        while let Some((at, conn)) = idle.pop() {
+            if now < at + IDLE_TIMEOUT && conn.sender.is_ready() {
                 return Some(conn);
             }
         }
