--- a/crates/daemon/src/agent/flow.rs
+++ b/crates/daemon/src/agent/flow.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// Counts a pending handshake until it is dropped.
+/// Guard that counts a pending handshake.
 struct PendingHandshake(Arc<AtomicU32>);
 
 impl PendingHandshake {
--- a/crates/daemon/src/agent/local.rs
+++ b/crates/daemon/src/agent/local.rs
@@ -103,7 +103,7 @@
     let node = context.node.clone();
     let started = Instant::now();
     let mut slot = Some(slot);
-    let mut sending = pin!(conn.send(request));
+    let mut response_future = pin!(conn.send(request));
     let mut body_copy = pin!(body_copy);
     let mut timed_out =
         pin!(response_timeout(&node, context.head.is_idempotent(), context.head.deadline));
@@ -111,7 +111,7 @@
     let mut continue_sent = false;
     let sent = loop {
         tokio::select! {
-            sent = &mut sending => break sent,
+            sent = &mut response_future => break sent,
             result = &mut body_copy, if !body_done => {
                 body_done = true;
                 if result.is_err() {
--- a/crates/daemon/src/agent/node.rs
+++ b/crates/daemon/src/agent/node.rs
@@ -121,7 +121,7 @@
 /// Number of flows by epoch of the key that encrypts their connection IDs.
 type EpochCounts = Arc<Mutex<BTreeMap<u8, u32>>>;
 
-/// Counts an open flow until it is dropped.
+/// Guard that counts an open flow.
 #[derive(Debug)]
 pub(crate) struct FlowGuard {
     total_flows: Arc<AtomicU32>,
@@ -320,7 +320,7 @@
         self.epoch_counts.lock().keys().copied().collect()
     }
 
-    /// The services that have received datagrams so far.
+    /// The services opened so far.
     pub(crate) fn services(&self) -> Vec<Arc<Service>> {
         self.services.lock().values().cloned().collect()
     }
--- a/crates/daemon/src/agent/quic.rs
+++ b/crates/daemon/src/agent/quic.rs
@@ -73,7 +73,7 @@
     unacknowledged: Arc<AtomicUsize>,
 }
 
-/// Counts a response as sent and not acknowledged until it is dropped.
+/// Guard that counts a response as sent and not acknowledged.
 pub(crate) struct UnacknowledgedGuard(Arc<AtomicUsize>);
 
 impl Drop for UnacknowledgedGuard {
--- a/crates/daemon/src/agent/slots.rs
+++ b/crates/daemon/src/agent/slots.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Counts a waiting request until it is dropped.
+/// Guard that counts a waiting request.
 struct WaitingGuard(Arc<AtomicU32>);
 
 impl Drop for WaitingGuard {
