--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -1,8 +1,8 @@
-//! The answers that the upstream writes and the caller checks.
+//! Response format: written by the upstream, verified by the caller.
 //!
-//! An answer is a line of JSON that says which upstream answered which request, an optional filling, and a last line
-//! with a digest of all bytes before it. A feed is the same with numbered lines in the middle. So an answer that is cut,
-//! mixed with another or meant for another request shows.
+//! A response is a JSON line that names the upstream and the request, optional padding, and a last line with a digest
+//! of all bytes before it. A feed has numbered lines in between. A caller can thus detect a response that is truncated,
+//! mixed with another, or meant for another request.
 
 use std::fmt::Write;
 
@@ -14,26 +14,26 @@
 pub const SERVICE: &str = "camphorwinch-service";
 /// Header with the request's id, set by the agent.
 pub const REQUEST: &str = "camphorwinch-request";
-/// Header with the milliseconds left to the deadline.
+/// Header with the time left until the deadline, in milliseconds.
 pub const DEADLINE: &str = "camphorwinch-deadline-ms";
 /// Header with the caller's idempotency key.
 pub const KEY: &str = "idempotency-key";
-/// Header of a refusal: the request was not started.
+/// Response header that says the request was not started.
 pub const NOT_RUN: &str = "camphorwinch-not-run";
 
-const SUM: &str = "sum ";
-const TICK: &str = "tick ";
+const DIGEST_PREFIX: &str = "sum ";
+const LINE_PREFIX: &str = "tick ";
 
-/// First line of an answer: who answered what.
+/// First line of a response: identifies the upstream and the request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// Name of the upstream.
     pub upstream: String,
     /// Pool of the upstream.
     pub pool: String,
-    /// Service named by the agent.
+    /// Service, as set by the agent.
     pub service: String,
-    /// Id of the request, given by the agent.
+    /// Request id, as set by the agent.
     pub request: String,
     /// Method of the request.
     pub method: String,
@@ -49,17 +49,17 @@
     pub digest: String,
 }
 
-/// Why an answer is not whole.
+/// Why a response is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum AnswerError {
-    /// It is empty, cut, or not text.
-    #[error("the answer is cut after {0} bytes")]
+    /// It is empty, truncated, or not UTF-8.
+    #[error("the response is truncated after {0} bytes")]
     Cut(usize),
-    /// The digest differs.
-    #[error("the answer's digest does not fit its bytes")]
+    /// The digest does not match.
+    #[error("the response's digest does not match its bytes")]
     Digest,
-    /// The first line can't be read.
-    #[error("the answer's first line is malformed: {0}")]
+    /// The first line can't be parsed.
+    #[error("the response's first line is malformed: {0}")]
     Head(String),
     /// A line of a feed is out of order or belongs to another request.
     #[error("line {0:?} does not follow line {1} of this feed")]
@@ -71,7 +71,7 @@
     to_hex(&Sha256::digest(bytes))
 }
 
-/// Bytes in hex.
+/// Encodes bytes as lower-case hex.
 pub fn to_hex(bytes: &[u8]) -> String {
     let mut text = String::with_capacity(bytes.len() * 2);
     for byte in bytes {
@@ -80,62 +80,62 @@
     text
 }
 
-/// The whole text of an answer with `filling` further bytes.
-pub fn write(head: &Head, filling: usize) -> String {
+/// Writes a response with `padding` bytes of padding.
+pub fn write(head: &Head, padding: usize) -> String {
     let mut text = first_line(head);
-    if filling > 0 {
-        text.extend(std::iter::repeat_n('.', filling));
+    if padding > 0 {
+        text.extend(std::iter::repeat_n('.', padding));
         text.push('\n');
     }
-    let sum = sum_line(text.as_bytes());
-    text.push_str(&sum);
+    let digest = sum_line(text.as_bytes());
+    text.push_str(&digest);
     text
 }
 
-/// Checks that an answer is whole and returns its head.
+/// Verifies that a response is complete and returns its head.
 pub fn read(bytes: &[u8]) -> Result<Head, AnswerError> {
-    let cut = AnswerError::Cut(bytes.len());
-    let text = std::str::from_utf8(bytes).map_err(|_| cut.clone())?;
-    let body = text.strip_suffix('\n').ok_or(cut.clone())?;
-    let start = body.rfind('\n').ok_or(cut.clone())? + 1;
-    if !body[start..].starts_with(SUM) {
-        return Err(cut);
+    let truncated = AnswerError::Cut(bytes.len());
+    let text = std::str::from_utf8(bytes).map_err(|_| truncated.clone())?;
+    let body = text.strip_suffix('\n').ok_or(truncated.clone())?;
+    let last_line = body.rfind('\n').ok_or(truncated.clone())? + 1;
+    if !body[last_line..].starts_with(DIGEST_PREFIX) {
+        return Err(truncated);
     }
-    if text[start..] != sum_line(&bytes[..start]) {
+    if text[last_line..] != sum_line(&bytes[..last_line]) {
         return Err(AnswerError::Digest);
     }
-    let line = text.lines().next().ok_or(cut)?;
+    let line = text.lines().next().ok_or(truncated)?;
     read_head(line)
 }
 
-/// First line of an answer.
+/// First line of a response.
 pub fn first_line(head: &Head) -> String {
     let mut line = serde_json::to_string(head).unwrap_or_default();
     line.push('\n');
     line
 }
 
-/// Reads the first line of an answer.
+/// Parses the first line of a response.
 pub fn read_head(line: &str) -> Result<Head, AnswerError> {
     serde_json::from_str(line).map_err(|e| AnswerError::Head(e.to_string()))
 }
 
-/// Last line of an answer, over all bytes before it.
+/// Last line of a response, with the digest of `bytes`, all bytes before it.
 pub fn sum_line(bytes: &[u8]) -> String {
     sum_text(&hex_digest(bytes))
 }
 
-/// Last line of an answer, for a digest in hex.
+/// Last line of a response, from a digest in hex.
 pub fn sum_text(digest: &str) -> String {
-    format!("{SUM}{digest}\n")
+    format!("{DIGEST_PREFIX}{digest}\n")
 }
 
 /// Line `count` of a feed.
 pub fn tick_line(count: u64, echo: &str) -> String {
-    format!("{TICK}{count} {echo}\n")
+    format!("{LINE_PREFIX}{count} {echo}\n")
 }
 
-/// Reader of a feed that arrives in pieces.
+/// Incremental parser of a feed.
 #[derive(Clone, Debug, Default)]
 pub struct FeedReader {
     digest: Sha256,
@@ -152,7 +152,7 @@
         FeedReader::default()
     }
 
-    /// Takes the next bytes.
+    /// Parses the next bytes; fails at the first invalid line.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), AnswerError> {
         self.bytes += bytes.len();
         for &byte in bytes {
@@ -161,22 +161,22 @@
                 continue;
             }
             let line = std::mem::take(&mut self.line);
-            self.take(&line)?;
+            self.parse_line(&line)?;
         }
         Ok(())
     }
 
-    /// The first line, once it has arrived.
+    /// The first line, once received.
     pub fn head(&self) -> Option<&Head> {
         self.head.as_ref()
     }
 
-    /// Number of the last line.
+    /// Number of the last numbered line received.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// Checks that the feed ended with its last line, and not in the middle.
+    /// Verifies that the feed is complete and returns its head.
     pub fn finish(&self) -> Result<&Head, AnswerError> {
         match &self.head {
             Some(head) if self.ended && self.line.is_empty() => Ok(head),
@@ -184,18 +184,18 @@
         }
     }
 
-    fn take(&mut self, line: &[u8]) -> Result<(), AnswerError> {
+    fn parse_line(&mut self, line: &[u8]) -> Result<(), AnswerError> {
         let text = String::from_utf8_lossy(line);
-        let odd = || AnswerError::Tick(text.trim_end().to_owned(), self.count);
+        let unexpected = || AnswerError::Tick(text.trim_end().to_owned(), self.count);
         if self.ended {
-            return Err(odd());
+            return Err(unexpected());
         }
         let Some(head) = &self.head else {
             self.head = Some(read_head(&text)?);
             self.digest.update(line);
             return Ok(());
         };
-        if text.starts_with(SUM) {
+        if text.starts_with(DIGEST_PREFIX) {
             if text != sum_text(&to_hex(&self.digest.clone().finalize())) {
                 return Err(AnswerError::Digest);
             }
@@ -203,7 +203,7 @@
             return Ok(());
         }
         if text != tick_line(self.count + 1, &head.echo) {
-            return Err(odd());
+            return Err(unexpected());
         }
         self.count += 1;
         self.digest.update(line);
--- a/crates/standin/src/caller/client.rs
+++ b/crates/standin/src/caller/client.rs
@@ -1,4 +1,4 @@
-//! QUIC and TLS settings of callers, and the endpoints they send from.
+//! QUIC and TLS settings of callers, and their endpoints.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -14,18 +14,18 @@
 use rustls_pki_types::{CertificateDer, pem::PemObject};
 
 const IDLE_TIMEOUT_MS: u32 = 20_000;
-/// A caller that only waits for an answer sends nothing, and would learn late that its agent died.
+/// Keeps a caller that waits for a response sending, so that it detects the loss of its agent.
 const KEEP_ALIVE: Duration = Duration::from_secs(5);
 const ALPN: &[u8] = b"h3";
 
-/// Settings of a caller that trusts the certificates in `pem`.
+/// Client settings that trust the certificates in `pem`; fails if there are none.
 pub fn config(pem: &str) -> anyhow::Result<ClientConfig> {
     let mut roots = RootCertStore::empty();
     for cert in CertificateDer::pem_slice_iter(pem.as_bytes()) {
         let cert = cert.context("read the trusted certificates")?;
         roots.add(cert).context("add a trusted certificate")?;
     }
-    ensure!(!roots.is_empty(), "read the trusted certificates: there is none");
+    ensure!(!roots.is_empty(), "read the trusted certificates: none found");
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let mut tls = rustls::ClientConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
@@ -48,7 +48,7 @@
     transport
 }
 
-/// Endpoints at free ports of the addresses, `count` in all.
+/// Binds `count` endpoints to free ports, spread over the addresses.
 pub fn endpoints(hosts: &[IpAddr], count: usize) -> anyhow::Result<Vec<Endpoint>> {
     ensure!(!hosts.is_empty(), "bind the callers: no address to send from");
     let mut endpoints = Vec::with_capacity(count);
--- a/crates/standin/src/caller/flow.rs
+++ b/crates/standin/src/caller/flow.rs
@@ -1,4 +1,4 @@
-//! A flow: one QUIC connection of a caller, and the requests on it.
+//! A flow: a caller's QUIC connection and its requests.
 
 use std::{
     future::poll_fn,
@@ -25,114 +25,115 @@
 
 use super::{
     Target,
-    ask::Ask,
-    outcome::{Doubt, Flaw, Outcome},
+    outcome::{FailureReason, Outcome, UnknownReason},
+    request::CallerRequest,
     verify,
 };
 
-/// Header in which the system says what became of a request.
+/// Response header with the outcome of a request.
 pub const OUTCOME: &str = "camphorwinch-outcome";
-/// Header with the name of the agent whose upstream ran the request.
+/// Response header with the agent whose upstream ran the request.
 pub const UPSTREAM: &str = "camphorwinch-upstream";
-/// Header with the name of the agent that holds the flow.
+/// Response header with the agent that holds the flow.
 pub const AGENT: &str = "camphorwinch-agent";
-/// Header with the id that the system gave to the request.
+/// Response header with the request id.
 pub const REQUEST: &str = "camphorwinch-request";
 
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
-const REFUSED: u64 = 0x02;
+const CONNECTION_REFUSED: u64 = 0x02;
 
 /// State of a flow.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum State {
-    /// Requests may be sent.
+pub enum FlowState {
+    /// New requests may be sent.
     Open,
-    /// The far side sent GOAWAY: requests in progress finish, no new ones start.
-    Leaving,
-    /// The connection is gone.
-    Ended(End),
+    /// The peer sent GOAWAY: requests in progress finish, new ones can't start.
+    GoingAway,
+    /// The connection is closed.
+    Ended(FlowEnd),
 }
 
 /// How a flow ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum FlowEnd {
     /// The caller closed it.
     Caller,
-    /// The far side closed it gracefully, no request in progress.
+    /// The peer closed it gracefully, with no request in progress.
     Graceful,
-    /// Anything else.
+    /// It ended in any other way; holds the error.
     Broken(String),
 }
 
 /// Why a flow could not be opened.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum OpenError {
-    /// The far side refused it.
+    /// The peer refused the connection.
     #[error("refused")]
     Refused,
     /// The handshake failed.
     #[error("handshake: {0}")]
     Handshake(String),
-    /// The handshake did not end in time.
-    #[error("handshake: no answer in time")]
-    Late,
+    /// The handshake timed out.
+    #[error("handshake: no response in time")]
+    Timeout,
 }
 
-/// What came back on a request.
+/// Result of one request attempt.
 #[derive(Clone, Debug)]
-pub struct Reply {
-    /// What became of the request.
+pub struct RequestResult {
+    /// Outcome of the request.
     pub outcome: Outcome,
     /// Time from the first byte sent to the last byte received.
     pub latency: Duration,
-    /// How long to wait before asking again.
-    pub wait: Option<Duration>,
+    /// Delay before a retry, from `retry-after`.
+    pub retry_after: Option<Duration>,
     /// Agent whose upstream ran the request.
     pub upstream: Option<String>,
-    /// Id that the system gave to the request.
-    pub request: Option<String>,
+    /// Request id.
+    pub request_id: Option<String>,
 }
 
 #[derive(Debug, Default)]
-struct Shared {
-    streams: AtomicUsize,
-    cut: AtomicBool,
-    closed: AtomicBool,
+struct SharedState {
+    in_flight: AtomicUsize,
+    request_lost: AtomicBool,
+    closed_by_caller: AtomicBool,
 }
 
-/// A flow.
+/// An open flow.
 pub struct Flow {
-    /// Number, unique within the run.
+    /// Flow number, unique within the run.
     pub id: u64,
     target: Target,
     conn: quinn::Connection,
     sender: SendRequest<OpenStreams, Bytes>,
-    shared: Arc<Shared>,
-    state: watch::Receiver<State>,
+    shared: Arc<SharedState>,
+    state: watch::Receiver<FlowState>,
     agent: parking_lot::Mutex<Option<String>>,
 }
 
 type Driver = Connection<h3_quinn::Connection, Bytes>;
 
 impl Flow {
-    /// Opens a flow to the target.
+    /// Opens a flow to the target; fails if refused or after the handshake timeout.
     pub async fn open(
         id: u64,
         endpoint: &Endpoint,
         config: &ClientConfig,
         target: &Target,
     ) -> Result<Flow, OpenError> {
-        let conn = match time::timeout(HANDSHAKE_TIMEOUT, shake(endpoint, config, target)).await {
+        let conn = match time::timeout(HANDSHAKE_TIMEOUT, handshake(endpoint, config, target)).await
+        {
             Ok(it) => it?,
-            Err(_) => return Err(OpenError::Late),
+            Err(_) => return Err(OpenError::Timeout),
         };
         let (driver, sender) = h3::client::builder()
             .build::<_, _, Bytes>(h3_quinn::Connection::new(conn.clone()))
             .await
             .map_err(|e| OpenError::Handshake(e.to_string()))?;
-        let shared = Arc::new(Shared::default());
-        let (tx, state) = watch::channel(State::Open);
-        tokio::spawn(drive(driver, shared.clone(), tx));
+        let shared = Arc::new(SharedState::default());
+        let (tx, state) = watch::channel(FlowState::Open);
+        tokio::spawn(drive_connection(driver, shared.clone(), tx));
         Ok(Flow {
             id,
             target: target.clone(),
@@ -144,13 +145,13 @@
         })
     }
 
-    /// State of the flow now.
-    pub fn state(&self) -> State {
+    /// Current state of the flow.
+    pub fn state(&self) -> FlowState {
         self.state.borrow().clone()
     }
 
-    /// Follows the state.
-    pub fn watch(&self) -> watch::Receiver<State> {
+    /// Returns a receiver of state changes.
+    pub fn subscribe(&self) -> watch::Receiver<FlowState> {
         self.state.clone()
     }
 
@@ -159,131 +160,145 @@
         &self.target.name
     }
 
-    /// Agent that holds the flow, as far as its answers told.
+    /// Agent that holds the flow, once a response has named it.
     pub fn agent(&self) -> Option<String> {
         self.agent.lock().clone()
     }
 
-    /// Closes the flow.
+    /// Closes the flow gracefully.
     pub fn close(&self) {
-        self.shared.closed.store(true, Ordering::SeqCst);
+        self.shared.closed_by_caller.store(true, Ordering::SeqCst);
         let code = VarInt::from_u64(Code::H3_NO_ERROR.value()).unwrap_or(VarInt::from_u32(0));
         self.conn.close(code, b"");
     }
 
-    /// Sends a request and waits for its answer, at most for `patience`.
-    pub async fn run(&self, ask: &Ask, patience: Duration) -> Reply {
+    /// Sends a request and waits for its response, for at most `timeout`.
+    pub async fn send(&self, request: &CallerRequest, timeout: Duration) -> RequestResult {
         let start = Instant::now();
-        let mut reply = match time::timeout(patience, self.exchange(ask)).await {
-            Ok(reply) => reply,
-            Err(_) => Reply::new(Outcome::Failed(Flaw::Late)),
+        let mut result = match time::timeout(timeout, self.exchange(request)).await {
+            Ok(result) => result,
+            Err(_) => RequestResult::new(Outcome::Failed(FailureReason::Timeout)),
         };
-        reply.latency = start.elapsed();
-        reply
+        result.latency = start.elapsed();
+        result
     }
 
-    async fn exchange(&self, ask: &Ask) -> Reply {
-        let Ok(head) = ask.head(&self.target.name) else {
-            return Reply::new(Outcome::Unsent);
+    async fn exchange(&self, request: &CallerRequest) -> RequestResult {
+        let Ok(head) = request.head(&self.target.name) else {
+            return RequestResult::new(Outcome::NotSent);
         };
-        let _guard = Guard::new(&self.shared);
+        let _guard = InFlightGuard::new(&self.shared);
         let stream = match self.sender.clone().send_request(head).await {
             Ok(stream) => stream,
-            Err(StreamError::RemoteClosing) => return Reply::new(Outcome::Unsent),
-            Err(e) => return Reply::new(self.judge(&e, None)),
+            Err(StreamError::RemoteClosing) => return RequestResult::new(Outcome::NotSent),
+            Err(e) => return RequestResult::new(self.classify_error(&e, None)),
         };
         let (mut send, mut recv) = stream.split();
-        let (_, reply) = join(send_body(&mut send, ask), self.receive(&mut recv, ask)).await;
-        reply
+        let (_, result) =
+            join(send_body(&mut send, request), self.receive(&mut recv, request)).await;
+        result
     }
 
     async fn receive(
         &self,
         recv: &mut RequestStream<h3_quinn::RecvStream, Bytes>,
-        ask: &Ask,
-    ) -> Reply {
+        request: &CallerRequest,
+    ) -> RequestResult {
         let head = match recv.recv_response().await {
             Ok(head) => head,
-            Err(e) => return Reply::new(self.judge(&e, None)),
+            Err(e) => return RequestResult::new(self.classify_error(&e, None)),
         };
-        if let Some(name) = text(head.headers(), AGENT) {
+        if let Some(name) = header_text(head.headers(), AGENT) {
             *self.agent.lock() = Some(name);
         }
         let mut body = BytesMut::new();
         let outcome = loop {
             match recv.recv_data().await {
-                Ok(Some(data)) => put(&mut body, data),
-                Ok(None) => break self.classify(&head, &body, ask),
-                Err(e) => break self.judge(&e, Some(&head)),
+                Ok(Some(data)) => append(&mut body, data),
+                Ok(None) => break self.classify_response(&head, &body, request),
+                Err(e) => break self.classify_error(&e, Some(&head)),
             }
         };
-        Reply::with_head(outcome, &head)
+        RequestResult::with_head(outcome, &head)
     }
 
-    fn classify(&self, head: &Response<()>, body: &[u8], ask: &Ask) -> Outcome {
-        let told = text(head.headers(), OUTCOME);
-        match (head.status(), told.as_deref()) {
+    fn classify_response(
+        &self,
+        head: &Response<()>,
+        body: &[u8],
+        request: &CallerRequest,
+    ) -> Outcome {
+        let reported = header_text(head.headers(), OUTCOME);
+        match (head.status(), reported.as_deref()) {
             (StatusCode::OK, None) => {
-                match verify::check(ask, &self.target, head.headers(), body) {
-                    Ok(()) => Outcome::Whole,
-                    Err(flaw) => Outcome::Failed(flaw),
+                match verify::check(request, &self.target, head.headers(), body) {
+                    Ok(()) => Outcome::Complete,
+                    Err(reason) => Outcome::Failed(reason),
                 }
             }
             (StatusCode::SERVICE_UNAVAILABLE, Some("not-run")) => Outcome::NotRun,
-            (StatusCode::BAD_GATEWAY, Some("unknown")) => Outcome::Unknown(Doubt::Told),
-            (status, _) => Outcome::Failed(Flaw::Status(status.as_u16())),
+            (StatusCode::BAD_GATEWAY, Some("unknown")) => Outcome::Unknown(UnknownReason::Reported),
+            (status, _) => Outcome::Failed(FailureReason::Status(status.as_u16())),
         }
     }
 
-    fn judge(&self, error: &StreamError, head: Option<&Response<()>>) -> Outcome {
+    fn classify_error(&self, error: &StreamError, head: Option<&Response<()>>) -> Outcome {
         match error {
             StreamError::RemoteTerminate { code } if *code == Code::H3_REQUEST_REJECTED => {
                 Outcome::NotRun
             }
-            StreamError::RemoteTerminate { .. } => Outcome::Failed(Flaw::Cut(error.to_string())),
+            StreamError::RemoteTerminate { .. } => {
+                Outcome::Failed(FailureReason::Truncated(error.to_string()))
+            }
             StreamError::ConnectionError(_) => {
-                self.shared.cut.store(true, Ordering::SeqCst);
-                Outcome::Unknown(Doubt::FlowLost)
+                self.shared.request_lost.store(true, Ordering::SeqCst);
+                Outcome::Unknown(UnknownReason::FlowLost)
             }
-            _ if head.is_some() => Outcome::Failed(Flaw::Cut(error.to_string())),
-            _ => Outcome::Failed(Flaw::Corrupt(error.to_string())),
+            _ if head.is_some() => Outcome::Failed(FailureReason::Truncated(error.to_string())),
+            _ => Outcome::Failed(FailureReason::Corrupt(error.to_string())),
         }
     }
 }
 
-impl Reply {
-    fn new(outcome: Outcome) -> Reply {
-        Reply { outcome, latency: Duration::ZERO, wait: None, upstream: None, request: None }
+impl RequestResult {
+    fn new(outcome: Outcome) -> RequestResult {
+        RequestResult {
+            outcome,
+            latency: Duration::ZERO,
+            retry_after: None,
+            upstream: None,
+            request_id: None,
+        }
     }
 
-    fn with_head(outcome: Outcome, head: &Response<()>) -> Reply {
-        let wait = text(head.headers(), http::header::RETRY_AFTER.as_str());
-        Reply {
-            wait: wait.and_then(|it| it.parse().ok()).map(Duration::from_secs),
-            upstream: text(head.headers(), UPSTREAM),
-            request: text(head.headers(), REQUEST),
-            ..Reply::new(outcome)
+    fn with_head(outcome: Outcome, head: &Response<()>) -> RequestResult {
+        let retry_after = header_text(head.headers(), http::header::RETRY_AFTER.as_str());
+        RequestResult {
+            retry_after: retry_after.and_then(|it| it.parse().ok()).map(Duration::from_secs),
+            upstream: header_text(head.headers(), UPSTREAM),
+            request_id: header_text(head.headers(), REQUEST),
+            ..RequestResult::new(outcome)
         }
     }
 }
 
-/// Counts a request as in progress.
-struct Guard<'a>(&'a Shared);
+/// Counts a request as in progress until dropped.
+struct InFlightGuard<'a>(&'a SharedState);
 
-impl Guard<'_> {
-    fn new(shared: &Shared) -> Guard<'_> {
-        shared.streams.fetch_add(1, Ordering::SeqCst);
-        Guard(shared)
+impl InFlightGuard<'_> {
+    fn new(shared: &SharedState) -> InFlightGuard<'_> {
+        shared.in_flight.fetch_add(1, Ordering::SeqCst);
+        InFlightGuard(shared)
     }
 }
 
-impl Drop for Guard<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
-        self.0.streams.fetch_sub(1, Ordering::SeqCst);
+        self.0.in_flight.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-async fn shake(
+async fn handshake(
     endpoint: &Endpoint,
     config: &ClientConfig,
     target: &Target,
@@ -294,7 +309,7 @@
     match connecting.await {
         Ok(conn) => Ok(conn),
         Err(quinn::ConnectionError::ConnectionClosed(close))
-            if u64::from(close.error_code) == REFUSED =>
+            if u64::from(close.error_code) == CONNECTION_REFUSED =>
         {
             Err(OpenError::Refused)
         }
@@ -302,36 +317,41 @@
     }
 }
 
-async fn drive(mut driver: Driver, shared: Arc<Shared>, state: watch::Sender<State>) {
+async fn drive_connection(
+    mut driver: Driver,
+    shared: Arc<SharedState>,
+    state: watch::Sender<FlowState>,
+) {
     let error = poll_fn(|cx| {
         let poll = driver.poll_close(cx);
         if poll.is_pending() && driver.is_closing() {
-            state.send_if_modified(leave);
+            state.send_if_modified(mark_going_away);
         }
         poll
     })
     .await;
-    let end = end(&error, &shared, *state.borrow() == State::Leaving);
-    state.send_replace(State::Ended(end));
+    let end = end_reason(&error, &shared, *state.borrow() == FlowState::GoingAway);
+    state.send_replace(FlowState::Ended(end));
 }
 
-fn leave(state: &mut State) -> bool {
-    if *state != State::Open {
+fn mark_going_away(state: &mut FlowState) -> bool {
+    if *state != FlowState::Open {
         return false;
     }
-    *state = State::Leaving;
+    *state = FlowState::GoingAway;
     true
 }
 
-fn end(error: &ConnectionError, shared: &Shared, leaving: bool) -> End {
-    if shared.closed.load(Ordering::SeqCst) {
-        return End::Caller;
+fn end_reason(error: &ConnectionError, shared: &SharedState, going_away: bool) -> FlowEnd {
+    if shared.closed_by_caller.load(Ordering::SeqCst) {
+        return FlowEnd::Caller;
     }
-    let cut = shared.cut.load(Ordering::SeqCst) || shared.streams.load(Ordering::SeqCst) > 0;
-    if !cut && (leaving || closed_cleanly(error)) {
-        return End::Graceful;
+    let request_lost =
+        shared.request_lost.load(Ordering::SeqCst) || shared.in_flight.load(Ordering::SeqCst) > 0;
+    if !request_lost && (going_away || closed_cleanly(error)) {
+        return FlowEnd::Graceful;
     }
-    End::Broken(error.to_string())
+    FlowEnd::Broken(error.to_string())
 }
 
 fn closed_cleanly(error: &ConnectionError) -> bool {
@@ -342,20 +362,23 @@
     *error_code == Code::H3_NO_ERROR.value()
 }
 
-async fn send_body<S>(send: &mut RequestStream<S, Bytes>, ask: &Ask) -> Result<(), StreamError>
+async fn send_body<S>(
+    send: &mut RequestStream<S, Bytes>,
+    request: &CallerRequest,
+) -> Result<(), StreamError>
 where
     S: SendStream<Bytes>,
 {
-    for (i, chunk) in ask.chunks.iter().enumerate() {
+    for (i, chunk) in request.chunks.iter().enumerate() {
         if i > 0 {
-            time::sleep(ask.pause).await;
+            time::sleep(request.chunk_interval).await;
         }
         send.send_data(chunk.clone()).await?;
     }
     send.finish().await
 }
 
-fn put<B>(body: &mut BytesMut, mut data: B)
+fn append<B>(body: &mut BytesMut, mut data: B)
 where
     B: Buf,
 {
@@ -367,6 +390,6 @@
     }
 }
 
-fn text(headers: &HeaderMap, name: &str) -> Option<String> {
+fn header_text(headers: &HeaderMap, name: &str) -> Option<String> {
     headers.get(name)?.to_str().ok().map(str::to_owned)
 }
--- a/crates/standin/src/caller/load.rs
+++ b/crates/standin/src/caller/load.rs
@@ -1,4 +1,4 @@
-//! Load: many callers with a mix of habits, at set rates, placed from a seed.
+//! Load generator: callers with a mix of requests at fixed rates, from a seed.
 
 use std::{
     str::FromStr,
@@ -18,55 +18,54 @@
 
 use super::{
     Target,
-    ask::{Ask, Kind},
-    session::{Session, Shared},
-    tally::Tally,
+    request::{CallerRequest, RequestKind},
+    session::{RunContext, Session},
+    stats::LoadStats,
 };
 
-const FEED_SPAN_MS: std::ops::Range<u64> = 1_000..8_000;
-const FEED_EVERY: Duration = Duration::from_millis(100);
-const MIN_FEED: Duration = Duration::from_millis(200);
+const FEED_DURATION_MS: std::ops::Range<u64> = 1_000..8_000;
+const FEED_INTERVAL: Duration = Duration::from_millis(100);
+const MIN_FEED_DURATION: Duration = Duration::from_millis(200);
 const WORK_MS: std::ops::Range<u64> = 2..50;
-const THINK_MS: std::ops::Range<u64> = 20..400;
-/// Longest wait for closed connections to be forgotten.
-const CLOSE_LIMIT: Duration = Duration::from_secs(2);
+const THINK_TIME_MS: std::ops::Range<u64> = 20..400;
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 const REOPEN_JITTER_MS: u64 = 500;
 const BURST_CHANCE: f64 = 0.1;
-/// Chance that a caller submits a transfer twice at once, on two flows under one key.
-const TWIN_CHANCE: f64 = 0.03;
-const BURST: std::ops::Range<usize> = 2..5;
-const SHORT_REQUESTS: std::ops::Range<u32> = 1..4;
+/// Chance that a transfer is sent twice at once, on two flows with the same key.
+const DUPLICATE_CHANCE: f64 = 0.03;
+const BURST_SIZE: std::ops::Range<usize> = 2..5;
+const REQUESTS_PER_SHORT_FLOW: std::ops::Range<u32> = 1..4;
 
-/// Shares of kinds among requests or callers.
+/// Weights of the request kinds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Mix {
-    /// Screens.
+    /// Weight of screens.
     pub screen: f64,
-    /// Feeds.
+    /// Weight of feeds.
     pub feed: f64,
-    /// Uploads.
+    /// Weight of uploads.
     pub upload: f64,
-    /// Transfers.
+    /// Weight of transfers.
     pub transfer: f64,
 }
 
 impl FromStr for Mix {
     type Err = String;
 
-    /// Parses `screen=0.5,transfer=0.5`; what is left out is 0.
+    /// Parses `screen=0.5,transfer=0.5`; kinds not given have weight 0.
     fn from_str(s: &str) -> Result<Mix, String> {
         let mut mix = Mix::new([0.0; 4]);
         for part in s.split(',') {
             let Some((name, share)) = part.split_once('=') else {
                 return Err(format!("{part:?} is not KIND=SHARE"));
             };
-            let share = share.parse().map_err(|_| format!("{share:?} is no number"))?;
+            let share = share.parse().map_err(|_| format!("{share:?} is not a number"))?;
             match name {
                 "screen" => mix.screen = share,
                 "feed" => mix.feed = share,
                 "upload" => mix.upload = share,
                 "transfer" => mix.transfer = share,
-                _ => return Err(format!("{name:?} is none of screen, feed, upload, transfer")),
+                _ => return Err(format!("{name:?} is not screen, feed, upload or transfer")),
             }
         }
         mix.check().map_err(|e| e.to_string())?;
@@ -75,30 +74,30 @@
 }
 
 impl Mix {
-    /// Checks that the shares make sense.
+    /// Fails if a weight is negative or not finite, or if all are 0.
     pub fn check(&self) -> anyhow::Result<()> {
         let shares = [self.screen, self.feed, self.upload, self.transfer];
-        let sane = shares.iter().all(|it| it.is_finite() && *it >= 0.0);
+        let valid = shares.iter().all(|it| it.is_finite() && *it >= 0.0);
         ensure!(
-            sane && shares.iter().sum::<f64>() > 0.0,
-            "mix: shares must be 0 or more, not all 0"
+            valid && shares.iter().sum::<f64>() > 0.0,
+            "mix: shares must be at least 0 and not all 0"
         );
         Ok(())
     }
 
-    /// The mix with these shares, in the order of the fields.
+    /// Creates a mix from weights in the order of the fields.
     pub fn new(shares: [f64; 4]) -> Mix {
         let [screen, feed, upload, transfer] = shares;
         Mix { screen, feed, upload, transfer }
     }
 
-    /// Draws a kind.
-    pub fn draw(&self, rng: &mut StdRng) -> Kind {
+    /// Picks a kind at random.
+    pub fn pick(&self, rng: &mut StdRng) -> RequestKind {
         let shares = [
-            (Kind::Screen, self.screen),
-            (Kind::Feed, self.feed),
-            (Kind::Upload, self.upload),
-            (Kind::Transfer, self.transfer),
+            (RequestKind::Screen, self.screen),
+            (RequestKind::Feed, self.feed),
+            (RequestKind::Upload, self.upload),
+            (RequestKind::Transfer, self.transfer),
         ];
         let mut rest = rng.random_range(0.0..shares.iter().map(|it| it.1).sum::<f64>());
         for (kind, share) in shares {
@@ -107,261 +106,262 @@
             }
             rest -= share;
         }
-        Kind::Screen
+        RequestKind::Screen
     }
 }
 
 /// Load on one service.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Share {
-    /// The service.
+pub struct ServiceLoad {
+    /// Service to call.
     pub target: Target,
-    /// Flows held open for the whole run.
-    pub held: usize,
-    /// Requests per second on the held flows, all together.
-    pub rate: f64,
+    /// Number of flows held open for the whole run.
+    pub held_flows: usize,
+    /// Requests per second, over all held flows.
+    pub requests_per_s: f64,
     /// New short flows per second.
-    pub opens: f64,
-    /// Most feeds open at once.
-    pub feeds: usize,
-    /// Mix of requests.
+    pub new_flows_per_s: f64,
+    /// Maximum number of concurrent feeds.
+    pub max_feeds: usize,
+    /// Mix of request kinds.
     pub mix: Mix,
 }
 
-/// A run of callers.
+/// A load run.
 pub struct Load {
-    /// Shares by service.
-    pub shares: Vec<Share>,
-    /// Endpoints that callers send from.
+    /// Load by service.
+    pub services: Vec<ServiceLoad>,
+    /// Endpoints to send from.
     pub endpoints: Vec<Endpoint>,
     /// QUIC and TLS settings.
     pub config: ClientConfig,
-    /// Seed.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// How long to send.
-    pub span: Duration,
+    /// Length of the run.
+    pub duration: Duration,
 }
 
 impl Load {
-    /// Runs all callers until the time is over or `stop` is cancelled, and waits for their last answers.
-    pub async fn run(self, tally: Arc<Tally>, stop: CancellationToken) -> anyhow::Result<()> {
-        ensure!(!self.endpoints.is_empty(), "start the callers: no endpoint");
-        let until = Instant::now() + self.span;
-        let ids = AtomicU64::new(1);
-        let shared = Arc::new(Shared { config: self.config, tally, ids });
+    /// Runs all callers until the run ends or `stop` is cancelled, and waits for their last responses.
+    pub async fn run(self, stats: Arc<LoadStats>, stop: CancellationToken) -> anyhow::Result<()> {
+        ensure!(!self.endpoints.is_empty(), "start the callers: no endpoints");
+        let deadline = Instant::now() + self.duration;
+        let next_flow_id = AtomicU64::new(1);
+        let context = Arc::new(RunContext { config: self.config, stats, next_flow_id });
         let mut seeds = StdRng::seed_from_u64(self.seed);
         let mut tasks = JoinSet::new();
-        for share in self.shares {
-            share.mix.check().with_context(|| format!("load on {}", share.target.name))?;
-            let crowd = Crowd {
-                feeds: Arc::new(tokio::sync::Semaphore::new(share.feeds)),
-                share: Arc::new(share),
-                shared: shared.clone(),
+        for service in self.services {
+            service.mix.check().with_context(|| format!("load on {}", service.target.name))?;
+            let group = CallerGroup {
+                feed_permits: Arc::new(tokio::sync::Semaphore::new(service.max_feeds)),
+                load: Arc::new(service),
+                context: context.clone(),
                 endpoints: self.endpoints.clone(),
-                until,
+                deadline,
                 stop: stop.clone(),
             };
-            tasks.spawn(crowd.clone().hold(StdRng::from_rng(&mut seeds)));
-            tasks.spawn(crowd.open(StdRng::from_rng(&mut seeds)));
+            tasks.spawn(group.clone().run_held_flows(StdRng::from_rng(&mut seeds)));
+            tasks.spawn(group.run_short_flows(StdRng::from_rng(&mut seeds)));
         }
         while let Some(ended) = tasks.join_next().await {
             ended.context("wait for the callers")?;
         }
-        // A far side whose notice of the close was lost asks again.
+        // Lets endpoints retransmit a lost connection close.
         let closed = join_all(self.endpoints.iter().map(Endpoint::wait_idle));
-        let _ = time::timeout(CLOSE_LIMIT, closed).await;
+        let _ = time::timeout(CLOSE_TIMEOUT, closed).await;
         Ok(())
     }
 }
 
 /// All callers of one service.
 #[derive(Clone)]
-struct Crowd {
-    share: Arc<Share>,
-    shared: Arc<Shared>,
+struct CallerGroup {
+    load: Arc<ServiceLoad>,
+    context: Arc<RunContext>,
     endpoints: Vec<Endpoint>,
-    feeds: Arc<tokio::sync::Semaphore>,
-    until: Instant,
+    feed_permits: Arc<tokio::sync::Semaphore>,
+    deadline: Instant,
     stop: CancellationToken,
 }
 
-impl Crowd {
-    fn over(&self) -> bool {
-        self.stop.is_cancelled() || Instant::now() >= self.until
+impl CallerGroup {
+    fn is_over(&self) -> bool {
+        self.stop.is_cancelled() || Instant::now() >= self.deadline
     }
 
     fn session(&self, rng: &mut StdRng) -> Session {
-        let own = StdRng::from_rng(rng);
+        let session_rng = StdRng::from_rng(rng);
         let endpoint = self.endpoints[rng.random_range(0..self.endpoints.len())].clone();
-        Session::new(self.shared.clone(), self.share.target.clone(), endpoint, own)
+        Session::new(self.context.clone(), self.load.target.clone(), endpoint, session_rng)
     }
 
-    async fn hold(self, mut rng: StdRng) {
+    async fn run_held_flows(self, mut rng: StdRng) {
         let mut tasks = JoinSet::new();
-        let period = period(self.share.held, self.share.rate);
-        for _ in 0..self.share.held {
+        let period = period(self.load.held_flows, self.load.requests_per_s);
+        for _ in 0..self.load.held_flows {
             let session = self.session(&mut rng);
             let first = period.mul_f64(rng.random_range(0.0..1.0)).min(Duration::from_secs(2));
-            tasks.spawn(self.clone().stay(session, first, period));
+            tasks.spawn(self.clone().run_held_flow(session, first, period));
         }
         while tasks.join_next().await.is_some() {}
     }
 
-    /// A held flow: idle for most of the time, a request now and then.
-    async fn stay(self, mut session: Session, first: Duration, period: Duration) {
+    /// Holds one flow open and sends a request once per period.
+    async fn run_held_flow(self, mut session: Session, first: Duration, period: Duration) {
         self.wait(&mut session, first).await;
-        while !self.over() {
-            let kind = self.share.mix.draw(session.rng());
-            self.act(&mut session, kind).await;
+        while !self.is_over() {
+            let kind = self.load.mix.pick(session.rng());
+            self.send_next(&mut session, kind).await;
             let pause = period.mul_f64(session.rng().random_range(0.5..1.5));
             self.wait(&mut session, pause).await;
         }
         session.close();
     }
 
-    async fn open(self, mut rng: StdRng) {
+    async fn run_short_flows(self, mut rng: StdRng) {
         let mut tasks = JoinSet::new();
-        if self.share.opens <= 0.0 {
+        if self.load.new_flows_per_s <= 0.0 {
             return;
         }
-        while !self.over() {
-            // Exponential gaps make the arrivals a Poisson process.
-            let gap = -rng.random_range(f64::EPSILON..1.0).ln() / self.share.opens;
+        while !self.is_over() {
+            // Exponential gaps make a Poisson process.
+            let gap = -rng.random_range(f64::EPSILON..1.0).ln() / self.load.new_flows_per_s;
             let next = Instant::now() + Duration::from_secs_f64(gap);
             tokio::select! {
-                _ = time::sleep_until(next.min(self.until)) => {}
+                _ = time::sleep_until(next.min(self.deadline)) => {}
                 _ = self.stop.cancelled() => break,
             }
             let session = self.session(&mut rng);
-            tasks.spawn(self.clone().visit(session));
+            tasks.spawn(self.clone().run_short_flow(session));
             while tasks.try_join_next().is_some() {}
         }
         while tasks.join_next().await.is_some() {}
     }
 
-    /// A short flow: a few requests with a pause between them.
-    async fn visit(self, mut session: Session) {
-        let count = session.rng().random_range(SHORT_REQUESTS);
+    /// Sends a few requests on one flow, with pauses, and closes it.
+    async fn run_short_flow(self, mut session: Session) {
+        let count = session.rng().random_range(REQUESTS_PER_SHORT_FLOW);
         for _ in 0..count {
-            if self.over() {
+            if self.is_over() {
                 break;
             }
-            let kind = self.share.mix.draw(session.rng());
-            self.act(&mut session, kind).await;
-            let pause = Duration::from_millis(session.rng().random_range(THINK_MS));
+            let kind = self.load.mix.pick(session.rng());
+            self.send_next(&mut session, kind).await;
+            let pause = Duration::from_millis(session.rng().random_range(THINK_TIME_MS));
             self.wait(&mut session, pause).await;
         }
         session.close();
     }
 
     async fn wait(&self, session: &mut Session, pause: Duration) {
-        let until = (Instant::now() + pause).min(self.until);
+        let deadline = (Instant::now() + pause).min(self.deadline);
         tokio::select! {
-            _ = idle(session, until) => {}
+            _ = idle(session, deadline) => {}
             _ = self.stop.cancelled() => {}
         }
     }
 
-    async fn act(&self, session: &mut Session, kind: Kind) {
-        if kind != Kind::Feed && session.rng().random_bool(BURST_CHANCE) {
-            return self.burst(session).await;
+    async fn send_next(&self, session: &mut Session, kind: RequestKind) {
+        if kind != RequestKind::Feed && session.rng().random_bool(BURST_CHANCE) {
+            return self.send_burst(session).await;
         }
         match kind {
-            Kind::Screen => self.screen(session).await,
-            Kind::Feed => self.feed(session).await,
-            Kind::Upload => {
-                let ask = upload(session.rng());
-                session.ask(ask).await;
+            RequestKind::Screen => self.send_screen(session).await,
+            RequestKind::Feed => self.send_feed(session).await,
+            RequestKind::Upload => {
+                let request = upload_request(session.rng());
+                session.send(request).await;
             }
-            Kind::Transfer => {
-                let ask = transfer(session.rng());
-                match session.rng().random_bool(TWIN_CHANCE) {
-                    true => self.twins(session, &ask).await,
-                    false => drop(session.ask(ask).await),
+            RequestKind::Transfer => {
+                let request = transfer_request(session.rng());
+                match session.rng().random_bool(DUPLICATE_CHANCE) {
+                    true => self.send_duplicate(session, &request).await,
+                    false => drop(session.send(request).await),
                 }
             }
         }
     }
 
-    /// One transfer submitted twice at once, on two flows.
-    async fn twins(&self, session: &mut Session, ask: &Ask) {
-        let twin = ask.again(session.rng());
+    /// Sends one transfer twice at once, on two flows with the same key.
+    async fn send_duplicate(&self, session: &mut Session, request: &CallerRequest) {
+        let duplicate = request.retry(session.rng());
         let mut other = self.session(session.rng());
-        tokio::join!(session.ask(ask.clone()), other.ask(twin));
+        tokio::join!(session.send(request.clone()), other.send(duplicate));
         other.close();
     }
 
-    /// Requests of several kinds at once on one flow.
-    async fn burst(&self, session: &mut Session) {
-        let mut asks = Vec::new();
-        for _ in 0..session.rng().random_range(BURST) {
+    /// Sends several requests at once on one flow.
+    async fn send_burst(&self, session: &mut Session) {
+        let mut requests = Vec::new();
+        for _ in 0..session.rng().random_range(BURST_SIZE) {
             let rng = session.rng();
-            let ask = match self.share.mix.draw(rng) {
-                Kind::Screen | Kind::Feed => screen(rng),
-                Kind::Upload => upload(rng),
-                Kind::Transfer => transfer(rng),
+            let request = match self.load.mix.pick(rng) {
+                RequestKind::Screen | RequestKind::Feed => screen_request(rng),
+                RequestKind::Upload => upload_request(rng),
+                RequestKind::Transfer => transfer_request(rng),
             };
-            asks.push(ask);
+            requests.push(request);
         }
-        session.burst(asks).await;
+        session.send_burst(requests).await;
     }
 
-    async fn screen(&self, session: &mut Session) {
-        let ask = screen(session.rng());
-        session.ask(ask).await;
+    async fn send_screen(&self, session: &mut Session) {
+        let request = screen_request(session.rng());
+        session.send(request).await;
     }
 
-    async fn feed(&self, session: &mut Session) {
-        let left = self.until.saturating_duration_since(Instant::now());
-        let span = Duration::from_millis(session.rng().random_range(FEED_SPAN_MS)).min(left);
-        let Ok(_permit) = self.feeds.try_acquire() else {
-            return self.screen(session).await;
+    async fn send_feed(&self, session: &mut Session) {
+        let left = self.deadline.saturating_duration_since(Instant::now());
+        let duration =
+            Duration::from_millis(session.rng().random_range(FEED_DURATION_MS)).min(left);
+        let Ok(_permit) = self.feed_permits.try_acquire() else {
+            return self.send_screen(session).await;
         };
-        if span < MIN_FEED {
-            return self.screen(session).await;
+        if duration < MIN_FEED_DURATION {
+            return self.send_screen(session).await;
         }
-        let ask = Ask::feed(session.rng(), span, FEED_EVERY);
-        session.ask(ask).await;
+        let request = CallerRequest::feed(session.rng(), duration, FEED_INTERVAL);
+        session.send(request).await;
     }
 }
 
-/// Stays idle until the time; a flow that goes away meanwhile is replaced at once.
-async fn idle(session: &mut Session, until: Instant) {
+/// Stays idle until the deadline; replaces a flow that closes meanwhile.
+async fn idle(session: &mut Session, deadline: Instant) {
     loop {
-        session.idle(until).await;
-        if Instant::now() >= until {
+        session.idle(deadline).await;
+        if Instant::now() >= deadline {
             return;
         }
         let jitter = Duration::from_millis(session.rng().random_range(0..REOPEN_JITTER_MS));
         time::sleep(jitter).await;
-        if session.ready().await.is_err() {
+        if session.ensure_flow().await.is_err() {
             return;
         }
     }
 }
 
-fn screen(rng: &mut StdRng) -> Ask {
-    let work = work(rng);
-    Ask::screen(rng, work)
+fn screen_request(rng: &mut StdRng) -> CallerRequest {
+    let work = random_work(rng);
+    CallerRequest::screen(rng, work)
 }
 
-fn upload(rng: &mut StdRng) -> Ask {
-    let work = work(rng);
-    Ask::upload(rng, work)
+fn upload_request(rng: &mut StdRng) -> CallerRequest {
+    let work = random_work(rng);
+    CallerRequest::upload(rng, work)
 }
 
-fn transfer(rng: &mut StdRng) -> Ask {
-    let work = work(rng);
-    Ask::transfer(rng, work)
+fn transfer_request(rng: &mut StdRng) -> CallerRequest {
+    let work = random_work(rng);
+    CallerRequest::transfer(rng, work)
 }
 
-fn work(rng: &mut StdRng) -> Duration {
+fn random_work(rng: &mut StdRng) -> Duration {
     Duration::from_millis(rng.random_range(WORK_MS))
 }
 
-fn period(held: usize, rate: f64) -> Duration {
-    if rate <= 0.0 {
+fn period(held_flows: usize, requests_per_s: f64) -> Duration {
+    if requests_per_s <= 0.0 {
         return Duration::from_secs(3_600);
     }
-    Duration::from_secs_f64((held as f64 / rate).clamp(0.01, 3_600.0))
+    Duration::from_secs_f64((held_flows as f64 / requests_per_s).clamp(0.01, 3_600.0))
 }
--- a/crates/standin/src/caller/mod.rs
+++ b/crates/standin/src/caller/mod.rs
@@ -1,25 +1,25 @@
-//! Callers: HTTP/3 clients that hold flows open, send requests and judge what they get.
+//! Callers: HTTP/3 clients that hold flows open, send requests and verify the responses.
 
-pub mod ask;
 pub mod client;
 pub mod flow;
 pub mod load;
 pub mod outcome;
 pub mod report;
+pub mod request;
 pub mod session;
-pub mod tally;
+pub mod stats;
 pub mod verify;
 
 use std::{net::SocketAddr, str::FromStr};
 
-/// A service as callers know it.
+/// A service to call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// Name of the service, also the server name in TLS.
     pub name: String,
     /// Address of the service.
     pub address: SocketAddr,
-    /// Pool of the upstreams that may answer.
+    /// Pool whose upstreams may respond.
     pub pool: String,
 }
 
--- a/crates/standin/src/caller/outcome.rs
+++ b/crates/standin/src/caller/outcome.rs
@@ -1,60 +1,60 @@
-//! What became of a request, from the caller's point of view.
+//! Outcome of a request, as seen by the caller.
 
 use std::fmt;
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer to this very request arrived.
-    Whole,
-    /// The system said that the request was not run.
+    /// A complete and valid response arrived.
+    Complete,
+    /// The load balancer reported that the request was not run.
     NotRun,
-    /// Nobody can say whether the request was run.
-    Unknown(Doubt),
-    /// Anything else.
-    Failed(Flaw),
-    /// The request never left the caller: its flow was going away.
-    Unsent,
+    /// It is unknown whether the request was run.
+    Unknown(UnknownReason),
+    /// The request failed in any other way.
+    Failed(FailureReason),
+    /// The request was not sent because its flow was closing.
+    NotSent,
 }
 
-/// Why the outcome of a request is not known.
+/// Why an outcome is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doubt {
-    /// The system said so.
-    Told,
+pub enum UnknownReason {
+    /// The load balancer reported it as unknown.
+    Reported,
     /// The flow was lost while the request was in progress.
     FlowLost,
 }
 
-/// What is wrong with an answer.
+/// Why a request failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Flaw {
-    /// The answer broke off.
-    Cut(String),
-    /// A status that the request does not account for.
+pub enum FailureReason {
+    /// The response is truncated.
+    Truncated(String),
+    /// Unexpected status.
     Status(u16),
-    /// No whole answer within the caller's patience.
-    Late,
-    /// The answer comes from another service or pool.
+    /// No complete response before the caller's timeout.
+    Timeout,
+    /// The response comes from another service or pool.
     WrongService(String),
-    /// The answer belongs to another request.
-    Crossed(String),
-    /// The answer's content does not match its own checksum, length or request.
+    /// The response belongs to another request.
+    WrongRequest(String),
+    /// The response does not match its digest or the request's body.
     Corrupt(String),
     /// No flow could be opened.
     NoFlow(String),
 }
 
-impl fmt::Display for Flaw {
+impl fmt::Display for FailureReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Flaw::Cut(it) => write!(f, "cut answer: {it}"),
-            Flaw::Status(it) => write!(f, "status {it}"),
-            Flaw::Late => f.write_str("no answer in time"),
-            Flaw::WrongService(it) => write!(f, "answer of another service: {it}"),
-            Flaw::Crossed(it) => write!(f, "answer to another request: {it}"),
-            Flaw::Corrupt(it) => write!(f, "corrupt answer: {it}"),
-            Flaw::NoFlow(it) => write!(f, "no flow: {it}"),
+            FailureReason::Truncated(it) => write!(f, "truncated response: {it}"),
+            FailureReason::Status(it) => write!(f, "status {it}"),
+            FailureReason::Timeout => f.write_str("no response in time"),
+            FailureReason::WrongService(it) => write!(f, "response from another service: {it}"),
+            FailureReason::WrongRequest(it) => write!(f, "response to another request: {it}"),
+            FailureReason::Corrupt(it) => write!(f, "corrupt response: {it}"),
+            FailureReason::NoFlow(it) => write!(f, "no flow: {it}"),
         }
     }
 }
@@ -62,12 +62,12 @@
 impl fmt::Display for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Outcome::Whole => f.write_str("whole"),
-            Outcome::NotRun => f.write_str("refused, not run"),
-            Outcome::Unknown(Doubt::Told) => f.write_str("unknown, as told"),
-            Outcome::Unknown(Doubt::FlowLost) => f.write_str("unknown, flow lost"),
-            Outcome::Failed(flaw) => write!(f, "failed: {flaw}"),
-            Outcome::Unsent => f.write_str("unsent"),
+            Outcome::Complete => f.write_str("whole"),
+            Outcome::NotRun => f.write_str("rejected, not run"),
+            Outcome::Unknown(UnknownReason::Reported) => f.write_str("unknown, as reported"),
+            Outcome::Unknown(UnknownReason::FlowLost) => f.write_str("unknown, flow lost"),
+            Outcome::Failed(reason) => write!(f, "failed: {reason}"),
+            Outcome::NotSent => f.write_str("unsent"),
         }
     }
 }
--- a/crates/standin/src/caller/report.rs
+++ b/crates/standin/src/caller/report.rs
@@ -1,17 +1,17 @@
-//! What a run of callers reports.
+//! Report of a load run.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
 use super::{
-    ask::Kind,
-    tally::{Counts, FlowCounts, Latency, Tally},
+    request::RequestKind,
+    stats::{Counts, FlowCounts, Latency, LoadStats},
 };
 
 const MAX_SAMPLES: usize = 20;
 
-/// Report of a run.
+/// Report of a load run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Length of the run in seconds.
@@ -19,37 +19,37 @@
     /// Requests by outcome.
     pub requests: Counts,
     /// Requests by kind and outcome.
-    pub kinds: BTreeMap<Kind, Counts>,
-    /// Flows.
+    pub kinds: BTreeMap<RequestKind, Counts>,
+    /// Counts of flows.
     pub flows: FlowCounts,
-    /// Latency of all kinds, what a request takes by its nature left out.
+    /// Latency over all kinds, without the expected duration of each request.
     pub latency: Latency,
-    /// Latency by kind.
-    pub latencies: BTreeMap<Kind, Latency>,
-    /// The first broken flows and failed requests.
+    /// Latency by kind, without the expected duration of each request.
+    pub latencies: BTreeMap<RequestKind, Latency>,
+    /// First broken flows and failed requests.
     pub samples: Vec<String>,
 }
 
 impl Report {
-    /// The report of a run that took this long.
-    pub fn new(tally: &Tally, span: Duration) -> Report {
+    /// Creates the report of a run of this length.
+    pub fn new(stats: &LoadStats, duration: Duration) -> Report {
         let mut samples = Vec::new();
-        for incident in tally.incidents().iter().take(MAX_SAMPLES) {
+        for incident in stats.incidents().iter().take(MAX_SAMPLES) {
             samples.push(incident.to_string());
         }
         Report {
-            seconds: span.as_secs_f64(),
-            requests: tally.total(),
-            kinds: tally.counts(),
-            flows: tally.flows(),
-            latency: tally.latency_of_all(),
-            latencies: tally.latency(),
+            seconds: duration.as_secs_f64(),
+            requests: stats.total(),
+            kinds: stats.counts_by_kind(),
+            flows: stats.flows(),
+            latency: stats.overall_latency(),
+            latencies: stats.latency_by_kind(),
             samples,
         }
     }
 
-    /// Whether callers saw nothing that a promise rules out.
-    pub fn clean(&self) -> bool {
+    /// Whether no flow broke and no request failed.
+    pub fn passed(&self) -> bool {
         self.requests.failed == 0 && self.flows.broken == 0
     }
 }
--- a/crates/standin/src/caller/session.rs
+++ b/crates/standin/src/caller/session.rs
@@ -1,4 +1,4 @@
-//! A caller's session: it opens flows as it needs them, asks, waits and asks again.
+//! A caller's session: opens flows on demand, sends requests and retries them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,37 +12,37 @@
 
 use super::{
     Target,
-    ask::Ask,
-    flow::{Flow, OpenError, Reply, State},
-    outcome::{Doubt, Outcome},
-    tally::Tally,
+    flow::{Flow, FlowState, OpenError, RequestResult},
+    outcome::{Outcome, UnknownReason},
+    request::CallerRequest,
+    stats::LoadStats,
 };
 
-const PATIENCE: Duration = Duration::from_secs(30);
-const OPEN_PATIENCE: Duration = Duration::from_secs(30);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
+const OPEN_TIMEOUT: Duration = Duration::from_secs(30);
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-const MAX_WAIT: Duration = Duration::from_secs(5);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 const MAX_ATTEMPTS: u32 = 5;
-/// Time after which a caller no longer repeats a request; well below the services' key window.
-const REPEAT_LIMIT: Duration = Duration::from_secs(15);
-/// Chance that a request of unknown outcome is repeated on a new flow.
-const OTHER_FLOW_CHANCE: f64 = 0.5;
+/// No retries after this time; well below the services' key window.
+const RETRY_LIMIT: Duration = Duration::from_secs(15);
+/// Chance that a request of unknown outcome is retried on a new flow.
+const NEW_FLOW_CHANCE: f64 = 0.5;
 
-/// What all sessions of a run share.
+/// State shared by all sessions of a run.
 #[derive(Debug)]
-pub struct Shared {
+pub struct RunContext {
     /// TLS and QUIC settings.
     pub config: ClientConfig,
-    /// Counts.
-    pub tally: Arc<Tally>,
-    /// Numbers of flows.
-    pub ids: std::sync::atomic::AtomicU64,
+    /// Statistics of the run.
+    pub stats: Arc<LoadStats>,
+    /// Number of the next flow.
+    pub next_flow_id: std::sync::atomic::AtomicU64,
 }
 
-/// A caller of one service.
+/// A session of one caller with one service.
 pub struct Session {
-    shared: Arc<Shared>,
+    context: Arc<RunContext>,
     target: Target,
     endpoint: Endpoint,
     rng: StdRng,
@@ -50,36 +50,41 @@
 }
 
 impl Session {
-    /// A caller without a flow yet.
-    pub fn new(shared: Arc<Shared>, target: Target, endpoint: Endpoint, rng: StdRng) -> Session {
-        Session { shared, target, endpoint, rng, flow: None }
+    /// Creates a session without a flow.
+    pub fn new(
+        context: Arc<RunContext>,
+        target: Target,
+        endpoint: Endpoint,
+        rng: StdRng,
+    ) -> Session {
+        Session { context, target, endpoint, rng, flow: None }
     }
 
-    /// The caller's random source.
+    /// Random number generator of the session.
     pub fn rng(&mut self) -> &mut StdRng {
         &mut self.rng
     }
 
-    /// Closes the flow.
+    /// Closes the flow, if any.
     pub fn close(&mut self) {
         if let Some(flow) = self.flow.take() {
             flow.close();
         }
     }
 
-    /// Makes sure that there is a flow on which requests may start, within the caller's patience.
-    pub async fn ready(&mut self) -> Result<Arc<Flow>, OpenError> {
+    /// Returns a flow that accepts requests, opening one if needed; fails after [`OPEN_TIMEOUT`].
+    pub async fn ensure_flow(&mut self) -> Result<Arc<Flow>, OpenError> {
         let start = Instant::now();
         let mut backoff = FIRST_BACKOFF;
         loop {
-            if let Some(flow) = self.current() {
+            if let Some(flow) = self.usable_flow() {
                 return Ok(flow);
             }
             let error = match self.open().await {
                 Ok(flow) => return Ok(flow),
                 Err(error) => error,
             };
-            if start.elapsed() > OPEN_PATIENCE {
+            if start.elapsed() > OPEN_TIMEOUT {
                 return Err(error);
             }
             time::sleep(backoff.mul_f64(self.rng.random_range(0.5..1.5))).await;
@@ -87,61 +92,66 @@
         }
     }
 
-    /// Sends a request until it is answered, refused too often, or must not be repeated; the last reply.
-    pub async fn ask(&mut self, first: Ask) -> Option<Reply> {
+    /// Sends a request and retries it while allowed; returns the last result, or `None` if no flow could be opened.
+    pub async fn send(&mut self, first: CallerRequest) -> Option<RequestResult> {
         let start = Instant::now();
-        let mut ask = first;
+        let mut request = first;
         let mut attempt = 0;
         loop {
-            let since = self.shared.tally.now();
-            let flow = match self.ready().await {
+            let started_at = self.context.stats.now();
+            let flow = match self.ensure_flow().await {
                 Ok(flow) => flow,
                 Err(e) => {
                     let text = e.to_string();
-                    self.shared.tally.stranded(&ask, &self.target.name, since, &text);
+                    self.context.stats.request_without_flow(
+                        &request,
+                        &self.target.name,
+                        started_at,
+                        &text,
+                    );
                     return None;
                 }
             };
-            let reply = run(&flow, &ask, &self.shared.tally).await;
-            if reply.outcome == Outcome::Unsent {
+            let result = send_once(&flow, &request, &self.context.stats).await;
+            if result.outcome == Outcome::NotSent {
                 continue;
             }
             attempt += 1;
-            let over = attempt >= MAX_ATTEMPTS || start.elapsed() >= REPEAT_LIMIT;
-            if over || !repeatable(&ask, &reply) {
-                return Some(reply);
+            let exhausted = attempt >= MAX_ATTEMPTS || start.elapsed() >= RETRY_LIMIT;
+            if exhausted || !retryable(&request, &result) {
+                return Some(result);
             }
-            self.pause(&reply).await;
-            if reply.outcome != Outcome::NotRun && self.rng.random_bool(OTHER_FLOW_CHANCE) {
+            self.back_off(&result).await;
+            if result.outcome != Outcome::NotRun && self.rng.random_bool(NEW_FLOW_CHANCE) {
                 self.close();
             }
-            ask = ask.again(&mut self.rng);
+            request = request.retry(&mut self.rng);
         }
     }
 
-    /// Sends several requests at once on one flow, each only once.
-    pub async fn burst(&mut self, asks: Vec<Ask>) {
-        let Ok(flow) = self.ready().await else {
+    /// Sends several requests at once on one flow, without retries.
+    pub async fn send_burst(&mut self, requests: Vec<CallerRequest>) {
+        let Ok(flow) = self.ensure_flow().await else {
             return;
         };
-        let runs = asks.iter().map(|ask| run(&flow, ask, &self.shared.tally));
+        let runs = requests.iter().map(|request| send_once(&flow, request, &self.context.stats));
         join_all(runs).await;
     }
 
-    /// Stays idle until the time, or until the flow is leaving or gone.
-    pub async fn idle(&mut self, until: Instant) {
-        let Some(flow) = self.current() else {
-            time::sleep_until(until).await;
+    /// Waits until the deadline, or until the flow is going away or closed.
+    pub async fn idle(&mut self, deadline: Instant) {
+        let Some(flow) = self.usable_flow() else {
+            time::sleep_until(deadline).await;
             return;
         };
-        let mut state = flow.watch();
-        let left = state.wait_for(|it| *it != State::Open);
-        let _ = time::timeout_at(until, left).await;
+        let mut state = flow.subscribe();
+        let changed = state.wait_for(|it| *it != FlowState::Open);
+        let _ = time::timeout_at(deadline, changed).await;
     }
 
-    fn current(&mut self) -> Option<Arc<Flow>> {
+    fn usable_flow(&mut self) -> Option<Arc<Flow>> {
         let flow = self.flow.as_ref()?;
-        if flow.state() == State::Open {
+        if flow.state() == FlowState::Open {
             return Some(flow.clone());
         }
         flow.close();
@@ -150,48 +160,52 @@
     }
 
     async fn open(&mut self) -> Result<Arc<Flow>, OpenError> {
-        let id = self.shared.ids.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let opened = Flow::open(id, &self.endpoint, &self.shared.config, &self.target).await;
-        let tally = &self.shared.tally;
+        let id = self.context.next_flow_id.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+        let opened = Flow::open(id, &self.endpoint, &self.context.config, &self.target).await;
+        let stats = &self.context.stats;
         match &opened {
-            Ok(_) => tally.opened(),
-            Err(OpenError::Refused) => tally.refused(),
-            Err(OpenError::Handshake(_) | OpenError::Late) => tally.unopened(),
+            Ok(_) => stats.flow_opened(),
+            Err(OpenError::Refused) => stats.flow_refused(),
+            Err(OpenError::Handshake(_) | OpenError::Timeout) => stats.flow_open_failed(),
         }
         let flow = Arc::new(opened?);
-        tokio::spawn(follow(flow.watch(), flow.clone(), tally.clone()));
+        tokio::spawn(record_flow_end(flow.subscribe(), flow.clone(), stats.clone()));
         self.flow = Some(flow.clone());
         Ok(flow)
     }
 
-    async fn pause(&mut self, reply: &Reply) {
-        let wait = reply.wait.unwrap_or(FIRST_BACKOFF).min(MAX_WAIT);
-        time::sleep(wait.mul_f64(self.rng.random_range(1.0..1.5))).await;
+    async fn back_off(&mut self, result: &RequestResult) {
+        let delay = result.retry_after.unwrap_or(FIRST_BACKOFF).min(MAX_RETRY_AFTER);
+        time::sleep(delay.mul_f64(self.rng.random_range(1.0..1.5))).await;
     }
 }
 
-async fn run(flow: &Flow, ask: &Ask, tally: &Tally) -> Reply {
-    let since = tally.now();
-    let reply = flow.run(ask, PATIENCE + ask.span).await;
-    tally.answered(flow, ask, &reply, since);
-    reply
+async fn send_once(flow: &Flow, request: &CallerRequest, stats: &LoadStats) -> RequestResult {
+    let started_at = stats.now();
+    let result = flow.send(request, REQUEST_TIMEOUT + request.expected_duration).await;
+    stats.request_finished(flow, request, &result, started_at);
+    result
 }
 
-/// Whether the caller may send the request again: always when it was not run, otherwise if that is harmless.
-fn repeatable(ask: &Ask, reply: &Reply) -> bool {
-    match reply.outcome {
+/// Whether the request may be retried: if it was not run, or if running it twice is harmless.
+fn retryable(request: &CallerRequest, result: &RequestResult) -> bool {
+    match result.outcome {
         Outcome::NotRun => true,
-        Outcome::Unknown(Doubt::Told | Doubt::FlowLost) => {
-            ask.kind.idempotent() || ask.key.is_some()
+        Outcome::Unknown(UnknownReason::Reported | UnknownReason::FlowLost) => {
+            request.kind.idempotent() || request.key.is_some()
         }
-        Outcome::Whole | Outcome::Failed(_) | Outcome::Unsent => false,
+        Outcome::Complete | Outcome::Failed(_) | Outcome::NotSent => false,
     }
 }
 
-async fn follow(mut state: watch::Receiver<State>, flow: Arc<Flow>, tally: Arc<Tally>) {
-    let since = tally.now();
-    let ended = state.wait_for(|it| matches!(it, State::Ended(_))).await;
-    if let Ok(State::Ended(end)) = ended.as_deref() {
-        tally.ended(&flow, since, end);
+async fn record_flow_end(
+    mut state: watch::Receiver<FlowState>,
+    flow: Arc<Flow>,
+    stats: Arc<LoadStats>,
+) {
+    let started_at = stats.now();
+    let ended = state.wait_for(|it| matches!(it, FlowState::Ended(_))).await;
+    if let Ok(FlowState::Ended(end)) = ended.as_deref() {
+        stats.flow_ended(&flow, started_at, end);
     }
 }
--- a/crates/standin/src/caller/tally.rs
+++ b/crates/standin/src/caller/stats.rs
@@ -1,4 +1,4 @@
-//! Counts of what callers saw.
+//! Statistics of a load run.
 
 use std::{
     collections::BTreeMap,
@@ -11,31 +11,31 @@
 use serde::{Deserialize, Serialize};
 
 use super::{
-    ask::{Ask, Kind},
-    flow::{End, Flow, Reply},
-    outcome::{Doubt, Flaw, Outcome},
+    flow::{Flow, FlowEnd, RequestResult},
+    outcome::{FailureReason, Outcome, UnknownReason},
+    request::{CallerRequest, RequestKind},
 };
 
 const MAX_LATENCY_US: u64 = 600_000_000;
-const DIGITS: u8 = 3;
+const SIGNIFICANT_DIGITS: u8 = 3;
 const MAX_INCIDENTS: usize = 20_000;
 
 /// Counts of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Requests sent, each attempt counted.
+    /// Requests sent, counting each attempt.
     pub requests: u64,
-    /// Whole answers.
+    /// Complete responses.
     pub whole: u64,
-    /// Refusals that said "not run".
+    /// Requests rejected as not run.
     pub refused: u64,
-    /// Requests whose outcome nobody knows.
+    /// Requests of unknown outcome.
     pub unknown: u64,
-    /// Everything else.
+    /// Failed requests.
     pub failed: u64,
-    /// Of the failed: answers from another service.
+    /// Failed requests with a response from another service.
     pub strays: u64,
-    /// Of the failed: answers to another request.
+    /// Failed requests with a response to another request.
     pub crossed: u64,
 }
 
@@ -46,28 +46,28 @@
     pub key: String,
     /// Token of the attempt.
     pub token: String,
-    /// Service asked.
+    /// Service called.
     pub service: String,
-    /// What the caller was told.
+    /// Outcome reported to the caller.
     pub outcome: Outcome,
 }
 
-/// Something that should not happen unless a fault explains it.
+/// A broken flow or failed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Incident {
-    /// Time since the start of the run.
+    /// Time of the incident, since the start of the run.
     pub at: Duration,
-    /// When what it befell had begun.
-    pub since: Duration,
-    /// What happened.
-    pub what: What,
+    /// Time at which the flow or request started.
+    pub started_at: Duration,
+    /// Kind of the incident.
+    pub kind: IncidentKind,
     /// Service.
     pub service: String,
-    /// Flow.
+    /// Flow number, 0 if there was none.
     pub flow: u64,
-    /// Agent that held the flow, if it is known.
+    /// Agent that held the flow, if known.
     pub agent: Option<String>,
-    /// Agent whose upstream ran the request, if it is known.
+    /// Agent whose upstream ran the request, if known.
     pub upstream: Option<String>,
     /// Details.
     pub text: String,
@@ -75,17 +75,17 @@
 
 /// Kind of an incident.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum IncidentKind {
     /// A flow broke.
     BrokenFlow,
     /// A request failed.
-    Failed(Kind, Flaw),
+    Failed(RequestKind, FailureReason),
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    counts: BTreeMap<Kind, Counts>,
-    latency: BTreeMap<Kind, Option<Histogram<u64>>>,
+    counts: BTreeMap<RequestKind, Counts>,
+    latency: BTreeMap<RequestKind, Option<Histogram<u64>>>,
     attempts: Vec<Attempt>,
     incidents: Vec<Incident>,
     flows: u64,
@@ -97,9 +97,9 @@
     peak: u64,
 }
 
-/// Counts of a run, shared by all its callers.
+/// Statistics of a run, shared by all its callers.
 #[derive(Debug)]
-pub struct Tally {
+pub struct LoadStats {
     start: Instant,
     inner: Mutex<Inner>,
 }
@@ -109,21 +109,21 @@
 pub struct FlowCounts {
     /// Flows established.
     pub flows: u64,
-    /// Attempts to open one that were refused.
+    /// Flows refused by the peer.
     pub refused: u64,
-    /// Attempts to open one that failed otherwise.
+    /// Flows that failed to open for another reason.
     pub unopened: u64,
-    /// Flows that the far side closed gracefully.
+    /// Flows closed gracefully by the peer.
     pub graceful: u64,
     /// Flows that broke.
     pub broken: u64,
-    /// Flows held now.
+    /// Flows open now.
     pub held: u64,
-    /// Most flows held at once.
+    /// Maximum number of open flows.
     pub peak: u64,
 }
 
-/// Latency of whole answers in milliseconds.
+/// Latency of complete responses in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Latency {
     /// Median.
@@ -132,55 +132,55 @@
     pub p99_ms: f64,
 }
 
-impl Default for Tally {
-    fn default() -> Tally {
-        Tally::new()
+impl Default for LoadStats {
+    fn default() -> LoadStats {
+        LoadStats::new()
     }
 }
 
-impl Tally {
-    /// An empty tally; its clock starts now.
-    pub fn new() -> Tally {
-        Tally { start: Instant::now(), inner: Mutex::default() }
+impl LoadStats {
+    /// Creates empty statistics; the clock starts now.
+    pub fn new() -> LoadStats {
+        LoadStats { start: Instant::now(), inner: Mutex::default() }
     }
 
-    /// Time since the start.
+    /// Time since the start of the run.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// Notes that a flow was established.
-    pub fn opened(&self) {
+    /// Records an established flow.
+    pub fn flow_opened(&self) {
         let mut inner = self.inner.lock();
         inner.flows += 1;
         inner.held += 1;
         inner.peak = inner.peak.max(inner.held);
     }
 
-    /// Notes that a flow was not accepted.
-    pub fn refused(&self) {
+    /// Records a refused flow.
+    pub fn flow_refused(&self) {
         self.inner.lock().refused += 1;
     }
 
-    /// Notes that a flow could not be opened.
-    pub fn unopened(&self) {
+    /// Records a flow that failed to open.
+    pub fn flow_open_failed(&self) {
         self.inner.lock().unopened += 1;
     }
 
-    /// Notes how a flow ended that was opened at `since`.
-    pub fn ended(&self, flow: &Flow, since: Duration, end: &End) {
+    /// Records the end of a flow that was opened at `started_at`.
+    pub fn flow_ended(&self, flow: &Flow, started_at: Duration, end: &FlowEnd) {
         let at = self.now();
         let mut inner = self.inner.lock();
         inner.held -= 1;
         match end {
-            End::Caller => {}
-            End::Graceful => inner.graceful += 1,
-            End::Broken(text) => {
+            FlowEnd::Caller => {}
+            FlowEnd::Graceful => inner.graceful += 1,
+            FlowEnd::Broken(text) => {
                 inner.broken += 1;
-                inner.note(Incident {
+                inner.push_incident(Incident {
                     at,
-                    since,
-                    what: What::BrokenFlow,
+                    started_at,
+                    kind: IncidentKind::BrokenFlow,
                     service: flow.service().to_owned(),
                     flow: flow.id,
                     agent: flow.agent(),
@@ -191,49 +191,61 @@
         }
     }
 
-    /// Notes what became of a request that was sent at `since`.
-    pub fn answered(&self, flow: &Flow, ask: &Ask, reply: &Reply, since: Duration) {
+    /// Records the result of a request that was sent at `started_at`.
+    pub fn request_finished(
+        &self,
+        flow: &Flow,
+        request: &CallerRequest,
+        result: &RequestResult,
+        started_at: Duration,
+    ) {
         let at = self.now();
         let mut inner = self.inner.lock();
-        if reply.outcome == Outcome::Unsent {
+        if result.outcome == Outcome::NotSent {
             return;
         }
-        inner.count(ask.kind, &reply.outcome);
-        if reply.outcome == Outcome::Whole {
-            inner.record(ask, reply.latency);
+        inner.count(request.kind, &result.outcome);
+        if result.outcome == Outcome::Complete {
+            inner.record_latency(request, result.latency);
         }
-        if let (false, Some(key)) = (ask.kind.idempotent(), &ask.key) {
+        if let (false, Some(key)) = (request.kind.idempotent(), &request.key) {
             inner.attempts.push(Attempt {
                 key: key.clone(),
-                token: ask.token.clone(),
+                token: request.token.clone(),
                 service: flow.service().to_owned(),
-                outcome: reply.outcome.clone(),
+                outcome: result.outcome.clone(),
             });
         }
-        if let Outcome::Failed(flaw) = &reply.outcome {
-            inner.note(Incident {
+        if let Outcome::Failed(reason) = &result.outcome {
+            inner.push_incident(Incident {
                 at,
-                since,
-                what: What::Failed(ask.kind, flaw.clone()),
+                started_at,
+                kind: IncidentKind::Failed(request.kind, reason.clone()),
                 service: flow.service().to_owned(),
                 flow: flow.id,
                 agent: flow.agent(),
-                upstream: reply.upstream.clone(),
-                text: flaw.to_string(),
+                upstream: result.upstream.clone(),
+                text: reason.to_string(),
             });
         }
     }
 
-    /// Notes a request that found no flow at all.
-    pub fn stranded(&self, ask: &Ask, service: &str, since: Duration, text: &str) {
+    /// Records a request that failed because no flow could be opened.
+    pub fn request_without_flow(
+        &self,
+        request: &CallerRequest,
+        service: &str,
+        started_at: Duration,
+        text: &str,
+    ) {
         let at = self.now();
-        let flaw = Flaw::NoFlow(text.to_owned());
+        let reason = FailureReason::NoFlow(text.to_owned());
         let mut inner = self.inner.lock();
-        inner.count(ask.kind, &Outcome::Failed(flaw.clone()));
-        inner.note(Incident {
+        inner.count(request.kind, &Outcome::Failed(reason.clone()));
+        inner.push_incident(Incident {
             at,
-            since,
-            what: What::Failed(ask.kind, flaw),
+            started_at,
+            kind: IncidentKind::Failed(request.kind, reason),
             service: service.to_owned(),
             flow: 0,
             agent: None,
@@ -242,7 +254,7 @@
         });
     }
 
-    /// Counts of all requests.
+    /// Counts over all request kinds.
     pub fn total(&self) -> Counts {
         let inner = self.inner.lock();
         let mut total = Counts::default();
@@ -252,8 +264,8 @@
         total
     }
 
-    /// Counts by kind.
-    pub fn counts(&self) -> BTreeMap<Kind, Counts> {
+    /// Counts by request kind.
+    pub fn counts_by_kind(&self) -> BTreeMap<RequestKind, Counts> {
         self.inner.lock().counts.clone()
     }
 
@@ -271,8 +283,8 @@
         }
     }
 
-    /// Latency by kind, what a request takes by its nature left out.
-    pub fn latency(&self) -> BTreeMap<Kind, Latency> {
+    /// Latency by kind, without the expected duration of each request.
+    pub fn latency_by_kind(&self) -> BTreeMap<RequestKind, Latency> {
         let inner = self.inner.lock();
         let mut all = BTreeMap::new();
         for (&kind, histogram) in &inner.latency {
@@ -282,8 +294,8 @@
         all
     }
 
-    /// Latency of requests of all kinds.
-    pub fn latency_of_all(&self) -> Latency {
+    /// Latency over all kinds, without the expected duration of each request.
+    pub fn overall_latency(&self) -> Latency {
         let inner = self.inner.lock();
         let Some(mut sum) = histogram() else { return Latency::default() };
         for histogram in inner.latency.values().flatten() {
@@ -297,33 +309,35 @@
         self.inner.lock().attempts.clone()
     }
 
-    /// What should not have happened, oldest first.
+    /// Incidents, oldest first.
     pub fn incidents(&self) -> Vec<Incident> {
         self.inner.lock().incidents.clone()
     }
 }
 
 impl Inner {
-    fn count(&mut self, kind: Kind, outcome: &Outcome) {
+    fn count(&mut self, kind: RequestKind, outcome: &Outcome) {
         let counts = self.counts.entry(kind).or_default();
         counts.requests += 1;
         match outcome {
-            Outcome::Whole => counts.whole += 1,
+            Outcome::Complete => counts.whole += 1,
             Outcome::NotRun => counts.refused += 1,
-            Outcome::Unknown(Doubt::Told | Doubt::FlowLost) => counts.unknown += 1,
-            Outcome::Failed(flaw) => counts.fail(flaw),
-            Outcome::Unsent => counts.requests -= 1,
+            Outcome::Unknown(UnknownReason::Reported | UnknownReason::FlowLost) => {
+                counts.unknown += 1
+            }
+            Outcome::Failed(reason) => counts.count_failure(reason),
+            Outcome::NotSent => counts.requests -= 1,
         }
     }
 
-    fn record(&mut self, ask: &Ask, latency: Duration) {
-        let histogram = self.latency.entry(ask.kind).or_insert_with(histogram);
+    fn record_latency(&mut self, request: &CallerRequest, latency: Duration) {
+        let histogram = self.latency.entry(request.kind).or_insert_with(histogram);
         let Some(histogram) = histogram else { return };
-        let own = latency.saturating_sub(ask.span);
+        let own = latency.saturating_sub(request.expected_duration);
         histogram.saturating_record(own.as_micros() as u64);
     }
 
-    fn note(&mut self, incident: Incident) {
+    fn push_incident(&mut self, incident: Incident) {
         if self.incidents.len() < MAX_INCIDENTS {
             self.incidents.push(incident);
         }
@@ -331,12 +345,16 @@
 }
 
 impl Counts {
-    fn fail(&mut self, flaw: &Flaw) {
+    fn count_failure(&mut self, reason: &FailureReason) {
         self.failed += 1;
-        match flaw {
-            Flaw::WrongService(_) => self.strays += 1,
-            Flaw::Crossed(_) => self.crossed += 1,
-            Flaw::Cut(_) | Flaw::Status(_) | Flaw::Late | Flaw::Corrupt(_) | Flaw::NoFlow(_) => {}
+        match reason {
+            FailureReason::WrongService(_) => self.strays += 1,
+            FailureReason::WrongRequest(_) => self.crossed += 1,
+            FailureReason::Truncated(_)
+            | FailureReason::Status(_)
+            | FailureReason::Timeout
+            | FailureReason::Corrupt(_)
+            | FailureReason::NoFlow(_) => {}
         }
     }
 
@@ -352,7 +370,7 @@
 }
 
 fn histogram() -> Option<Histogram<u64>> {
-    Histogram::new_with_max(MAX_LATENCY_US, DIGITS).ok()
+    Histogram::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS).ok()
 }
 
 fn quantiles(histogram: &Histogram<u64>) -> Latency {
@@ -365,9 +383,9 @@
         let unknown = || "?".to_owned();
         write!(f, "{:.3} s: {} flow {}", self.at.as_secs_f64(), self.service, self.flow)?;
         write!(f, " at agent {}", self.agent.clone().unwrap_or_else(unknown))?;
-        match &self.what {
-            What::BrokenFlow => write!(f, " broke: {}", self.text),
-            What::Failed(kind, _) => {
+        match &self.kind {
+            IncidentKind::BrokenFlow => write!(f, " broke: {}", self.text),
+            IncidentKind::Failed(kind, _) => {
                 let upstream = self.upstream.clone().unwrap_or_else(unknown);
                 write!(f, ": {} run by {upstream}: {}", kind.as_str(), self.text)
             }
--- a/crates/standin/src/caller/verify.rs
+++ b/crates/standin/src/caller/verify.rs
@@ -1,4 +1,4 @@
-//! Whether an answer is the whole answer to a caller's own request.
+//! Verifies that a response is complete and belongs to the request.
 
 use http::{HeaderMap, header::CONTENT_LENGTH};
 
@@ -6,23 +6,28 @@
 
 use super::{
     Target,
-    ask::{Ask, Kind},
-    outcome::Flaw,
+    outcome::FailureReason,
+    request::{CallerRequest, RequestKind},
 };
 
-/// Checks an answer with status 200.
-pub fn check(ask: &Ask, target: &Target, headers: &HeaderMap, body: &[u8]) -> Result<(), Flaw> {
+/// Verifies a response with status 200.
+pub fn check(
+    request: &CallerRequest,
+    target: &Target,
+    headers: &HeaderMap,
+    body: &[u8],
+) -> Result<(), FailureReason> {
     check_length(headers, body)?;
-    let head = match ask.kind {
-        Kind::Feed => read_feed(body),
-        Kind::Screen | Kind::Upload | Kind::Transfer => answer::read(body),
+    let head = match request.kind {
+        RequestKind::Feed => read_feed(body),
+        RequestKind::Screen | RequestKind::Upload | RequestKind::Transfer => answer::read(body),
     };
-    let head = head.map_err(flaw)?;
-    check_origin(ask, target, &head)?;
-    check_body(ask, &head)
+    let head = head.map_err(failure_reason)?;
+    check_origin(request, target, &head)?;
+    check_body(request, &head)
 }
 
-fn check_length(headers: &HeaderMap, body: &[u8]) -> Result<(), Flaw> {
+fn check_length(headers: &HeaderMap, body: &[u8]) -> Result<(), FailureReason> {
     let Some(text) = headers.get(CONTENT_LENGTH) else {
         return Ok(());
     };
@@ -30,7 +35,7 @@
     if length == Some(body.len()) {
         return Ok(());
     }
-    Err(Flaw::Cut(format!("{} bytes, content-length {text:?}", body.len())))
+    Err(FailureReason::Truncated(format!("{} bytes, content-length {text:?}", body.len())))
 }
 
 fn read_feed(body: &[u8]) -> Result<Head, AnswerError> {
@@ -39,36 +44,43 @@
     reader.finish().cloned()
 }
 
-fn flaw(error: AnswerError) -> Flaw {
+fn failure_reason(error: AnswerError) -> FailureReason {
     match error {
-        AnswerError::Cut(_) => Flaw::Cut(error.to_string()),
-        AnswerError::Tick(..) => Flaw::Crossed(error.to_string()),
-        AnswerError::Digest | AnswerError::Head(_) => Flaw::Corrupt(error.to_string()),
+        AnswerError::Cut(_) => FailureReason::Truncated(error.to_string()),
+        AnswerError::Tick(..) => FailureReason::WrongRequest(error.to_string()),
+        AnswerError::Digest | AnswerError::Head(_) => FailureReason::Corrupt(error.to_string()),
     }
 }
 
-fn check_origin(ask: &Ask, target: &Target, head: &Head) -> Result<(), Flaw> {
+fn check_origin(
+    request: &CallerRequest,
+    target: &Target,
+    head: &Head,
+) -> Result<(), FailureReason> {
     if head.service != target.name || head.pool != target.pool {
         let text = format!("{} of pool {} at {}", head.service, head.pool, head.upstream);
-        return Err(Flaw::WrongService(text));
+        return Err(FailureReason::WrongService(text));
     }
-    if !ask.accepts(&head.echo) {
-        return Err(Flaw::Crossed(format!("token {} for {}", head.echo, ask.token)));
+    if !request.accepts(&head.echo) {
+        return Err(FailureReason::WrongRequest(format!(
+            "token {} for {}",
+            head.echo, request.token
+        )));
     }
-    let key = ask.key.as_deref().unwrap_or_default();
+    let key = request.key.as_deref().unwrap_or_default();
     if head.key != key {
-        return Err(Flaw::Crossed(format!("key {} for {key}", head.key)));
+        return Err(FailureReason::WrongRequest(format!("key {} for {key}", head.key)));
     }
     Ok(())
 }
 
-fn check_body(ask: &Ask, head: &Head) -> Result<(), Flaw> {
-    let size = ask.size() as u64;
+fn check_body(request: &CallerRequest, head: &Head) -> Result<(), FailureReason> {
+    let size = request.size() as u64;
     if head.size != size {
-        return Err(Flaw::Corrupt(format!("{} of {size} body bytes received", head.size)));
+        return Err(FailureReason::Corrupt(format!("{} of {size} body bytes received", head.size)));
     }
-    if size > 0 && head.digest != answer::to_hex(&ask.digest()) {
-        return Err(Flaw::Corrupt("digest of the body differs".to_owned()));
+    if size > 0 && head.digest != answer::to_hex(&request.digest()) {
+        return Err(FailureReason::Corrupt("digest of the body differs".to_owned()));
     }
     Ok(())
 }
--- a/crates/standin/src/cmd/caller.rs
+++ b/crates/standin/src/cmd/caller.rs
@@ -1,4 +1,4 @@
-//! `caller`.
+//! The `caller` subcommand.
 
 use std::{
     fs,
@@ -16,29 +16,29 @@
 use crate::{
     caller::{
         Target, client,
-        load::{Load, Mix, Share},
+        load::{Load, Mix, ServiceLoad},
         report::Report,
-        tally::Tally,
+        stats::LoadStats,
     },
-    stop::Stop,
+    signals::StopSignal,
 };
 
-/// Drive load from callers through a fabric
+/// Generate load from callers through a fabric
 ///
-/// Prints a report as JSON. Exit status 1 if a flow broke or a request failed.
+/// Prints a JSON report. Exit status 1 if a flow broke or a request failed.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(command)]
 pub struct Caller {
-    /// Service to call; may be given several times, the load is split evenly
+    /// Service to call; repeatable, the load is split evenly
     #[bpaf(argument("NAME=IP:PORT/POOL"), some("at least one --target is needed"))]
     target: Vec<Target>,
-    /// File with the certificates to trust, PEM
+    /// PEM file with the trusted certificates
     #[bpaf(argument("FILE"))]
     trust: PathBuf,
-    /// Address to send from; may be given several times
+    /// Address to send from; repeatable
     #[bpaf(argument("IP"))]
     from: Vec<IpAddr>,
-    /// Sockets to send from
+    /// Number of sockets to send from
     #[bpaf(argument("N"), fallback(64))]
     endpoints: usize,
     /// Flows held open for the whole run
@@ -50,22 +50,22 @@
     /// Requests per second on the held flows
     #[bpaf(argument("N"), fallback(50.0))]
     requests: f64,
-    /// Most feeds open at once per service
+    /// Maximum number of concurrent feeds per service
     #[bpaf(argument("N"), fallback(8))]
     feeds: usize,
-    /// Mix of requests, such as screen=0.6,feed=0.1,upload=0.1,transfer=0.2
+    /// Proportions of request kinds, such as screen=0.6,feed=0.1,upload=0.1,transfer=0.2
     #[bpaf(argument("MIX"), fallback(Mix::new([0.6, 0.1, 0.1, 0.2])))]
     mix: Mix,
-    /// Length of the run
+    /// Length of the run in seconds
     #[bpaf(argument("N"), fallback(10))]
     seconds: u64,
-    /// Seed of all random choices
+    /// Seed of the random number generator
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
 }
 
 impl Caller {
-    /// Runs the subcommand.
+    /// Runs the load; returns exit code 1 if a flow broke or a request failed.
     pub async fn run(self) -> anyhow::Result<ExitCode> {
         let step = || format!("read {}", self.trust.display());
         let pem = fs::read_to_string(&self.trust).with_context(step)?;
@@ -74,39 +74,39 @@
             from => from,
         };
         let load = Load {
-            shares: self.shares(),
+            services: self.service_loads(),
             endpoints: client::endpoints(from, self.endpoints)?,
             config: client::config(&pem)?,
             seed: self.seed,
-            span: Duration::from_secs(self.seconds),
+            duration: Duration::from_secs(self.seconds),
         };
-        let tally = Arc::new(Tally::new());
+        let stats = Arc::new(LoadStats::new());
         let start = Instant::now();
-        load.run(tally.clone(), stop_token()?).await?;
-        let report = Report::new(&tally, start.elapsed());
+        load.run(stats.clone(), stop_token()?).await?;
+        let report = Report::new(&stats, start.elapsed());
         println!("{}", serde_json::to_string(&report).context("write the report")?);
-        Ok(if report.clean() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if report.passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
     }
 
-    fn shares(&self) -> Vec<Share> {
+    fn service_loads(&self) -> Vec<ServiceLoad> {
         let count = self.target.len();
-        let mut shares = Vec::new();
+        let mut loads = Vec::new();
         for target in &self.target {
-            shares.push(Share {
+            loads.push(ServiceLoad {
                 target: target.clone(),
-                held: self.flows.div_ceil(count),
-                rate: self.requests / count as f64,
-                opens: self.opens / count as f64,
-                feeds: self.feeds,
+                held_flows: self.flows.div_ceil(count),
+                requests_per_s: self.requests / count as f64,
+                new_flows_per_s: self.opens / count as f64,
+                max_feeds: self.feeds,
                 mix: self.mix,
             });
         }
-        shares
+        loads
     }
 }
 
 fn stop_token() -> anyhow::Result<CancellationToken> {
-    let mut stop = Stop::new()?;
+    let mut stop = StopSignal::new()?;
     let token = CancellationToken::new();
     let child = token.clone();
     tokio::spawn(async move {
--- a/crates/standin/src/cmd/capacity.rs
+++ b/crates/standin/src/cmd/capacity.rs
@@ -1,4 +1,4 @@
-//! `capacity`.
+//! The `capacity` subcommand.
 
 use std::{
     env, fs,
@@ -18,32 +18,32 @@
         size,
         usage::load_average,
     },
-    stop::Stop,
+    signals::StopSignal,
 };
 
-/// Measure cost against size, and work out the size designed for
+/// Measure cost against size and extrapolate to the design size
 ///
-/// Starts real processes on loopback addresses, at five sizes or more of each axis, and measures the decision crate at
-/// larger sizes. Writes points.csv, slopes.csv, totals.csv, tables.md and a plot for each line into the folder. Needs a
-/// release build of the whole workspace; up to 170 processes, 2 GB and 13 minutes, or 6 minutes with --quick.
+/// Starts processes on loopback addresses, at five or more sizes of each axis, and measures the decision crate at
+/// larger sizes. Writes points.csv, slopes.csv, totals.csv, tables.md and a plot of each series into the folder. Needs a
+/// release build of the whole workspace, up to 170 processes, 2 GB and 13 minutes, or 6 minutes with --quick.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(command)]
 pub struct Capacity {
-    /// Folder for the files of the run
+    /// Output folder
     #[bpaf(argument("DIR"), fallback(PathBuf::from("docs/capacity")))]
     pub out: PathBuf,
-    /// Smaller sizes and shorter times
+    /// Measure smaller sizes for shorter times
     pub quick: bool,
-    /// Measure only this part; several may be given
+    /// Part to measure, all if none is given; repeatable
     #[bpaf(argument("PART"))]
     pub part: Vec<Part>,
-    /// Folder with the programs; the folder of this one when left out
+    /// Folder with the programs; defaults to the folder of this one
     #[bpaf(argument("DIR"))]
     pub bin_dir: Option<PathBuf>,
 }
 
 impl Capacity {
-    /// Runs the subcommand.
+    /// Runs the measurements; returns exit code 1 if a part failed.
     pub async fn run(self) -> anyhow::Result<ExitCode> {
         let start = Instant::now();
         let logs = env::temp_dir().join(format!("camphorwinch-capacity-{}", std::process::id()));
@@ -51,10 +51,10 @@
         let load = load_average();
         let commit = commit();
         let parts = if self.part.is_empty() { Part::ALL.to_vec() } else { self.part.clone() };
-        let mut stop = Stop::new()?;
+        let mut stop = StopSignal::new()?;
         let (measured, failed) = tokio::select! {
             it = measure(&plan, &parts) => it,
-            // Dropping the fleet kills its processes.
+            // Dropping the measurement kills its processes.
             () = stop.wait() => {
                 remove(&plan.logs);
                 return Ok(ExitCode::FAILURE);
@@ -85,7 +85,7 @@
     }
 }
 
-/// Measures the parts one after another; a part that fails is told and left out.
+/// Measures the parts in sequence; reports and skips those that fail.
 async fn measure(plan: &Plan, parts: &[Part]) -> (Measured, bool) {
     let mut measured = Measured::default();
     let mut failed = false;
@@ -114,6 +114,6 @@
 
 fn remove(logs: &Path) {
     if let Err(error) = fs::remove_dir_all(logs) {
-        tracing::debug!(%error, "remove the logs");
+        tracing::debug!(%error, "failed to remove the logs");
     }
 }
--- a/crates/standin/src/cmd/mod.rs
+++ b/crates/standin/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands: one struct each, with `run`.
+//! Subcommands, one struct each.
 
 mod caller;
 mod capacity;
@@ -20,26 +20,26 @@
     upstream::upstream,
 };
 
-/// Stand-ins for the surroundings of camphorwinch, for tests
+/// Emulators and load tools for testing camphorwinch
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 pub enum Cmd {
-    /// Object API
+    /// Emulate the platform's object API
     Platform(#[bpaf(external(platform))] Platform),
-    /// Packet fabric
+    /// Emulate the packet fabric
     Fabric(#[bpaf(external(fabric))] Fabric),
-    /// Upstream
+    /// Emulate an upstream
     Upstream(#[bpaf(external(upstream))] Upstream),
-    /// Load
+    /// Generate load from callers
     Caller(#[bpaf(external(caller))] Caller),
-    /// Deployment
+    /// Run a whole deployment under load
     Site(#[bpaf(external(site))] Site),
-    /// Slopes
+    /// Measure cost against size
     Capacity(#[bpaf(external(capacity))] Capacity),
 }
 
 impl Cmd {
-    /// Runs the chosen subcommand to its end.
+    /// Runs the chosen subcommand; returns its exit code.
     pub async fn run(self) -> anyhow::Result<ExitCode> {
         match self {
             Cmd::Platform(it) => it.run().await,
--- a/crates/standin/src/cmd/platform.rs
+++ b/crates/standin/src/cmd/platform.rs
@@ -1,4 +1,4 @@
-//! `platform`.
+//! The `platform` subcommand.
 
 use std::{net::SocketAddr, process::ExitCode};
 
@@ -7,39 +7,39 @@
 
 use crate::{
     platform::{self, Faults, faults},
-    stop::Stop,
+    signals::StopSignal,
 };
 
-const HISTORY: usize = 1024;
+const DEFAULT_HISTORY: usize = 1024;
 
-/// Serve the platform's object API from memory, with faults
+/// Serve the platform's object API from memory, with fault injection
 ///
 ///
-/// Faults can be changed while it runs: PUT /admin/faults takes a JSON object with the names of the flags below (with
-/// "_" for "-"); {} clears them all. GET /admin/counts tells the calls by method and kind. Calls to /admin are never
-/// delayed, refused or counted.
+/// Faults can be changed at run time: PUT /admin/faults takes a JSON object with the names of the flags below ("_" for
+/// "-"); {} clears them all. GET /admin/counts returns the calls by method and kind. Calls to /admin are never delayed,
+/// rejected or counted.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(command)]
 pub struct Platform {
-    /// Address to listen on; port 0 picks one
+    /// Address to listen on; port 0 selects a free port
     #[bpaf(argument("IP:PORT"))]
     pub listen: SocketAddr,
-    /// Number of events kept for watches; a watch from before them is answered with 410
-    #[bpaf(argument("N"), fallback(HISTORY), display_fallback)]
+    /// Number of events kept for watches; a watch from an older version gets status 410
+    #[bpaf(argument("N"), fallback(DEFAULT_HISTORY), display_fallback)]
     pub history: usize,
-    /// Seed of the random faults
+    /// Seed of the random number generator
     #[bpaf(argument("N"), fallback(1), display_fallback)]
     pub seed: u64,
-    /// Faults in force from the start
+    /// Initial faults
     #[bpaf(external(faults))]
     pub faults: Faults,
 }
 
 impl Platform {
-    /// Runs the subcommand until a signal.
+    /// Serves until SIGTERM or Ctrl-C.
     pub async fn run(self) -> anyhow::Result<ExitCode> {
         self.faults.check().map_err(|e| anyhow!("faults: {e}"))?;
-        let mut stop = Stop::new()?;
+        let mut stop = StopSignal::new()?;
         let platform =
             platform::Platform::start(self.listen, self.history, self.seed, self.faults).await?;
         println!("platform on {}", platform.addr());
--- a/crates/standin/src/cmd/site.rs
+++ b/crates/standin/src/cmd/site.rs
@@ -1,4 +1,4 @@
-//! `site`.
+//! The `site` subcommand.
 
 use std::{env, path::PathBuf, process::ExitCode, time::Duration};
 
@@ -7,28 +7,28 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
+    signals::StopSignal,
     site::{
         deployment::{Deployment, Name},
-        faults::Kinds,
+        faults::FaultKinds,
         run::{self, Settings},
     },
-    stop::Stop,
 };
 
-/// Start a whole deployment and drive load through it
+/// Start a whole deployment and run load through it
 ///
-/// Every part runs as a process of its own on loopback addresses. The last line is one JSON object. Exit status 1 if a
-/// promise was broken, 2 if the run could not be made. Ctrl-C stops all processes in order, twice at once.
+/// Every component runs as a separate process on loopback addresses. The last output line is a JSON object. Exit status
+/// 1 if a guarantee was violated, 2 if the run failed. Ctrl-C stops all processes in order, a second one at once.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(command)]
 pub struct Site {
-    /// Deployment: sparibaukur or bexley
+    /// Deployment to run: sparibaukur or bexley
     #[bpaf(argument("NAME"), fallback(Name::Sparibaukur))]
     site: Name,
-    /// Length of the load
+    /// Length of the load in seconds
     #[bpaf(argument("N"), fallback(30))]
     seconds: u64,
-    /// Seed of all random choices
+    /// Seed of the random number generator
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
     /// Number of balancers
@@ -43,53 +43,54 @@
     /// Requests per second on the held flows
     #[bpaf(argument("N"), fallback(150.0))]
     requests: f64,
-    /// Faults to place: all, or some of kill,freeze,cut,outage,lost-answer,race,drain,replace,config,lie
+    /// Faults to inject: all, or a list of kill,freeze,cut,outage,lost-answer,race,drain,replace,config,lie
     #[bpaf(argument("KINDS"), optional)]
-    faults: Option<Kinds>,
-    /// Mean seconds between two faults
+    faults: Option<FaultKinds>,
+    /// Mean seconds between faults
     #[bpaf(argument("SECONDS"), fallback(2.0))]
     fault_every: f64,
-    /// Folder with the programs; that of this program if not given
+    /// Folder with the programs; defaults to the folder of this one
     #[bpaf(argument("DIR"), optional)]
     bin_dir: Option<PathBuf>,
 }
 
 impl Site {
-    /// Runs the subcommand.
+    /// Runs the deployment; returns exit code 1 if a guarantee was violated.
     pub async fn run(self) -> anyhow::Result<ExitCode> {
         ensure!(self.balancers > 0, "--balancers: must be above 0");
         ensure!(self.seconds > 0, "--seconds: must be above 0");
         ensure!(self.fault_every > 0.0, "--fault-every: must be above 0");
         let settings = Settings {
             deployment: Deployment::new(self.site),
-            span: Duration::from_secs(self.seconds),
+            load_duration: Duration::from_secs(self.seconds),
             seed: self.seed,
             balancers: self.balancers,
-            flows: self.flows,
-            opens: self.opens,
-            requests: self.requests,
+            held_flows: self.flows,
+            new_flows_per_s: self.opens,
+            requests_per_s: self.requests,
             bin_dir: self.bin_dir()?,
             faults: self.faults.clone(),
-            every: Duration::try_from_secs_f64(self.fault_every).context("--fault-every")?,
+            fault_interval: Duration::try_from_secs_f64(self.fault_every)
+                .context("--fault-every")?,
         };
-        let mut signals = Stop::new()?;
+        let mut signals = StopSignal::new()?;
         let stop = CancellationToken::new();
         let run = run::run(settings, stop.clone());
         tokio::pin!(run);
-        let findings = tokio::select! {
-            findings = &mut run => findings?,
+        let result = tokio::select! {
+            result = &mut run => result?,
             () = signals.wait() => {
                 println!("stopping");
                 stop.cancel();
                 tokio::select! {
-                    findings = &mut run => findings?,
-                    () = signals.wait() => bail!("stopped at once by a second signal"),
+                    result = &mut run => result?,
+                    () = signals.wait() => bail!("stopped by a second signal"),
                 }
             }
         };
-        let line = serde_json::to_string(&findings.summary).context("write the summary")?;
+        let line = serde_json::to_string(&result.summary).context("write the summary")?;
         println!("{line}");
-        Ok(if findings.kept() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if result.passed() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
     }
 
     fn bin_dir(&self) -> anyhow::Result<PathBuf> {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the surroundings of camphorwinch, used by tests: the platform's object API, the fabric, upstreams,
-//! callers, and the site that ties them together.
+//! Emulators and load tools for testing camphorwinch: the platform's object API, the packet fabric, upstreams, callers,
+//! and a site that runs a whole deployment.
 
 pub mod answer;
 pub mod caller;
@@ -9,6 +9,6 @@
 pub mod fabric;
 pub mod platform;
 pub mod server;
+pub mod signals;
 pub mod site;
-pub mod stop;
 pub mod upstream;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the surroundings of camphorwinch: the platform, the fabric, upstreams and callers.
+//! Emulators of the platform, fabric, upstreams and callers, for tests.
 
 use std::process::ExitCode;
 
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 server over `hyper`: JSON answers, and connections that are dropped on purpose.
+//! HTTP/1.1 server over `hyper`, with JSON responses and deliberately dropped connections.
 
 use std::{future::Future, net::SocketAddr, pin::pin, str::FromStr, time::Duration};
 
@@ -17,32 +17,32 @@
     time::{sleep, timeout},
 };
 
-/// Pause after an accept that failed, such as for want of file descriptors.
+/// Pause after a failed accept, such as when file descriptors run out.
 pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-const DISCARD: Duration = Duration::from_secs(10);
+const DISCARD_LIMIT: Duration = Duration::from_secs(10);
 
-/// Body of an answer.
+/// Response body.
 pub type Body = BoxBody<Bytes, Dropped>;
-/// Outcome of a handler: an answer, or a connection closed without one.
+/// Result of a handler: a response, or a connection closed without one.
 pub type Answer = Result<Response<Body>, Dropped>;
 
-/// The connection is closed on purpose, without an answer or in the middle of one.
+/// The connection is closed deliberately, before or during a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the connection is dropped on purpose")]
+#[error("the connection is dropped deliberately")]
 pub struct Dropped;
 
-/// A refusal with its status and text.
+/// An HTTP error with its status and message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{status}: {text}")]
 pub struct Refusal {
-    /// Status of the answer.
+    /// Response status.
     pub status: StatusCode,
-    /// What is wrong.
+    /// Error message.
     pub text: String,
 }
 
 impl Refusal {
-    /// A refusal with this status.
+    /// An error with this status.
     pub fn new<S>(status: StatusCode, text: S) -> Refusal
     where
         S: Into<String>,
@@ -50,7 +50,7 @@
         Refusal { status, text: text.into() }
     }
 
-    /// A refusal of a malformed request.
+    /// 400 Bad Request.
     pub fn bad<S>(text: S) -> Refusal
     where
         S: Into<String>,
@@ -58,18 +58,18 @@
         Refusal::new(StatusCode::BAD_REQUEST, text)
     }
 
-    /// A refusal of an unknown path.
+    /// 404 Not Found for an unknown path or method.
     pub fn unknown(path: &str) -> Refusal {
         Refusal::new(StatusCode::NOT_FOUND, format!("no such path or method: {path}"))
     }
 
-    /// The refusal as an answer.
+    /// The response with the message as JSON.
     pub fn answer(&self) -> Response<Body> {
         json(self.status, &serde_json::json!({ "error": self.text }))
     }
 }
 
-/// A server that ends, with all its connections, when this value is dropped.
+/// A running server; dropping it closes the listener and all connections.
 #[derive(Debug)]
 pub struct Server {
     addr: SocketAddr,
@@ -77,7 +77,7 @@
 }
 
 impl Server {
-    /// Listens on the address and answers with the handler.
+    /// Binds the address and serves requests with the handler; fails if the bind fails.
     pub async fn start<H, F>(listen: SocketAddr, handle: H) -> anyhow::Result<Server>
     where
         H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -91,7 +91,7 @@
         Ok(Server { addr, _open: open })
     }
 
-    /// The address it listens on.
+    /// The address that the server listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -118,17 +118,17 @@
     }
 }
 
-/// Answers the requests of one connection until it closes.
+/// Serves the requests of one connection until it closes.
 pub async fn serve<H, F>(stream: TcpStream, handle: H)
 where
     H: Fn(Request<Incoming>) -> F,
     F: Future<Output = Answer>,
 {
-    let (_open, never) = watch::channel(false);
-    serve_until(stream, handle, never).await;
+    let (_open, closing) = watch::channel(false);
+    serve_until(stream, handle, closing).await;
 }
 
-/// Answers the requests of one connection until it closes; once `closing` is true, the one in progress is the last.
+/// Serves the requests of one connection until it closes, or until `closing` is true and the request in progress ends.
 pub async fn serve_until<H, F>(stream: TcpStream, handle: H, mut closing: watch::Receiver<bool>)
 where
     H: Fn(Request<Incoming>) -> F,
@@ -150,17 +150,20 @@
     }
 }
 
-/// Waits for a switch to be on, or for its sender to be gone.
+/// Waits until the value is true or the sender is dropped.
 pub async fn turned_on(switch: &mut watch::Receiver<bool>) {
     let _ = switch.wait_for(|on| *on).await;
 }
 
-/// Reads a body that nobody wants, for some seconds, so that an early answer is not lost to a reset.
+/// Reads and drops a body, for a limited time, so that an early response is not lost to a connection reset.
 pub fn discard(mut body: Incoming) {
-    tokio::spawn(timeout(DISCARD, async move { while let Some(Ok(_)) = body.frame().await {} }));
+    tokio::spawn(timeout(
+        DISCARD_LIMIT,
+        async move { while let Some(Ok(_)) = body.frame().await {} },
+    ));
 }
 
-/// A body that is known as a whole.
+/// A body from bytes in memory.
 pub fn full<B>(bytes: B) -> Body
 where
     B: Into<Bytes>,
@@ -168,19 +171,19 @@
     Full::new(bytes.into()).map_err(|never| match never {}).boxed()
 }
 
-/// An answer with JSON text.
+/// A response with JSON text.
 pub fn json_text<B>(status: StatusCode, text: B) -> Response<Body>
 where
     B: Into<Bytes>,
 {
-    let mut answer = Response::new(full(text));
-    *answer.status_mut() = status;
+    let mut response = Response::new(full(text));
+    *response.status_mut() = status;
     let json = header::HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(header::CONTENT_TYPE, json);
-    answer
+    response.headers_mut().insert(header::CONTENT_TYPE, json);
+    response
 }
 
-/// An answer with a value as JSON.
+/// A response with a value serialized as JSON.
 pub fn json<T>(status: StatusCode, value: &T) -> Response<Body>
 where
     T: Serialize,
@@ -193,7 +196,7 @@
     }
 }
 
-/// Reads a JSON body of at most `limit` bytes.
+/// Reads a JSON body of at most `limit` bytes; fails with 413 or 400.
 pub async fn read_json<T>(body: Incoming, limit: usize) -> Result<T, Refusal>
 where
     T: DeserializeOwned,
@@ -203,18 +206,18 @@
             let text = format!("the body is larger than {limit} bytes");
             return Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, text);
         }
-        Refusal::bad(format!("the body breaks off: {error}"))
+        Refusal::bad(format!("the body is incomplete: {error}"))
     })?;
     serde_json::from_slice(&whole.to_bytes()).map_err(|e| Refusal::bad(format!("body: {e}")))
 }
 
-/// The pairs of a query, as they stand.
+/// Splits a query into its pairs, without percent-decoding.
 pub fn pairs(query: Option<&str>) -> Vec<(&str, &str)> {
     let parts = query.unwrap_or_default().split('&').filter(|part| !part.is_empty());
     parts.map(|part| part.split_once('=').unwrap_or((part, ""))).collect()
 }
 
-/// A value of the query, if it is given.
+/// Parses a value of the query, if present; fails with 400.
 pub fn value<T>(pairs: &[(&str, &str)], name: &str) -> Result<Option<T>, Refusal>
 where
     T: FromStr,
@@ -222,6 +225,6 @@
     let Some((_, text)) = pairs.iter().find(|(key, _)| *key == name) else {
         return Ok(None);
     };
-    let wrong = |_| Refusal::bad(format!("query {name}={text:?} can't be read"));
-    text.parse().map(Some).map_err(wrong)
+    let invalid = |_| Refusal::bad(format!("query {name}={text:?} can't be parsed"));
+    text.parse().map(Some).map_err(invalid)
 }
--- a/crates/standin/src/stop.rs
+++ b/crates/standin/src/signals.rs
@@ -1,24 +1,24 @@
-//! Signals that ask the process to stop.
+//! Signals that stop the process.
 
 use anyhow::Context;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 /// Waits for SIGTERM or Ctrl-C.
 #[derive(Debug)]
-pub struct Stop {
+pub struct StopSignal {
     term: Signal,
     interrupt: Signal,
 }
 
-impl Stop {
-    /// Catches the signals from now on.
-    pub fn new() -> anyhow::Result<Stop> {
+impl StopSignal {
+    /// Installs the signal handlers.
+    pub fn new() -> anyhow::Result<StopSignal> {
         let term = signal(SignalKind::terminate()).context("catch SIGTERM")?;
         let interrupt = signal(SignalKind::interrupt()).context("catch SIGINT")?;
-        Ok(Stop { term, interrupt })
+        Ok(StopSignal { term, interrupt })
     }
 
-    /// Returns at the next signal.
+    /// Waits for the next signal.
     pub async fn wait(&mut self) {
         tokio::select! {
             _ = self.term.recv() => {}
--- a/crates/standin/src/site/balance.rs
+++ b/crates/standin/src/site/balance.rs
@@ -1,10 +1,10 @@
-//! How evenly the upstreams of each service were loaded.
+//! Load balance between the upstreams of a service.
 
 use std::collections::BTreeMap;
 
 use crate::upstream::Record;
 
-/// Mean number of busy slots of each upstream between two readings of its record.
+/// Mean number of busy slots of each upstream between two readings.
 pub fn loads(
     before: &BTreeMap<String, Record>,
     after: &BTreeMap<String, Record>,
@@ -19,17 +19,17 @@
     loads
 }
 
-/// Highest over mean load within a pool, of the worst pool; 1 when nothing was done.
+/// Maximum over mean load within a pool, for the worst pool; 1 without load.
 pub fn imbalance(loads: &BTreeMap<String, f64>, records: &BTreeMap<String, Record>) -> f64 {
     let mut pools: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     for (name, &load) in loads {
         let Some(record) = records.get(name) else { continue };
         pools.entry(&record.pool).or_default().push(load);
     }
-    pools.values().map(|loads| ratio(loads)).fold(1.0, f64::max)
+    pools.values().map(|loads| max_over_mean(loads)).fold(1.0, f64::max)
 }
 
-fn ratio(loads: &[f64]) -> f64 {
+fn max_over_mean(loads: &[f64]) -> f64 {
     let mean = loads.iter().sum::<f64>() / loads.len() as f64;
     if mean <= 0.0 {
         return 1.0;
--- a/crates/standin/src/site/deployment.rs
+++ b/crates/standin/src/site/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployments that can be started.
+//! Deployments that can be started.
 
 use std::str::FromStr;
 
@@ -20,7 +20,7 @@
         match s {
             "sparibaukur" => Ok(Name::Sparibaukur),
             "bexley" => Ok(Name::Bexley),
-            _ => Err(format!("{s:?} is no deployment; there are sparibaukur and bexley")),
+            _ => Err(format!("unknown deployment {s:?}; expected sparibaukur or bexley")),
         }
     }
 }
@@ -34,9 +34,9 @@
     pub zones: &'static [&'static str],
     /// Services.
     pub services: &'static [Service],
-    /// Requests that an upstream runs at once.
+    /// Concurrent requests per upstream.
     pub slots: u32,
-    /// Connections that an upstream takes.
+    /// Connection limit per upstream.
     pub connections: u32,
 }
 
@@ -47,11 +47,11 @@
     pub name: &'static str,
     /// Number of upstreams.
     pub upstreams: usize,
-    /// Balance policy.
+    /// Load balancing policy.
     pub policy: Policy,
-    /// Part of the whole load that goes to this service.
-    pub part: f64,
-    /// Shares of screens, feeds, uploads and transfers.
+    /// Fraction of the total load on this service.
+    pub load_share: f64,
+    /// Weights of screens, feeds, uploads and transfers.
     pub shares: [f64; 4],
 }
 
@@ -63,14 +63,14 @@
             name: "ledger",
             upstreams: 7,
             policy: Policy::Steady,
-            part: 0.7,
+            load_share: 0.7,
             shares: [0.6, 0.05, 0.0, 0.35],
         },
         Service {
             name: "intake",
             upstreams: 4,
             policy: Policy::Steady,
-            part: 0.3,
+            load_share: 0.3,
             shares: [0.4, 0.0, 0.5, 0.1],
         },
     ],
@@ -86,14 +86,14 @@
             name: "dispatch",
             upstreams: 7,
             policy: Policy::Even,
-            part: 0.7,
+            load_share: 0.7,
             shares: [0.45, 0.2, 0.0, 0.35],
         },
         Service {
             name: "photos",
             upstreams: 3,
             policy: Policy::Even,
-            part: 0.3,
+            load_share: 0.3,
             shares: [0.4, 0.0, 0.5, 0.1],
         },
     ],
--- a/crates/standin/src/site/faults/configure.rs
+++ b/crates/standin/src/site/faults/configure.rs
@@ -1,19 +1,19 @@
-//! Changes to objects, as operators make them.
+//! Configuration changes, as made by operators.
 
 use std::time::Duration;
 
 use anyhow::{Context, bail};
-use camphorwinch_core::object::{KeyUse, Keys, Kind as Object, Policy, Service};
+use camphorwinch_core::object::{KeyUse, Keys, Kind, Policy, Service};
 use http::{Method, StatusCode};
 use rand::{Rng, rngs::StdRng, seq::IndexedRandom};
 use serde_json::{Value, json};
 use tokio::time;
 
-use super::{Injector, Kind};
+use super::{FaultKind, Injector};
 use crate::site::{objects, run::KEY_WINDOW_S};
 
-/// Time between a key's arrival everywhere and its first use.
-const KEY_SPREAD: Duration = Duration::from_secs(5);
+/// Delay for a new key to reach all processes before its first use.
+const KEY_ROLLOUT: Duration = Duration::from_secs(5);
 
 impl Injector {
     pub(super) async fn configure(&self, rng: &mut StdRng) -> anyhow::Result<()> {
@@ -27,8 +27,8 @@
     async fn change_service(&self, rng: &mut StdRng) -> anyhow::Result<()> {
         let Some(service) = self.shared.deployment.services.choose(rng) else { return Ok(()) };
         let name = service.name;
-        let Some(_hold) = self.busy.hold(name) else { return Ok(()) };
-        let mut spec: Service = self.spec(Object::Service, name).await?;
+        let Some(_reservation) = self.reservations.reserve(name) else { return Ok(()) };
+        let mut spec: Service = self.spec(Kind::Service, name).await?;
         let text = match rng.random_range(0..4) {
             0 => {
                 spec.policy = match spec.policy {
@@ -52,46 +52,46 @@
                 format!("{name} weight of {agent} {weight}")
             }
         };
-        let _mark = self.begin(Kind::Config, text);
-        let object = self.shared.objects.put(Object::Service, name, &spec).await?;
-        self.follow(object.version).await
+        let _fault = self.begin(FaultKind::Config, text);
+        let object = self.shared.objects.put(Kind::Service, name, &spec).await?;
+        self.track_rollout(object.version).await
     }
 
     async fn rotate_keys(&self, rng: &mut StdRng) -> anyhow::Result<()> {
-        let Some(_hold) = self.busy.hold("keys") else { return Ok(()) };
+        let Some(_reservation) = self.reservations.reserve("keys") else { return Ok(()) };
         let name = objects::keys_name();
-        let mut keys: Keys = self.spec(Object::Keys, name).await?;
+        let mut keys: Keys = self.spec(Kind::Keys, name).await?;
         let newest = keys.keys.iter().map(|it| it.epoch).max().unwrap_or(0);
         let Some(epoch) = newest.checked_add(1) else { return Ok(()) };
-        let _mark = self.begin(Kind::Config, format!("key {epoch}"));
+        let _fault = self.begin(FaultKind::Config, format!("key {epoch}"));
         keys.keys.push(objects::key(rng, epoch, KeyUse::Open));
-        self.shared.objects.put(Object::Keys, name, &keys).await?;
-        time::sleep(KEY_SPREAD).await;
+        self.shared.objects.put(Kind::Keys, name, &keys).await?;
+        time::sleep(KEY_ROLLOUT).await;
         for key in &mut keys.keys {
             key.usage = if key.epoch == epoch { KeyUse::Seal } else { KeyUse::Open };
         }
-        let object = self.shared.objects.put(Object::Keys, name, &keys).await?;
-        self.follow(object.version).await
+        let object = self.shared.objects.put(Kind::Keys, name, &keys).await?;
+        self.track_rollout(object.version).await
     }
 
     async fn rotate_certificate(&self, rng: &mut StdRng) -> anyhow::Result<()> {
         let Some(service) = self.shared.deployment.services.choose(rng) else { return Ok(()) };
         let name = format!("{}-cert", service.name);
-        let Some(_hold) = self.busy.hold(&name) else { return Ok(()) };
-        let _mark = self.begin(Kind::Config, format!("certificate {name}"));
+        let Some(_reservation) = self.reservations.reserve(&name) else { return Ok(()) };
+        let _fault = self.begin(FaultKind::Config, format!("certificate {name}"));
         let leaf = self.shared.authority.leaf(service.name, &[])?;
         let spec = objects::certificate(&leaf);
-        let object = self.shared.objects.put(Object::Certificate, &name, &spec).await?;
-        self.follow(object.version).await
+        let object = self.shared.objects.put(Kind::Certificate, &name, &spec).await?;
+        self.track_rollout(object.version).await
     }
 
-    /// Two operators write one service from the same version: one write at most may take effect.
+    /// Writes a service twice from the same version: at most one write may succeed.
     pub(super) async fn race(&self, rng: &mut StdRng) -> anyhow::Result<()> {
         let Some(service) = self.shared.deployment.services.choose(rng) else { return Ok(()) };
         let name = service.name;
-        let Some(_hold) = self.busy.hold(name) else { return Ok(()) };
-        let _mark = self.begin(Kind::Race, format!("two writes to {name}"));
-        let Ok(Some(object)) = self.shared.objects.get(Object::Service, name).await else {
+        let Some(_reservation) = self.reservations.reserve(name) else { return Ok(()) };
+        let _fault = self.begin(FaultKind::Race, format!("two writes to {name}"));
+        let Ok(Some(object)) = self.shared.objects.get(Kind::Service, name).await else {
             return Ok(());
         };
         let (mut first, mut second) = (object.spec.clone(), object.spec);
@@ -102,7 +102,7 @@
             self.write(name, object.version, &second)
         );
         if matches!((&first, &second), (Ok(StatusCode::OK), Ok(StatusCode::OK))) {
-            bail!("both of two writes from version {} took effect", object.version);
+            bail!("both concurrent writes from version {} took effect", object.version);
         }
         Ok(())
     }
@@ -110,22 +110,22 @@
     async fn write(&self, name: &str, version: u64, spec: &Value) -> anyhow::Result<StatusCode> {
         let body = json!({ "version": version, "writer": objects::mark(), "spec": spec });
         let platform = self.shared.launcher.lock().await.platform;
-        let path = objects::path(Object::Service, name);
+        let path = objects::path(Kind::Service, name);
         let (status, _) = self.shared.http.call(Method::PUT, platform, &path, Some(&body)).await?;
         Ok(status)
     }
 
     pub(super) async fn put_drain(&self, name: &str, target: &Value) -> anyhow::Result<()> {
         let spec = json!({ "action": "drain", "target": target });
-        self.shared.objects.put(Object::Change, name, &spec).await?;
+        self.shared.objects.put(Kind::Change, name, &spec).await?;
         Ok(())
     }
 
     pub(super) async fn delete_change(&self, name: &str) -> anyhow::Result<()> {
-        self.shared.objects.delete(Object::Change, name).await
+        self.shared.objects.delete(Kind::Change, name).await
     }
 
-    async fn spec<T>(&self, kind: Object, name: &str) -> anyhow::Result<T>
+    async fn spec<T>(&self, kind: Kind, name: &str) -> anyhow::Result<T>
     where
         T: serde::de::DeserializeOwned,
     {
--- a/crates/standin/src/site/faults/mod.rs
+++ b/crates/standin/src/site/faults/mod.rs
@@ -1,8 +1,8 @@
-//! Faults during a run: which, when and where, placed from the seed.
+//! Injects faults during a run, from a seed.
 
-mod act;
-mod blame;
+mod attribute;
 mod configure;
+mod inject;
 mod pick;
 mod rollout;
 
@@ -13,191 +13,198 @@
 use tokio::{task::JoinSet, time};
 use tokio_util::sync::CancellationToken;
 
-use self::pick::Busy;
+use self::pick::Reservations;
 use super::shared::Shared;
 
-pub use self::blame::{Blame, blame};
+pub use self::attribute::{Attribution, attribute_incidents};
 
-/// Time at the end of a run in which no fault starts, so that all have healed before the load ends.
-const QUIET: Duration = Duration::from_secs(12);
-const TWICE_CHANCE: f64 = 0.2;
+/// No fault starts in this time before the end of the load, so that all have recovered by then.
+const QUIET_PERIOD: Duration = Duration::from_secs(12);
+const DOUBLE_FAULT_CHANCE: f64 = 0.2;
 
 /// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
-    /// A process or VM dies and comes back.
+pub enum FaultKind {
+    /// A process or VM is killed and restarted.
     Kill,
     /// A process is paused.
     Freeze,
-    /// A balancer gets no packets, or the fabric loses, repeats and reorders them.
+    /// A balancer receives no packets, or the fabric drops, duplicates and reorders them.
     Cut,
-    /// The platform is down or slow.
+    /// The platform is unavailable or slow.
     Outage,
-    /// Answers of the platform or an upstream are lost, late or cut.
+    /// Responses of the platform or an upstream are lost, late or truncated.
     LostAnswer,
-    /// Two operators write one object at once.
+    /// Two operators write one object concurrently.
     Race,
-    /// An upstream, several, or a zone is drained and comes back.
+    /// Upstreams or a zone are drained and restored.
     Drain,
-    /// A VM is replaced as planned.
+    /// A balancer or VM is replaced gracefully.
     Replace,
-    /// Weights, policy, certificates or keys change.
+    /// A weight, policy, limit, certificate or key changes.
     Config,
-    /// An upstream's load endpoint lies, or it is slow or sheds.
+    /// An upstream reports a wrong load, is slow or sheds load.
     Lie,
 }
 
-impl Kind {
+impl FaultKind {
     /// All kinds.
-    pub const ALL: [Kind; 10] = [
-        Kind::Kill,
-        Kind::Freeze,
-        Kind::Cut,
-        Kind::Outage,
-        Kind::LostAnswer,
-        Kind::Race,
-        Kind::Drain,
-        Kind::Replace,
-        Kind::Config,
-        Kind::Lie,
+    pub const ALL: [FaultKind; 10] = [
+        FaultKind::Kill,
+        FaultKind::Freeze,
+        FaultKind::Cut,
+        FaultKind::Outage,
+        FaultKind::LostAnswer,
+        FaultKind::Race,
+        FaultKind::Drain,
+        FaultKind::Replace,
+        FaultKind::Config,
+        FaultKind::Lie,
     ];
 
     /// Name on the command line.
     pub fn as_str(self) -> &'static str {
         match self {
-            Kind::Kill => "kill",
-            Kind::Freeze => "freeze",
-            Kind::Cut => "cut",
-            Kind::Outage => "outage",
-            Kind::LostAnswer => "lost-answer",
-            Kind::Race => "race",
-            Kind::Drain => "drain",
-            Kind::Replace => "replace",
-            Kind::Config => "config",
-            Kind::Lie => "lie",
+            FaultKind::Kill => "kill",
+            FaultKind::Freeze => "freeze",
+            FaultKind::Cut => "cut",
+            FaultKind::Outage => "outage",
+            FaultKind::LostAnswer => "lost-answer",
+            FaultKind::Race => "race",
+            FaultKind::Drain => "drain",
+            FaultKind::Replace => "replace",
+            FaultKind::Config => "config",
+            FaultKind::Lie => "lie",
         }
     }
 }
 
-/// Kinds chosen on the command line.
+/// Kinds selected on the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Kinds(pub Vec<Kind>);
+pub struct FaultKinds(pub Vec<FaultKind>);
 
-impl FromStr for Kinds {
+impl FromStr for FaultKinds {
     type Err = String;
 
-    fn from_str(s: &str) -> Result<Kinds, String> {
+    fn from_str(s: &str) -> Result<FaultKinds, String> {
         if s == "all" {
-            return Ok(Kinds(Kind::ALL.to_vec()));
+            return Ok(FaultKinds(FaultKind::ALL.to_vec()));
         }
         let mut kinds = Vec::new();
         for name in s.split(',') {
-            let Some(kind) = Kind::ALL.into_iter().find(|it| it.as_str() == name) else {
-                let names = Kind::ALL.map(Kind::as_str).join(", ");
-                return Err(format!("{name:?} is no kind of fault; there are {names}, and all"));
+            let Some(kind) = FaultKind::ALL.into_iter().find(|it| it.as_str() == name) else {
+                let names = FaultKind::ALL.map(FaultKind::as_str).join(", ");
+                return Err(format!(
+                    "unknown fault kind {name:?}; expected all, or a list of {names}"
+                ));
             };
             kinds.push(kind);
         }
-        Ok(Kinds(kinds))
+        Ok(FaultKinds(kinds))
     }
 }
 
-/// Which faults to place.
+/// Which faults to inject.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct FaultPlan {
     /// Kinds to choose from.
-    pub kinds: Vec<Kind>,
-    /// Mean time between two.
-    pub every: Duration,
+    pub kinds: Vec<FaultKind>,
+    /// Mean time between faults.
+    pub mean_interval: Duration,
     /// Length of the load.
-    pub span: Duration,
-    /// Seed.
+    pub load_duration: Duration,
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// A fault that was placed.
+/// A fault that was injected.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Placed {
-    /// Kind.
-    pub kind: Kind,
-    /// When it began.
+pub struct InjectedFault {
+    /// Kind of the fault.
+    pub kind: FaultKind,
+    /// Time at which it started.
     pub at: Duration,
-    /// When it was over; the end of the run if it is not yet.
+    /// Time at which it ended, if it has.
     pub until: Option<Duration>,
-    /// What it was.
+    /// Target and parameters.
     pub text: String,
-    /// Agents whose VM or process died.
+    /// Agents that were killed.
     pub killed: Vec<String>,
-    /// Agents whose upstream loses or cuts answers.
-    pub cut: Vec<String>,
+    /// Agents whose upstream loses or truncates responses.
+    pub truncating: Vec<String>,
 }
 
-/// Faults placed so far, and promises found broken while placing them.
+/// Faults injected so far, and guarantees found violated during them.
 #[derive(Debug, Default)]
-pub struct Log {
-    placed: Mutex<Vec<Placed>>,
-    broken: Mutex<Vec<String>>,
+pub struct FaultLog {
+    injected: Mutex<Vec<InjectedFault>>,
+    violations: Mutex<Vec<String>>,
     rollouts: Mutex<Vec<Duration>>,
 }
 
-impl Log {
-    /// Faults placed so far, in their order.
-    pub fn placed(&self) -> Vec<Placed> {
-        self.placed.lock().clone()
+impl FaultLog {
+    /// Faults injected so far, in order.
+    pub fn injected(&self) -> Vec<InjectedFault> {
+        self.injected.lock().clone()
     }
 
-    /// Promises found broken.
-    pub fn broken(&self) -> Vec<String> {
-        self.broken.lock().clone()
+    /// Violated guarantees.
+    pub fn violations(&self) -> Vec<String> {
+        self.violations.lock().clone()
     }
 
-    /// How long changes took from accepted to in force in every process that was not under a fault, shortest first.
+    /// Times from the acceptance of a change until all processes not under a fault applied it, sorted.
     pub fn rollouts(&self) -> Vec<Duration> {
         let mut rollouts = self.rollouts.lock().clone();
         rollouts.sort();
         rollouts
     }
 
-    fn add(&self, placed: Placed) -> usize {
-        println!("{:6.1} s: {} {}", placed.at.as_secs_f64(), placed.kind.as_str(), placed.text);
-        let mut all = self.placed.lock();
-        all.push(placed);
+    fn add(&self, injected: InjectedFault) -> usize {
+        println!(
+            "{:6.1} s: {} {}",
+            injected.at.as_secs_f64(),
+            injected.kind.as_str(),
+            injected.text
+        );
+        let mut all = self.injected.lock();
+        all.push(injected);
         all.len() - 1
     }
 
     fn end(&self, index: usize, at: Duration) {
-        if let Some(placed) = self.placed.lock().get_mut(index) {
-            placed.until = Some(at);
+        if let Some(injected) = self.injected.lock().get_mut(index) {
+            injected.until = Some(at);
         }
     }
 
-    fn complain(&self, text: String) {
+    fn report_violation(&self, text: String) {
         println!("{text}");
-        self.broken.lock().push(text);
+        self.violations.lock().push(text);
     }
 }
 
-/// Places faults.
+/// Injects faults.
 #[derive(Clone)]
 pub struct Injector {
     shared: Arc<Shared>,
-    log: Arc<Log>,
-    busy: Busy,
+    log: Arc<FaultLog>,
+    reservations: Reservations,
 }
 
 impl Injector {
-    /// An injector into the deployment.
-    pub fn new(shared: Arc<Shared>, log: Arc<Log>) -> Injector {
-        Injector { shared, log, busy: Busy::default() }
+    /// Creates an injector for the deployment.
+    pub fn new(shared: Arc<Shared>, log: Arc<FaultLog>) -> Injector {
+        Injector { shared, log, reservations: Reservations::default() }
     }
 
-    /// Places faults until the run is nearly over, and waits until all have healed.
-    pub async fn run(self, plan: Plan, stop: CancellationToken) {
-        let end = time::Instant::now() + plan.span.saturating_sub(QUIET);
+    /// Injects faults until shortly before the end of the load, and waits until all have recovered.
+    pub async fn run(self, plan: FaultPlan, stop: CancellationToken) {
+        let end = time::Instant::now() + plan.load_duration.saturating_sub(QUIET_PERIOD);
         let mut rng = StdRng::seed_from_u64(plan.seed);
         let mut tasks = JoinSet::new();
         loop {
-            let gap = plan.every.mul_f64(rng.random_range(0.5..1.5));
+            let gap = plan.mean_interval.mul_f64(rng.random_range(0.5..1.5));
             tokio::select! {
                 _ = time::sleep(gap) => {}
                 _ = stop.cancelled() => break,
@@ -205,52 +212,52 @@
             if time::Instant::now() >= end {
                 break;
             }
-            let count = if rng.random_bool(TWICE_CHANCE) { 2 } else { 1 };
+            let count = if rng.random_bool(DOUBLE_FAULT_CHANCE) { 2 } else { 1 };
             for _ in 0..count {
                 let Some(&kind) = plan.kinds.choose(&mut rng) else { break };
-                let own = StdRng::from_rng(&mut rng);
-                tasks.spawn(self.clone().place(kind, own));
+                let task_rng = StdRng::from_rng(&mut rng);
+                tasks.spawn(self.clone().inject_and_log(kind, task_rng));
             }
             while tasks.try_join_next().is_some() {}
         }
         while tasks.join_next().await.is_some() {}
     }
 
-    async fn place(self, kind: Kind, mut rng: StdRng) {
-        if let Err(error) = self.act(kind, &mut rng).await {
-            self.log.complain(format!("fault {}: {error:#}", kind.as_str()));
+    async fn inject_and_log(self, kind: FaultKind, mut rng: StdRng) {
+        if let Err(error) = self.inject(kind, &mut rng).await {
+            self.log.report_violation(format!("fault {}: {error:#}", kind.as_str()));
         }
     }
 
-    fn begin<S>(&self, kind: Kind, text: S) -> Mark<'_>
+    fn begin<S>(&self, kind: FaultKind, text: S) -> FaultGuard<'_>
     where
         S: Into<String>,
     {
-        let placed = Placed {
+        let injected = InjectedFault {
             kind,
-            at: self.shared.tally.now(),
+            at: self.shared.stats.now(),
             until: None,
             text: text.into(),
             killed: Vec::new(),
-            cut: Vec::new(),
+            truncating: Vec::new(),
         };
-        self.mark(placed)
+        self.record(injected)
     }
 
-    fn mark(&self, placed: Placed) -> Mark<'_> {
-        Mark { injector: self, index: self.log.add(placed) }
+    fn record(&self, injected: InjectedFault) -> FaultGuard<'_> {
+        FaultGuard { injector: self, index: self.log.add(injected) }
     }
 }
 
-/// Notes the end of a fault when dropped.
-struct Mark<'a> {
+/// Records the end of a fault when dropped.
+struct FaultGuard<'a> {
     injector: &'a Injector,
     index: usize,
 }
 
-impl Drop for Mark<'_> {
+impl Drop for FaultGuard<'_> {
     fn drop(&mut self) {
         let injector = self.injector;
-        injector.log.end(self.index, injector.shared.tally.now());
+        injector.log.end(self.index, injector.shared.stats.now());
     }
 }
--- a/crates/standin/src/site/faults/pick.rs
+++ b/crates/standin/src/site/faults/pick.rs
@@ -1,4 +1,4 @@
-//! Chooses where a fault goes, so that some of each kind of process stay untouched.
+//! Selects fault targets so that enough processes of each kind stay unaffected.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -8,103 +8,103 @@
 use super::Injector;
 use crate::site::fleet::{Fleet, Role};
 
-/// Things that a fault holds at the moment.
+/// Names reserved by faults in progress.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Busy {
+pub(super) struct Reservations {
     names: Arc<Mutex<BTreeSet<String>>>,
 }
 
-/// Holds a name for one fault.
-pub(super) struct Hold {
-    busy: Busy,
-    /// What is held.
+/// A name reserved for one fault; released when dropped.
+pub(super) struct Reservation {
+    reservations: Reservations,
+    /// The reserved name.
     pub(super) name: String,
 }
 
-/// An upstream VM under a fault.
-pub(super) struct Vm {
-    /// Agent.
+/// An upstream VM reserved for one fault.
+pub(super) struct UpstreamVm {
+    /// Name of the agent.
     pub(super) agent: String,
-    /// Upstream.
+    /// Name of the upstream.
     pub(super) upstream: String,
-    /// Service.
+    /// Name of the service.
     pub(super) service: String,
     /// Availability zone.
     pub(super) zone: String,
-    /// VM.
+    /// Name of the VM.
     pub(super) vm: String,
-    _hold: Hold,
+    _reservation: Reservation,
 }
 
-impl Busy {
-    /// Holds a name, unless another fault does.
-    pub(super) fn hold(&self, name: &str) -> Option<Hold> {
+impl Reservations {
+    /// Reserves a name; `None` if it is reserved already.
+    pub(super) fn reserve(&self, name: &str) -> Option<Reservation> {
         let fresh = self.names.lock().insert(name.to_owned());
-        fresh.then(|| Hold { busy: self.clone(), name: name.to_owned() })
+        fresh.then(|| Reservation { reservations: self.clone(), name: name.to_owned() })
     }
 
-    /// Whether no fault holds the name.
+    /// Whether the name is not reserved.
     pub(super) fn is_free(&self, name: &str) -> bool {
         !self.names.lock().contains(name)
     }
 }
 
-impl Drop for Hold {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.busy.names.lock().remove(&self.name);
+        self.reservations.names.lock().remove(&self.name);
     }
 }
 
 impl Injector {
-    /// A balancer that no other fault holds; one at least stays untouched.
-    pub(super) async fn pick_entry(&self, rng: &mut StdRng) -> Option<Hold> {
+    /// Reserves a balancer, always leaving at least one free.
+    pub(super) async fn pick_balancer(&self, rng: &mut StdRng) -> Option<Reservation> {
         let fleet = self.shared.fleet.lock().await;
         let mut free = fleet.running(Role::Balancer);
-        free.retain(|it| self.busy.is_free(it));
+        free.retain(|it| self.reservations.is_free(it));
         if free.len() < 2 {
             return None;
         }
-        self.busy.hold(free.choose(rng)?)
+        self.reservations.reserve(free.choose(rng)?)
     }
 
-    /// An upstream VM that no other fault holds; half of each pool at least stays untouched.
-    pub(super) async fn pick_vm(&self, rng: &mut StdRng) -> Option<Vm> {
+    /// Reserves an upstream VM, leaving at least half of each pool free.
+    pub(super) async fn pick_vm(&self, rng: &mut StdRng) -> Option<UpstreamVm> {
         let fleet = self.shared.fleet.lock().await;
         let mut agents = fleet.running(Role::Agent);
-        agents.retain(|it| self.is_spare(&fleet, it));
+        agents.retain(|it| self.is_available(&fleet, it));
         let agent = agents.choose(rng)?;
-        self.hold_vm(&fleet, agent)
+        self.reserve_vm(&fleet, agent)
     }
 
-    /// The VM of this agent, if no other fault holds it.
-    pub(super) fn hold_vm(&self, fleet: &Fleet, agent: &str) -> Option<Vm> {
-        let member = fleet.get(agent).ok()?;
-        Some(Vm {
+    /// Reserves the VM of this agent, if it is free.
+    pub(super) fn reserve_vm(&self, fleet: &Fleet, agent: &str) -> Option<UpstreamVm> {
+        let instance = fleet.get(agent).ok()?;
+        Some(UpstreamVm {
             agent: agent.to_owned(),
             upstream: format!("{agent}-upstream"),
-            service: member.service.clone()?,
-            zone: member.zone.clone(),
-            vm: member.vm.clone(),
-            _hold: self.busy.hold(agent)?,
+            service: instance.service.clone()?,
+            zone: instance.zone.clone(),
+            vm: instance.vm.clone(),
+            _reservation: self.reservations.reserve(agent)?,
         })
     }
 
-    /// Whether the agent is free, and more than half of its pool.
-    pub(super) fn is_spare(&self, fleet: &Fleet, agent: &str) -> bool {
-        let Ok(member) = fleet.get(agent) else { return false };
+    /// Whether the agent and more than half of its pool are free.
+    pub(super) fn is_available(&self, fleet: &Fleet, agent: &str) -> bool {
+        let Ok(instance) = fleet.get(agent) else { return false };
         let (mut all, mut free) = (0, 0);
-        for (name, other) in fleet.members() {
-            if other.role != Role::Agent || other.service != member.service {
+        for (name, other) in fleet.instances() {
+            if other.role != Role::Agent || other.service != instance.service {
                 continue;
             }
-            if other.process.is_none() && self.busy.is_free(name) {
+            if other.process.is_none() && self.reservations.is_free(name) {
                 continue;
             }
             all += 1;
-            if self.busy.is_free(name) {
+            if self.reservations.is_free(name) {
                 free += 1;
             }
         }
-        self.busy.is_free(agent) && free * 2 > all
+        self.reservations.is_free(agent) && free * 2 > all
     }
 }
--- a/crates/standin/src/site/faults/rollout.rs
+++ b/crates/standin/src/site/faults/rollout.rs
@@ -1,4 +1,4 @@
-//! How long an accepted change takes until it is in force everywhere.
+//! Measures how long a change takes to be applied by all processes.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -7,12 +7,12 @@
 
 use super::Injector;
 
-/// Time in which an accepted change must be in force everywhere, unless a fault keeps news away.
-const LIMIT: Duration = Duration::from_secs(5);
-const GIVE_UP: Duration = Duration::from_secs(20);
-const POLL: Duration = Duration::from_millis(50);
+/// Limit for a change to be applied everywhere, unless a fault delays it.
+const ROLLOUT_LIMIT: Duration = Duration::from_secs(5);
+const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The part of a process's status that tells what is in force.
+/// The part of a process's status with the applied revision.
 #[derive(Deserialize)]
 struct Status {
     control: Control,
@@ -24,25 +24,25 @@
 }
 
 impl Injector {
-    /// Waits until the revision is in force in every process that is not under a fault, and notes the time.
-    pub(super) async fn follow(&self, revision: u64) -> anyhow::Result<()> {
-        let (start, since) = (Instant::now(), self.shared.tally.now());
+    /// Waits until all processes not under a fault have applied the revision, and records the time.
+    pub(super) async fn track_rollout(&self, revision: u64) -> anyhow::Result<()> {
+        let (start, since) = (Instant::now(), self.shared.stats.now());
         let mut missing = self.daemons().await;
-        while start.elapsed() < GIVE_UP {
-            self.drop_in_force(&mut missing, revision).await;
+        while start.elapsed() < ROLLOUT_TIMEOUT {
+            self.remove_applied(&mut missing, revision).await;
             if missing.is_empty() {
                 break;
             }
-            time::sleep(POLL).await;
+            time::sleep(POLL_INTERVAL).await;
         }
-        let took = start.elapsed();
-        self.log.rollouts.lock().push(took);
-        if took > LIMIT && !self.disturbed(since) {
-            let at = self.shared.tally.now().as_secs_f64();
+        let elapsed = start.elapsed();
+        self.log.rollouts.lock().push(elapsed);
+        if elapsed > ROLLOUT_LIMIT && !self.delayed_by_fault(since) {
+            let at = self.shared.stats.now().as_secs_f64();
             let names: Vec<&String> = missing.keys().collect();
-            self.log.complain(format!(
-                "{at:.1} s: revision {revision} took {took:.1?} to be in force everywhere; \
-                 without it: {names:?}"
+            self.log.report_violation(format!(
+                "{at:.1} s: revision {revision} took {elapsed:.1?} to be applied everywhere; \
+                 not applied by: {names:?}"
             ));
         }
         Ok(())
@@ -51,19 +51,19 @@
     async fn daemons(&self) -> BTreeMap<String, SocketAddr> {
         let fleet = self.shared.fleet.lock().await;
         let mut daemons = BTreeMap::new();
-        for (name, member) in fleet.members() {
-            if member.daemon() && member.process.is_some() {
-                daemons.insert(name.to_owned(), member.admin);
+        for (name, instance) in fleet.instances() {
+            if instance.is_daemon() && instance.process.is_some() {
+                daemons.insert(name.to_owned(), instance.admin);
             }
         }
         daemons
     }
 
-    /// Drops the processes that have the revision, and those that a fault has taken meanwhile.
-    async fn drop_in_force(&self, missing: &mut BTreeMap<String, SocketAddr>, revision: u64) {
+    /// Removes processes that have applied the revision or are under a fault.
+    async fn remove_applied(&self, missing: &mut BTreeMap<String, SocketAddr>, revision: u64) {
         let names: Vec<String> = missing.keys().cloned().collect();
         for name in names {
-            if !self.busy.is_free(&name) {
+            if !self.reservations.is_free(&name) {
                 missing.remove(&name);
                 continue;
             }
--- a/crates/standin/src/site/fleet.rs
+++ b/crates/standin/src/site/fleet.rs
@@ -11,14 +11,14 @@
 
 use super::process::{Launch, Process};
 
-/// Part that a process plays.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// Stand-in of the object API.
+    /// Emulated object API.
     Platform,
-    /// Stand-in of the packet fabric.
+    /// Emulated packet fabric.
     Fabric,
-    /// Stand-in upstream.
+    /// Emulated upstream.
     Upstream,
     /// Balancer.
     Balancer,
@@ -28,8 +28,8 @@
 
 /// A process of the deployment, running or not.
 #[derive(Debug)]
-pub struct Member {
-    /// Part that it plays.
+pub struct Instance {
+    /// Role of the process.
     pub role: Role,
     /// VM that it runs on.
     pub vm: String,
@@ -37,19 +37,19 @@
     pub zone: String,
     /// Address of the VM.
     pub host: IpAddr,
-    /// Service whose pool it belongs to, for agents and upstreams.
+    /// Service of its pool, for agents and upstreams.
     pub service: Option<String>,
-    /// Address that tells about the process: operator address of a daemon, admin address of a stand-in.
+    /// Operator address of a daemon, admin address of an emulator.
     pub admin: SocketAddr,
-    /// How to start it.
+    /// Command to start it.
     pub launch: Launch,
-    /// The process, while it runs.
+    /// The running process.
     pub process: Option<Process>,
 }
 
-impl Member {
-    /// Whether it is a process of the system, not a stand-in.
-    pub fn daemon(&self) -> bool {
+impl Instance {
+    /// Whether it is a daemon under test, not an emulator.
+    pub fn is_daemon(&self) -> bool {
         matches!(self.role, Role::Balancer | Role::Agent)
     }
 }
@@ -58,13 +58,13 @@
 #[derive(Debug)]
 pub struct Fleet {
     folder: PathBuf,
-    members: BTreeMap<String, Member>,
+    instances: BTreeMap<String, Instance>,
 }
 
 impl Fleet {
-    /// An empty fleet whose processes log into the folder.
+    /// Creates an empty fleet that logs into the folder.
     pub fn new(folder: PathBuf) -> Fleet {
-        Fleet { folder, members: BTreeMap::new() }
+        Fleet { folder, instances: BTreeMap::new() }
     }
 
     /// Folder with logs and journals.
@@ -72,94 +72,94 @@
         &self.folder
     }
 
-    /// Adds a process, not started yet.
-    pub fn add(&mut self, member: Member) {
-        self.members.insert(member.launch.name.clone(), member);
+    /// Adds a process without starting it.
+    pub fn add(&mut self, instance: Instance) {
+        self.instances.insert(instance.launch.name.clone(), instance);
     }
 
-    /// All members, by name.
-    pub fn members(&self) -> impl Iterator<Item = (&str, &Member)> {
-        self.members.iter().map(|(name, member)| (name.as_str(), member))
+    /// All processes, by name.
+    pub fn instances(&self) -> impl Iterator<Item = (&str, &Instance)> {
+        self.instances.iter().map(|(name, instance)| (name.as_str(), instance))
     }
 
     /// Names of the running processes with this role.
     pub fn running(&self, role: Role) -> Vec<String> {
         let mut names = Vec::new();
-        for (name, member) in &self.members {
-            if member.role == role && member.process.is_some() {
+        for (name, instance) in &self.instances {
+            if instance.role == role && instance.process.is_some() {
                 names.push(name.clone());
             }
         }
         names
     }
 
-    /// Running processes of the system with this role: a file for the state of each, and its operator address.
+    /// Running daemons with this role: a file for the status dump of each, and its operator address.
     pub fn daemons(&self, role: Role) -> Vec<(PathBuf, SocketAddr)> {
         let mut list = Vec::new();
-        for (name, member) in &self.members {
-            if member.role == role && member.daemon() && member.process.is_some() {
-                list.push((self.folder.join(format!("{name}.late")), member.admin));
+        for (name, instance) in &self.instances {
+            if instance.role == role && instance.is_daemon() && instance.process.is_some() {
+                list.push((self.folder.join(format!("{name}.late")), instance.admin));
             }
         }
         list
     }
 
-    /// The member with this name.
-    pub fn get(&self, name: &str) -> anyhow::Result<&Member> {
-        self.members.get(name).with_context(|| format!("no process is named {name}"))
+    /// The process with this name, running or not.
+    pub fn get(&self, name: &str) -> anyhow::Result<&Instance> {
+        self.instances.get(name).with_context(|| format!("no process named {name}"))
     }
 
-    /// Starts a process that does not run.
+    /// Starts a process; fails if it is already running.
     pub fn start(&mut self, name: &str) -> anyhow::Result<()> {
         let folder = self.folder.clone();
-        let member = self.member(name)?;
-        if member.process.is_some() {
-            bail!("start {name}: it runs already");
+        let instance = self.get_mut(name)?;
+        if instance.process.is_some() {
+            bail!("start {name}: already running");
         }
-        member.process = Some(Process::start(&member.launch, &folder)?);
+        instance.process = Some(Process::start(&instance.launch, &folder)?);
         Ok(())
     }
 
     /// Starts all processes with this role.
     pub fn start_all(&mut self, role: Role) -> anyhow::Result<()> {
         let names: Vec<String> =
-            self.members.iter().filter(|it| it.1.role == role).map(|it| it.0.clone()).collect();
+            self.instances.iter().filter(|it| it.1.role == role).map(|it| it.0.clone()).collect();
         for name in names {
             self.start(&name)?;
         }
         Ok(())
     }
 
-    /// Takes the running process out of the fleet, to stop or kill it.
-    pub fn take(&mut self, name: &str) -> anyhow::Result<Process> {
-        self.member(name)?.process.take().with_context(|| format!("{name} does not run"))
+    /// Removes the running process from the fleet, to stop or kill it.
+    pub fn take_process(&mut self, name: &str) -> anyhow::Result<Process> {
+        self.get_mut(name)?.process.take().with_context(|| format!("{name} is not running"))
     }
 
-    /// Stops all processes with this role gracefully, all at once; what went wrong.
+    /// Stops all processes with this role concurrently; returns the errors.
     pub async fn stop_all(&mut self, role: Role) -> Vec<anyhow::Error> {
         let mut stops = Vec::new();
-        for member in self.members.values_mut() {
-            if member.role != role {
+        for instance in self.instances.values_mut() {
+            if instance.role != role {
                 continue;
             }
-            if let Some(process) = member.process.take() {
+            if let Some(process) = instance.process.take() {
                 stops.push(process.stop());
             }
         }
         join_all(stops).await.into_iter().filter_map(Result::err).collect()
     }
 
-    /// Whether the process runs.
+    /// Whether the process is running.
     pub fn is_alive(&mut self, name: &str) -> bool {
-        let process = self.members.get_mut(name).and_then(|it| it.process.as_mut());
+        let process = self.instances.get_mut(name).and_then(|it| it.process.as_mut());
         process.is_some_and(Process::alive)
     }
 
-    /// Names of processes that ended although nobody stopped them.
-    pub fn fallen(&mut self) -> Vec<String> {
+    /// Names of processes that exited without being stopped.
+    pub fn exited(&mut self) -> Vec<String> {
         let mut names = Vec::new();
-        for (name, member) in &mut self.members {
-            let Some(process) = &mut member.process else { continue };
+        for (name, instance) in &mut self.instances {
+            let Some(process) = &mut instance.process else { continue };
             if !process.alive() {
                 names.push(name.clone());
             }
@@ -167,12 +167,12 @@
         names
     }
 
-    fn member(&mut self, name: &str) -> anyhow::Result<&mut Member> {
-        self.members.get_mut(name).with_context(|| format!("no process is named {name}"))
+    fn get_mut(&mut self, name: &str) -> anyhow::Result<&mut Instance> {
+        self.instances.get_mut(name).with_context(|| format!("no process named {name}"))
     }
 
     /// The running process with this name.
     pub fn process(&self, name: &str) -> anyhow::Result<&Process> {
-        self.get(name)?.process.as_ref().with_context(|| format!("{name} does not run"))
+        self.get(name)?.process.as_ref().with_context(|| format!("{name} is not running"))
     }
 }
--- a/crates/standin/src/site/http.rs
+++ b/crates/standin/src/site/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 client for the platform, the stand-ins' admin addresses and the daemons' operator addresses.
+//! HTTP/1.1 client for the platform, admin addresses and operator addresses.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,7 +16,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A client that keeps connections.
+/// HTTP client with connection reuse.
 #[derive(Clone, Debug)]
 pub struct Http {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -29,12 +29,12 @@
 }
 
 impl Http {
-    /// A client.
+    /// Creates a client.
     pub fn new() -> Http {
         Http { client: Client::builder(TokioExecutor::new()).build_http() }
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response; fails after a timeout.
     pub async fn call(
         &self,
         method: Method,
@@ -50,15 +50,15 @@
             .body(Full::new(Bytes::from(bytes)))
             .with_context(step)?;
         let exchange = async {
-            let answer = self.client.request(request).await?;
-            let status = answer.status();
-            let body = answer.into_body().collect().await?.to_bytes();
+            let response = self.client.request(request).await?;
+            let status = response.status();
+            let body = response.into_body().collect().await?.to_bytes();
             anyhow::Ok((status, body))
         };
         time::timeout(TIMEOUT, exchange).await.with_context(step)?.with_context(step)
     }
 
-    /// Reads JSON.
+    /// Gets JSON; fails on an error status.
     pub async fn get<T>(&self, peer: SocketAddr, path: &str) -> anyhow::Result<T>
     where
         T: DeserializeOwned,
@@ -70,7 +70,7 @@
         serde_json::from_slice(&body).with_context(|| format!("GET http://{peer}{path}: JSON"))
     }
 
-    /// Reads text.
+    /// Gets text; fails on an error status.
     pub async fn text(&self, peer: SocketAddr, path: &str) -> anyhow::Result<String> {
         let (status, body) = self.call(Method::GET, peer, path, None).await?;
         if !status.is_success() {
@@ -79,13 +79,13 @@
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
 
-    /// Writes JSON; anything but success is an error.
+    /// Puts JSON and returns the JSON response; fails on an error status.
     pub async fn put(&self, peer: SocketAddr, path: &str, body: &Value) -> anyhow::Result<Value> {
-        let (status, answer) = self.call(Method::PUT, peer, path, Some(body)).await?;
+        let (status, response) = self.call(Method::PUT, peer, path, Some(body)).await?;
         if !status.is_success() {
-            let text = String::from_utf8_lossy(&answer);
+            let text = String::from_utf8_lossy(&response);
             bail!("PUT http://{peer}{path}: status {status}: {text}");
         }
-        Ok(serde_json::from_slice(&answer).unwrap_or(Value::Null))
+        Ok(serde_json::from_slice(&response).unwrap_or(Value::Null))
     }
 }
--- a/crates/standin/src/site/journal.rs
+++ b/crates/standin/src/site/journal.rs
@@ -1,4 +1,4 @@
-//! Compares what callers were told with what the upstreams' journals say was run.
+//! Compares the outcomes reported to callers with the upstreams' journals.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,66 +9,68 @@
 use anyhow::Context;
 
 use crate::{
-    caller::{outcome::Outcome, tally::Attempt},
+    caller::{outcome::Outcome, stats::Attempt},
     upstream::{Entry, Event, read_journal},
 };
 
-const SUFFIX: &str = "journal";
+const EXTENSION: &str = "journal";
 
-/// Requests that broke the promise to run at most once, or were run although the caller was told "not run".
+/// Violations of the at-most-once guarantee found in the journals.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Verdict {
+pub struct JournalCheck {
     /// Keys that ran more than once, with their runs.
-    pub twice: Vec<String>,
-    /// Attempts told "not run" that were run.
-    pub untrue: Vec<String>,
-    /// Runs found in the journals.
+    pub ran_twice: Vec<String>,
+    /// Attempts reported as not run that were run.
+    pub false_not_run: Vec<String>,
+    /// Number of runs in the journals.
     pub runs: usize,
 }
 
-/// Reads all journals of the folder.
+/// Reads all journals in the folder.
 pub fn read(folder: &Path) -> anyhow::Result<Vec<Entry>> {
     let step = || format!("read the journals in {}", folder.display());
     let mut entries = Vec::new();
     for file in fs::read_dir(folder).with_context(step)? {
         let path = file.with_context(step)?.path();
-        if path.extension().is_some_and(|it| it == SUFFIX) {
+        if path.extension().is_some_and(|it| it == EXTENSION) {
             entries.extend(read_journal(&path)?);
         }
     }
     Ok(entries)
 }
 
-/// Judges the attempts of requests that are not idempotent.
-pub fn judge(attempts: &[Attempt], entries: &[Entry]) -> Verdict {
-    let mut verdict = Verdict::default();
+/// Checks the attempts of requests that are not idempotent against the journals.
+pub fn check(attempts: &[Attempt], entries: &[Entry]) -> JournalCheck {
+    let mut result = JournalCheck::default();
     let mut keys: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
     let mut tokens = BTreeSet::new();
     for entry in entries {
         if entry.event != Event::Start || entry.method != "POST" {
             continue;
         }
-        verdict.runs += 1;
+        result.runs += 1;
         tokens.insert(entry.echo.as_str());
-        // A request without a key of its own is told apart by its token.
+        // Requests without a key are identified by token.
         let key = if entry.key.is_empty() { &entry.echo } else { &entry.key };
         keys.entry(key).or_default().push(entry);
     }
     for (key, runs) in keys {
         if runs.len() > 1 {
-            verdict.twice.push(twice(key, &runs));
+            result.ran_twice.push(describe_runs(key, &runs));
         }
     }
     for attempt in attempts {
         if attempt.outcome == Outcome::NotRun && tokens.contains(attempt.token.as_str()) {
             let Attempt { service, key, token, .. } = attempt;
-            verdict.untrue.push(format!("{service}: key {key}, token {token}: told not run"));
+            result
+                .false_not_run
+                .push(format!("{service}: key {key}, token {token}: reported as not run"));
         }
     }
-    verdict
+    result
 }
 
-fn twice(key: &str, runs: &[&Entry]) -> String {
+fn describe_runs(key: &str, runs: &[&Entry]) -> String {
     let mut text = format!("key {key} ran {} times:", runs.len());
     for run in runs {
         let Entry { upstream, at_ms, request, echo, .. } = run;
--- a/crates/standin/src/site/launch.rs
+++ b/crates/standin/src/site/launch.rs
@@ -1,4 +1,4 @@
-//! How each process of a deployment is started.
+//! Builds the command line and environment of each process.
 
 use std::{
     collections::BTreeMap,
@@ -9,7 +9,7 @@
 use super::{
     block::Block,
     deployment::Deployment,
-    fleet::{Fleet, Member, Role},
+    fleet::{Fleet, Instance, Role},
     pki::Authority,
     process::Launch,
 };
@@ -23,12 +23,12 @@
 const ADMIN_PORT: u16 = 6;
 const SERVICE_PORTS: u16 = 10;
 
-/// Name of the platform's process.
+/// Name of the platform process.
 pub const PLATFORM: &str = "platform";
-/// Name of the fabric's process.
+/// Name of the fabric process.
 pub const FABRIC: &str = "fabric";
 
-/// Builds processes, each on a VM with an address of its own.
+/// Builds processes, each on a VM with its own address.
 pub struct Launcher {
     deployment: &'static Deployment,
     authority: Authority,
@@ -38,16 +38,16 @@
     pub platform: SocketAddr,
     /// Admin address of the fabric.
     pub fabric: SocketAddr,
-    /// Addresses of the services, in their order.
+    /// Addresses of the services, in the order of the deployment.
     pub services: Vec<SocketAddr>,
     seed: u64,
-    entries: usize,
-    vms: usize,
-    numbers: BTreeMap<String, usize>,
+    balancer_count: usize,
+    vm_count: usize,
+    upstream_counts: BTreeMap<String, usize>,
 }
 
 impl Launcher {
-    /// A launcher for the deployment, with programs from the folder.
+    /// Creates a launcher for the deployment, with programs from the folder.
     pub fn new(
         deployment: &'static Deployment,
         bin_dir: PathBuf,
@@ -71,25 +71,25 @@
             fabric,
             services,
             seed,
-            entries: 0,
-            vms: 0,
-            numbers: BTreeMap::new(),
+            balancer_count: 0,
+            vm_count: 0,
+            upstream_counts: BTreeMap::new(),
         })
     }
 
-    /// Addresses for callers to send from.
+    /// Allocates addresses for callers to send from.
     pub fn callers(&mut self, count: usize) -> anyhow::Result<Vec<IpAddr>> {
         (0..count).map(|_| self.block.host()).collect()
     }
 
-    /// The platform.
-    pub fn platform(&self) -> Member {
+    /// The platform process.
+    pub fn platform(&self) -> Instance {
         let args = vec!["platform".to_owned(), "--listen".to_owned(), self.platform.to_string()];
         self.standin(PLATFORM, Role::Platform, self.platform, args)
     }
 
-    /// The fabric, with routes to these balancers.
-    pub fn fabric(&self, balancers: &[IpAddr]) -> Member {
+    /// The fabric process, with routes to these balancers.
+    pub fn fabric(&self, balancers: &[IpAddr]) -> Instance {
         let mut args = vec![
             "fabric".to_owned(),
             "--admin".to_owned(),
@@ -107,7 +107,7 @@
         self.standin(FABRIC, Role::Fabric, self.fabric, args)
     }
 
-    /// Where each service's packets go, with these balancers.
+    /// Routes of each service's packets to these balancers.
     pub fn routes(&self, balancers: &[IpAddr]) -> Vec<(SocketAddr, Vec<SocketAddr>)> {
         let mut routes = Vec::new();
         for &service in &self.services {
@@ -117,28 +117,28 @@
         routes
     }
 
-    /// A further balancer.
-    pub fn balancer(&mut self, zone: &str, peers: &[SocketAddr]) -> anyhow::Result<Member> {
-        self.entries += 1;
-        let name = format!("entry-{}", self.entries);
+    /// A new balancer in this zone.
+    pub fn balancer(&mut self, zone: &str, peers: &[SocketAddr]) -> anyhow::Result<Instance> {
+        self.balancer_count += 1;
+        let name = format!("entry-{}", self.balancer_count);
         let vm = format!("vm-{name}");
         let host = self.block.host()?;
         let mut args = vec!["balance".to_owned()];
-        args.extend(self.common(&name, &vm, zone, host));
+        args.extend(self.common_args(&name, &vm, zone, host));
         args.extend(["--bind".to_owned(), "own".to_owned()]);
-        args.extend(["--data".to_owned(), self.at(host, DATA_PORT)]);
+        args.extend(["--data".to_owned(), self.host_port(host, DATA_PORT)]);
         if !peers.is_empty() {
             let list: Vec<String> = peers.iter().map(SocketAddr::to_string).collect();
             args.extend(["--peer".to_owned(), list.join(",")]);
         }
-        Ok(Member {
+        Ok(Instance {
             role: Role::Balancer,
             vm,
             zone: zone.to_owned(),
             host,
             service: None,
             admin: SocketAddr::new(host, self.block.port(OPERATOR_PORT)),
-            launch: self.launch(&name, "camphorwinchd", args, self.identity(&name, host)?),
+            launch: self.launch(&name, "camphorwinchd", args, self.tls_env(&name, host)?),
             process: None,
         })
     }
@@ -148,50 +148,50 @@
         SocketAddr::new(host, self.block.port(CONTROL_PORT))
     }
 
-    /// A further VM with an upstream of the service and its agent.
+    /// A new VM with an upstream of the service and its agent.
     pub fn upstream(
         &mut self,
         service: &str,
         zone: &str,
         peers: &[SocketAddr],
         journals: &Path,
-    ) -> anyhow::Result<[Member; 2]> {
-        self.vms += 1;
-        let number = self.numbers.entry(service.to_owned()).or_default();
+    ) -> anyhow::Result<[Instance; 2]> {
+        self.vm_count += 1;
+        let number = self.upstream_counts.entry(service.to_owned()).or_default();
         *number += 1;
         let agent = format!("{service}-{number}");
         let upstream = format!("{agent}-upstream");
-        let vm = format!("vm-{}", self.vms);
+        let vm = format!("vm-{}", self.vm_count);
         let host = self.block.host()?;
         let journal = journals.join(format!("{agent}.journal"));
-        let mut flags = vec!["agent".to_owned()];
-        flags.extend(self.common(&agent, &vm, zone, host));
+        let mut agent_args = vec!["agent".to_owned()];
+        agent_args.extend(self.common_args(&agent, &vm, zone, host));
         let more = [
             ("--pool", service.to_owned()),
-            ("--data", self.at(host, DATA_PORT)),
-            ("--upstream", self.at(host, UPSTREAM_PORT)),
+            ("--data", self.host_port(host, DATA_PORT)),
+            ("--upstream", self.host_port(host, UPSTREAM_PORT)),
             ("--slots", self.deployment.slots.to_string()),
             ("--connections", self.deployment.connections.to_string()),
             ("--reply", "own".to_owned()),
         ];
-        push(&mut flags, more);
+        push_flags(&mut agent_args, more);
         if !peers.is_empty() {
             let list: Vec<String> = peers.iter().map(SocketAddr::to_string).collect();
-            push(&mut flags, [("--peer", list.join(","))]);
+            push_flags(&mut agent_args, [("--peer", list.join(","))]);
         }
         let mut args = vec!["upstream".to_owned()];
         let more = [
             ("--name", agent.clone()),
             ("--pool", service.to_owned()),
-            ("--listen", self.at(host, UPSTREAM_PORT)),
-            ("--admin", self.at(host, ADMIN_PORT)),
+            ("--listen", self.host_port(host, UPSTREAM_PORT)),
+            ("--admin", self.host_port(host, ADMIN_PORT)),
             ("--slots", self.deployment.slots.to_string()),
             ("--connections", self.deployment.connections.to_string()),
             ("--service", service.to_owned()),
             ("--journal", journal.display().to_string()),
         ];
-        push(&mut args, more);
-        let member = |role, admin, launch| Member {
+        push_flags(&mut args, more);
+        let instance = |role, admin, launch| Instance {
             role,
             vm: vm.clone(),
             zone: zone.to_owned(),
@@ -201,39 +201,39 @@
             launch,
             process: None,
         };
-        let identity = self.identity(&agent, host)?;
+        let env = self.tls_env(&agent, host)?;
         Ok([
-            member(
+            instance(
                 Role::Upstream,
                 ADMIN_PORT,
                 self.launch(&upstream, "camphorwinch-standin", args, Vec::new()),
             ),
-            member(
+            instance(
                 Role::Agent,
                 OPERATOR_PORT,
-                self.launch(&agent, "camphorwinchd", flags, identity),
+                self.launch(&agent, "camphorwinchd", agent_args, env),
             ),
         ])
     }
 
     /// Adds all processes of the deployment to the fleet.
-    pub fn fill(&mut self, fleet: &mut Fleet, balancers: usize) -> anyhow::Result<()> {
+    pub fn add_all(&mut self, fleet: &mut Fleet, balancers: usize) -> anyhow::Result<()> {
         fleet.add(self.platform());
-        let mut entries = Vec::new();
+        let mut instances = Vec::new();
         for number in 0..balancers {
-            entries.push(self.balancer(self.zone(number), &[])?);
+            instances.push(self.balancer(self.zone(number), &[])?);
         }
-        let hosts: Vec<IpAddr> = entries.iter().map(|it| it.host).collect();
+        let hosts: Vec<IpAddr> = instances.iter().map(|it| it.host).collect();
         fleet.add(self.fabric(&hosts));
-        for entry in entries {
-            fleet.add(entry);
+        for instance in instances {
+            fleet.add(instance);
         }
         let folder = fleet.folder().clone();
         for service in self.deployment.services {
             for number in 0..service.upstreams {
                 let zone = self.zone(number);
-                for member in self.upstream(service.name, zone, &[], &folder)? {
-                    fleet.add(member);
+                for instance in self.upstream(service.name, zone, &[], &folder)? {
+                    fleet.add(instance);
                 }
             }
         }
@@ -245,11 +245,11 @@
         zones[number % zones.len()]
     }
 
-    fn at(&self, host: IpAddr, port: u16) -> String {
+    fn host_port(&self, host: IpAddr, port: u16) -> String {
         SocketAddr::new(host, self.block.port(port)).to_string()
     }
 
-    fn common(&self, name: &str, vm: &str, zone: &str, host: IpAddr) -> Vec<String> {
+    fn common_args(&self, name: &str, vm: &str, zone: &str, host: IpAddr) -> Vec<String> {
         let mut args = Vec::new();
         let flags = [
             ("--name", name.to_owned()),
@@ -257,14 +257,14 @@
             ("--zone", zone.to_owned()),
             ("--region", self.deployment.region.to_owned()),
             ("--platform", format!("http://{}", self.platform)),
-            ("--control", self.at(host, CONTROL_PORT)),
-            ("--operator", self.at(host, OPERATOR_PORT)),
+            ("--control", self.host_port(host, CONTROL_PORT)),
+            ("--operator", self.host_port(host, OPERATOR_PORT)),
         ];
-        push(&mut args, flags);
+        push_flags(&mut args, flags);
         args
     }
 
-    fn identity(&self, name: &str, host: IpAddr) -> anyhow::Result<Vec<(String, String)>> {
+    fn tls_env(&self, name: &str, host: IpAddr) -> anyhow::Result<Vec<(String, String)>> {
         let leaf = self.authority.leaf(name, &[host])?;
         Ok(vec![
             ("CAMPHORWINCH_FLEET_CA".to_owned(), self.authority.pem().to_owned()),
@@ -273,8 +273,8 @@
         ])
     }
 
-    fn standin(&self, name: &str, role: Role, address: SocketAddr, args: Vec<String>) -> Member {
-        Member {
+    fn standin(&self, name: &str, role: Role, address: SocketAddr, args: Vec<String>) -> Instance {
+        Instance {
             role,
             vm: name.to_owned(),
             zone: self.zone(0).to_owned(),
@@ -297,7 +297,7 @@
     }
 }
 
-fn push<const N: usize>(args: &mut Vec<String>, flags: [(&str, String); N]) {
+fn push_flags<const N: usize>(args: &mut Vec<String>, flags: [(&str, String); N]) {
     for (name, value) in flags {
         args.push(name.to_owned());
         args.push(value);
--- a/crates/standin/src/site/metrics.rs
+++ b/crates/standin/src/site/metrics.rs
@@ -1,38 +1,38 @@
-//! Reads the metrics that the system's processes export.
+//! Reads metrics exported by the daemons.
 
 use super::{fleet::Fleet, http::Http};
 
-/// Metric with the control traffic of a process.
+/// Metric with the control traffic of a process in bytes.
 pub const CONTROL_BYTES: &str = "camphorwinch_control_bytes_total";
-/// Metric with the invariants found violated by a process.
+/// Metric with the number of invariant violations of a process.
 pub const INVARIANTS: &str = "camphorwinch_invariant_failures_total";
 
-/// A figure of one process at one time.
+/// Metrics of one process at one time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sample {
-    /// Process.
+pub struct ProcessMetrics {
+    /// Name of the process.
     pub name: String,
-    /// Text of its metrics.
+    /// Metrics in text format.
     pub text: String,
 }
 
-/// Metrics of all running processes of the system, and the names of those that did not answer.
-pub async fn read(http: &Http, fleet: &Fleet) -> (Vec<Sample>, Vec<String>) {
+/// Metrics of all running daemons, and the names of those that did not respond.
+pub async fn read(http: &Http, fleet: &Fleet) -> (Vec<ProcessMetrics>, Vec<String>) {
     let mut samples = Vec::new();
-    let mut silent = Vec::new();
-    for (name, member) in fleet.members() {
-        if !member.daemon() || member.process.is_none() {
+    let mut unreachable = Vec::new();
+    for (name, instance) in fleet.instances() {
+        if !instance.is_daemon() || instance.process.is_none() {
             continue;
         }
-        match http.text(member.admin, "/metrics").await {
-            Ok(text) => samples.push(Sample { name: name.to_owned(), text }),
-            Err(_) => silent.push(name.to_owned()),
+        match http.text(instance.admin, "/metrics").await {
+            Ok(text) => samples.push(ProcessMetrics { name: name.to_owned(), text }),
+            Err(_) => unreachable.push(name.to_owned()),
         }
     }
-    (samples, silent)
+    (samples, unreachable)
 }
 
-/// Sum over all labels of a metric; nothing if the text does not have it.
+/// Sum of a metric over all labels; `None` if it is absent.
 pub fn sum(text: &str, metric: &str) -> Option<f64> {
     let mut sum = None;
     for line in text.lines() {
@@ -48,18 +48,18 @@
     sum
 }
 
-/// Mean growth of a metric per process, over the processes found in both readings.
-pub fn growth(before: &[Sample], after: &[Sample], metric: &str) -> f64 {
-    let mut grown = Vec::new();
+/// Mean increase of a metric per process, over the processes in both readings.
+pub fn mean_increase(before: &[ProcessMetrics], after: &[ProcessMetrics], metric: &str) -> f64 {
+    let mut increases = Vec::new();
     for sample in after {
         let Some(old) = before.iter().find(|it| it.name == sample.name) else { continue };
         let old = sum(&old.text, metric).unwrap_or(0.0);
         let new = sum(&sample.text, metric).unwrap_or(0.0);
-        // A process that was started anew counts from 0.
-        grown.push(if new >= old { new - old } else { new });
+        // The counter of a restarted process starts at 0.
+        increases.push(if new >= old { new - old } else { new });
     }
-    if grown.is_empty() {
+    if increases.is_empty() {
         return 0.0;
     }
-    grown.iter().sum::<f64>() / grown.len() as f64
+    increases.iter().sum::<f64>() / increases.len() as f64
 }
--- a/crates/standin/src/site/mod.rs
+++ b/crates/standin/src/site/mod.rs
@@ -1,4 +1,4 @@
-//! A whole deployment as separate processes, with load from callers and a check of every promise from outside.
+//! Runs a whole deployment as separate processes under load and checks its guarantees from outside.
 
 pub mod balance;
 pub mod block;
--- a/crates/standin/src/site/objects.rs
+++ b/crates/standin/src/site/objects.rs
@@ -1,4 +1,4 @@
-//! Writes to the platform's objects, as an operator makes them.
+//! Operator client for the platform's objects.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,10 +12,10 @@
 
 use super::{http::Http, pki::Leaf};
 
-const TRIES: u32 = 80;
-const PAUSE: Duration = Duration::from_millis(250);
+const MAX_TRIES: u32 = 80;
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The platform, as an operator sees it.
+/// Client for the platform's object API.
 #[derive(Clone, Debug)]
 pub struct Objects {
     http: Http,
@@ -23,12 +23,12 @@
 }
 
 impl Objects {
-    /// The platform at this address.
+    /// Creates a client for the platform at this address.
     pub fn new(http: Http, address: SocketAddr) -> Objects {
         Objects { http, address }
     }
 
-    /// Reads an object.
+    /// Reads an object; `None` if it does not exist.
     pub async fn get(&self, kind: Kind, name: &str) -> anyhow::Result<Option<Object>> {
         let path = path(kind, name);
         let (status, body) = self.http.call(Method::GET, self.address, &path, None).await?;
@@ -39,18 +39,18 @@
         }
     }
 
-    /// Reads an object that must exist, through outages.
+    /// Reads an object that must exist; retries during outages.
     pub async fn read(&self, kind: Kind, name: &str) -> anyhow::Result<Object> {
-        for _ in 0..TRIES {
+        for _ in 0..MAX_TRIES {
             if let Ok(Some(object)) = self.get(kind, name).await {
                 return Ok(object);
             }
-            time::sleep(PAUSE).await;
+            time::sleep(RETRY_INTERVAL).await;
         }
-        bail!("read {kind}/{name}: {TRIES} tries")
+        bail!("read {kind}/{name}: failed {MAX_TRIES} times")
     }
 
-    /// Writes an object whatever its version, through conflicts, outages and lost answers.
+    /// Writes an object at any version; retries conflicts, outages and lost responses.
     pub async fn put<S>(&self, kind: Kind, name: &str, spec: &S) -> anyhow::Result<Object>
     where
         S: Serialize,
@@ -58,27 +58,27 @@
         let spec = serde_json::to_value(spec).with_context(|| format!("write {kind}/{name}"))?;
         let writer = mark();
         let mut last = anyhow::anyhow!("not tried");
-        for _ in 0..TRIES {
+        for _ in 0..MAX_TRIES {
             match self.try_put(kind, name, &spec, &writer).await {
                 Ok(object) => return Ok(object),
                 Err(error) => last = error,
             }
-            time::sleep(PAUSE).await;
+            time::sleep(RETRY_INTERVAL).await;
         }
-        Err(last.context(format!("write {kind}/{name}: {TRIES} tries")))
+        Err(last.context(format!("write {kind}/{name}: failed {MAX_TRIES} times")))
     }
 
-    /// Deletes an object whatever its version.
+    /// Deletes an object at any version; retries conflicts and outages.
     pub async fn delete(&self, kind: Kind, name: &str) -> anyhow::Result<()> {
         let mut last = anyhow::anyhow!("not tried");
-        for _ in 0..TRIES {
+        for _ in 0..MAX_TRIES {
             match self.try_delete(kind, name).await {
                 Ok(()) => return Ok(()),
                 Err(error) => last = error,
             }
-            time::sleep(PAUSE).await;
+            time::sleep(RETRY_INTERVAL).await;
         }
-        Err(last.context(format!("delete {kind}/{name}: {TRIES} tries")))
+        Err(last.context(format!("delete {kind}/{name}: failed {MAX_TRIES} times")))
     }
 
     async fn try_put(
@@ -96,8 +96,8 @@
         }
         let version = stored.map_or(0, |it| it.version);
         let body = json!({ "version": version, "writer": writer, "spec": spec });
-        let answer = self.http.put(self.address, &path(kind, name), &body).await?;
-        serde_json::from_value(answer).context("read the written object")
+        let response = self.http.put(self.address, &path(kind, name), &body).await?;
+        serde_json::from_value(response).context("read the written object")
     }
 
     async fn try_delete(&self, kind: Kind, name: &str) -> anyhow::Result<()> {
@@ -113,26 +113,26 @@
     }
 }
 
-/// Fresh keys of a fleet.
+/// Generates the keys of a fleet.
 pub fn keys(rng: &mut StdRng) -> Keys {
     let mut reset = [0; 32];
     rng.fill_bytes(&mut reset);
     Keys { reset, keys: vec![key(rng, 1, KeyUse::Seal)] }
 }
 
-/// A fresh key.
+/// Generates a key.
 pub fn key(rng: &mut StdRng, epoch: u8, usage: KeyUse) -> KeySpec {
     let mut secret = [0; 32];
     rng.fill_bytes(&mut secret);
     KeySpec { epoch, secret, usage }
 }
 
-/// The object of a service's certificate.
+/// Certificate object of a service.
 pub fn certificate(leaf: &Leaf) -> Certificate {
     Certificate { chain_pem: leaf.chain.clone(), key_pem: leaf.key.clone() }
 }
 
-/// Name of the keys' object.
+/// Name of the keys object.
 pub fn keys_name() -> &'static str {
     KEYS_NAME
 }
@@ -142,7 +142,7 @@
     format!("/v1/objects/{kind}/{name}")
 }
 
-/// A new writer's mark.
+/// Generates a writer id.
 pub fn mark() -> String {
     format!("{:032x}", rand::rng().random::<u128>())
 }
--- a/crates/standin/src/site/outcome.rs
+++ b/crates/standin/src/site/outcome.rs
@@ -1,57 +1,57 @@
-//! The result of a run: every figure from what callers and upstreams saw.
+//! Summary of a run, as observed by callers and upstreams.
 
 use serde::Serialize;
 
-/// The last line of a run.
+/// Summary of a run, printed as its last line.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Summary {
     /// Requests sent by callers.
     pub requests: u64,
-    /// Whole answers.
+    /// Complete responses.
     pub whole: u64,
-    /// Refusals that said "not run".
+    /// Requests rejected as not run.
     pub refused_not_run: u64,
-    /// Requests whose outcome is unknown.
+    /// Requests of unknown outcome.
     pub unknown: u64,
-    /// Requests that failed otherwise, with no unplanned death to explain it.
+    /// Failed requests that no injected fault explains.
     pub failed: u64,
     /// Flows established.
     pub flows: u64,
-    /// Flows broken with no unplanned death to explain it.
+    /// Broken flows that no injected fault explains.
     pub broken_flows: u64,
     /// Keys of requests that ran more than once.
     pub ran_twice: u64,
-    /// Keys of requests refused as "not run" that had been run.
+    /// Attempts reported as not run that were run.
     pub false_not_run: u64,
-    /// Answers or requests that met another service.
+    /// Requests or responses that reached the wrong service.
     pub wrong_service: u64,
-    /// Answers that belonged to another request.
+    /// Responses that belonged to another request.
     pub crossed_answers: u64,
-    /// Invariants found violated by the system's processes.
+    /// Invariant violations reported by the daemons.
     pub invariant_failures: u64,
-    /// Highest over mean load of the upstreams of a service, of the worst service.
+    /// Maximum over mean load of the upstreams of a service, for the worst service.
     pub imbalance: f64,
     /// New flows per second.
     pub new_flows_per_s: f64,
-    /// Median latency.
+    /// Median latency in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile of the latency.
+    /// 99th percentile of the latency in milliseconds.
     pub p99_ms: f64,
-    /// Calls that the platform got per second.
+    /// Platform calls per second.
     pub platform_calls_per_s: f64,
-    /// Control traffic per second and process of the system, both directions.
+    /// Control bytes per second and daemon, both directions.
     pub control_bytes_per_s: f64,
-    /// Flows that lived on a VM that died; only in runs with faults.
+    /// Flows lost because their agent was killed; only in runs with faults.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub lost_flows: Option<u64>,
-    /// Faults placed; only in runs with faults.
+    /// Faults injected; only in runs with faults.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub faults: Option<u64>,
 }
 
 impl Summary {
-    /// Names and counts of the broken promises.
-    pub fn broken(&self) -> Vec<(&'static str, u64)> {
+    /// Names and counts of the violated guarantees.
+    pub fn violations(&self) -> Vec<(&'static str, u64)> {
         let counts = [
             ("broken_flows", self.broken_flows),
             ("ran_twice", self.ran_twice),
--- a/crates/standin/src/site/pki.rs
+++ b/crates/standin/src/site/pki.rs
@@ -1,4 +1,4 @@
-//! Certificates for a run: a CA, and leaves for the system's processes and for services.
+//! Certificate authority and certificates for a run.
 
 use std::net::IpAddr;
 
@@ -8,23 +8,23 @@
     KeyUsagePurpose, SanType,
 };
 
-/// A CA that signs for the length of a run.
+/// A certificate authority.
 pub struct Authority {
     issuer: Issuer<'static, KeyPair>,
     pem: String,
 }
 
-/// A certificate with its key, as PEM text.
+/// A certificate and its key in PEM.
 #[derive(Clone)]
 pub struct Leaf {
-    /// Chain.
+    /// Certificate chain.
     pub chain: String,
     /// Private key.
     pub key: String,
 }
 
 impl Authority {
-    /// A new CA.
+    /// Creates a CA with a new key.
     pub fn new(name: &str) -> anyhow::Result<Authority> {
         let mut params = CertificateParams::default();
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -35,12 +35,12 @@
         Ok(Authority { issuer: Issuer::new(params, key), pem })
     }
 
-    /// The CA's certificate as PEM text.
+    /// The CA's certificate in PEM.
     pub fn pem(&self) -> &str {
         &self.pem
     }
 
-    /// A leaf for a process: it serves and connects under this name and these addresses.
+    /// Issues a server and client certificate for this name and these addresses.
     pub fn leaf(&self, name: &str, hosts: &[IpAddr]) -> anyhow::Result<Leaf> {
         let mut params = CertificateParams::new(vec![name.to_owned()])
             .with_context(|| format!("name a certificate {name}"))?;
--- a/crates/standin/src/site/print.rs
+++ b/crates/standin/src/site/print.rs
@@ -1,27 +1,27 @@
-//! What a run prints: progress, a table, and the time line around what went wrong.
+//! Console output of a run: progress, result table, and timeline around the first incident.
 
 use std::time::Duration;
 
 use super::{
-    faults::{Log, Placed},
-    run::Findings,
+    faults::{FaultLog, InjectedFault},
+    run::RunResult,
 };
 use crate::caller::{
     report::Report,
-    tally::{Incident, Tally},
+    stats::{Incident, LoadStats},
 };
 
-const MAX_SHOWN: usize = 20;
-const AROUND: Duration = Duration::from_secs(12);
+const MAX_LINES: usize = 20;
+const TIMELINE_MARGIN: Duration = Duration::from_secs(12);
 
-/// One line on how far the run is.
-pub fn progress(tally: &Tally) {
-    let total = tally.total();
-    let flows = tally.flows();
+/// Prints one progress line.
+pub fn progress(stats: &LoadStats) {
+    let total = stats.total();
+    let flows = stats.flows();
     println!(
         "{:6.1} s: {} flows held, {} opened, {} broken; {} requests, {} whole, {} refused, \
          {} unknown, {} failed",
-        tally.now().as_secs_f64(),
+        stats.now().as_secs_f64(),
         flows.held,
         flows.flows,
         flows.broken,
@@ -33,25 +33,25 @@
     );
 }
 
-/// What the run showed.
-pub fn findings(findings: &Findings, tally: &Tally, log: &Log, seed: u64) {
-    progress(tally);
-    table(&Report::new(tally, tally.now()));
-    for (name, load) in &findings.loads {
+/// Prints the result of a run.
+pub fn result(result: &RunResult, stats: &LoadStats, log: &FaultLog, seed: u64) {
+    progress(stats);
+    request_table(&Report::new(stats, stats.now()));
+    for (name, load) in &result.loads {
         println!("{name:<24} {load:>8.3} slots busy");
     }
-    println!("{} runs of requests that are not idempotent", findings.verdict.runs);
+    println!("{} runs of requests that are not idempotent", result.journal.runs);
     rollouts(&log.rollouts());
-    some("ran twice", &findings.verdict.twice);
-    some("not run, but was", &findings.verdict.untrue);
+    print_lines("ran twice", &result.journal.ran_twice);
+    print_lines("run although reported as not run", &result.journal.false_not_run);
     let incidents: Vec<String> =
-        findings.blame.unexplained.iter().map(Incident::to_string).collect();
-    some("unexplained", &incidents);
-    some("fault", &findings.faults);
-    if let Some(first) = findings.blame.unexplained.first() {
-        timeline(first, tally, log);
+        result.attribution.unexplained.iter().map(Incident::to_string).collect();
+    print_lines("unexplained", &incidents);
+    print_lines("fault", &result.problems);
+    if let Some(first) = result.attribution.unexplained.first() {
+        timeline(first, stats, log);
     }
-    for (name, count) in findings.summary.broken() {
+    for (name, count) in result.summary.violations() {
         println!("BROKEN PROMISE: {name} = {count} (seed {seed})");
     }
 }
@@ -61,41 +61,40 @@
         return;
     };
     println!(
-        "{} changes in force everywhere: {median:.2?} in the median, {worst:.2?} at worst",
+        "{} changes applied everywhere: median {median:.2?}, maximum {worst:.2?}",
         sorted.len()
     );
 }
 
-/// Faults and incidents around the first incident that nothing explains.
-fn timeline(first: &Incident, tally: &Tally, log: &Log) {
-    let (from, to) = (first.at.saturating_sub(AROUND), first.at + AROUND);
-    println!("time line from {:.1} s to {:.1} s:", from.as_secs_f64(), to.as_secs_f64());
+/// Prints faults and incidents around the first unexplained incident.
+fn timeline(first: &Incident, stats: &LoadStats, log: &FaultLog) {
+    let (from, to) = (first.at.saturating_sub(TIMELINE_MARGIN), first.at + TIMELINE_MARGIN);
+    println!("timeline from {:.1} s to {:.1} s:", from.as_secs_f64(), to.as_secs_f64());
     let mut lines: Vec<(Duration, String)> = Vec::new();
-    for placed in log.placed() {
-        let over = placed.until.unwrap_or(Duration::MAX);
-        if placed.at <= to && over >= from {
-            lines.push((placed.at, describe(&placed)));
+    for fault in log.injected() {
+        let end = fault.until.unwrap_or(Duration::MAX);
+        if fault.at <= to && end >= from {
+            lines.push((fault.at, describe(&fault)));
         }
     }
-    for incident in tally.incidents() {
+    for incident in stats.incidents() {
         if incident.at >= from && incident.at <= to {
             lines.push((incident.at, incident.to_string()));
         }
     }
     lines.sort();
-    for (_, line) in lines.iter().take(2 * MAX_SHOWN) {
+    for (_, line) in lines.iter().take(2 * MAX_LINES) {
         println!("  {line}");
     }
 }
 
-fn describe(placed: &Placed) -> String {
-    let at = placed.at.as_secs_f64();
-    let until =
-        placed.until.map_or("the end".to_owned(), |it| format!("{:.3} s", it.as_secs_f64()));
-    format!("{at:.3} s: fault {} {}, until {until}", placed.kind.as_str(), placed.text)
+fn describe(fault: &InjectedFault) -> String {
+    let at = fault.at.as_secs_f64();
+    let until = fault.until.map_or("the end".to_owned(), |it| format!("{:.3} s", it.as_secs_f64()));
+    format!("{at:.3} s: fault {} {}, until {until}", fault.kind.as_str(), fault.text)
 }
 
-fn table(report: &Report) {
+fn request_table(report: &Report) {
     println!(
         "{:<10} {:>9} {:>9} {:>8} {:>8} {:>7} {:>9} {:>9}",
         "kind", "requests", "whole", "refused", "unknown", "failed", "p50 ms", "p99 ms"
@@ -116,17 +115,17 @@
     }
     let flows = report.flows;
     println!(
-        "flows: {} opened, {} at most, {} closed gracefully by the far side, {} refused, \
-         {} not opened, {} broken",
+        "flows: {} opened, {} at most, {} closed gracefully by the peer, {} refused, \
+         {} failed to open, {} broken",
         flows.flows, flows.peak, flows.graceful, flows.refused, flows.unopened, flows.broken
     );
 }
 
-fn some(title: &str, lines: &[String]) {
-    for line in lines.iter().take(MAX_SHOWN) {
+fn print_lines(title: &str, lines: &[String]) {
+    for line in lines.iter().take(MAX_LINES) {
         println!("{title}: {line}");
     }
-    if lines.len() > MAX_SHOWN {
-        println!("{title}: {} more", lines.len() - MAX_SHOWN);
+    if lines.len() > MAX_LINES {
+        println!("{title}: {} more", lines.len() - MAX_LINES);
     }
 }
