--- a/crates/standin/src/site/process.rs
+++ b/crates/standin/src/site/process.rs
@@ -1,4 +1,4 @@
-//! One process of a deployment.
+//! A process of a deployment.
 
 use std::{
     fs::File,
@@ -17,15 +17,15 @@
     time,
 };
 
-/// Longest that a process may take to stop after SIGTERM.
+/// Time limit for a process to exit after SIGTERM.
 pub const STOP_LIMIT: Duration = Duration::from_secs(30);
 
-/// How to start a process.
+/// Command to start a process.
 #[derive(Clone, Debug)]
 pub struct Launch {
     /// Name, unique within the deployment.
     pub name: String,
-    /// Program.
+    /// Path of the program.
     pub program: PathBuf,
     /// Arguments.
     pub args: Vec<String>,
@@ -33,7 +33,7 @@
     pub env: Vec<(String, String)>,
 }
 
-/// A running process; dropping it kills it.
+/// A running process; killed when dropped.
 #[derive(Debug)]
 pub struct Process {
     name: String,
@@ -42,7 +42,7 @@
 }
 
 impl Process {
-    /// Starts the process with its output in a file of the folder.
+    /// Starts the process with its output appended to a log file in the folder.
     pub fn start(launch: &Launch, folder: &Path) -> anyhow::Result<Process> {
         let step = || format!("start {}", launch.name);
         let path = folder.join(format!("{}.log", launch.name));
@@ -53,7 +53,7 @@
             .stdin(Stdio::null())
             .stdout(log.try_clone().with_context(step)?)
             .stderr(log)
-            // Ctrl-C in a terminal goes to the whole group: the processes are to be stopped in order instead.
+            // A separate process group, so that Ctrl-C does not reach the processes before they are stopped in order.
             .process_group(0)
             .kill_on_drop(true)
             .spawn()
@@ -62,7 +62,7 @@
         Ok(Process { name: launch.name.clone(), pid: Pid::from_raw(pid as i32), child })
     }
 
-    /// Name.
+    /// Name of the process.
     pub fn name(&self) -> &str {
         &self.name
     }
@@ -72,40 +72,40 @@
         self.pid.as_raw().unsigned_abs()
     }
 
-    /// Whether it still runs.
+    /// Whether it is running.
     pub fn alive(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Asks it to stop and waits; an error unless it ends in time with status 0.
+    /// Sends SIGTERM and waits for the exit; fails on a timeout or an exit status other than 0.
     pub async fn stop(mut self) -> anyhow::Result<Duration> {
         if let Ok(Some(status)) = self.child.try_wait() {
-            bail!("stop {}: it had already ended with {status}", self.name);
+            bail!("stop {}: already exited with {status}", self.name);
         }
         let start = time::Instant::now();
         self.signal(Signal::SIGTERM)?;
-        let Ok(ended) = time::timeout(STOP_LIMIT, self.child.wait()).await else {
+        let Ok(exited) = time::timeout(STOP_LIMIT, self.child.wait()).await else {
             self.child.start_kill().with_context(|| format!("kill {}", self.name))?;
             bail!("stop {}: still running {STOP_LIMIT:?} after SIGTERM", self.name);
         };
-        let status = ended.with_context(|| format!("stop {}", self.name))?;
+        let status = exited.with_context(|| format!("stop {}", self.name))?;
         if !status.success() {
-            bail!("stop {}: ended with {status}", self.name);
+            bail!("stop {}: exited with {status}", self.name);
         }
         Ok(start.elapsed())
     }
 
-    /// Kills it without notice.
+    /// Kills it with SIGKILL.
     pub async fn kill(mut self) -> anyhow::Result<()> {
         self.child.kill().await.with_context(|| format!("kill {}", self.name))
     }
 
-    /// Stops it from running until [`Process::thaw`].
+    /// Pauses it with SIGSTOP until [`Process::thaw`].
     pub fn freeze(&self) -> anyhow::Result<()> {
         self.signal(Signal::SIGSTOP)
     }
 
-    /// Lets it run again.
+    /// Resumes it with SIGCONT.
     pub fn thaw(&self) -> anyhow::Result<()> {
         self.signal(Signal::SIGCONT)
     }
--- a/crates/standin/src/site/run.rs
+++ b/crates/standin/src/site/run.rs
@@ -1,4 +1,4 @@
-//! Runs a deployment: starts it, drives load, stops it and judges what was seen.
+//! Runs a deployment: starts it, generates load, stops it and checks the results.
 
 use std::{
     collections::BTreeMap,
@@ -18,12 +18,12 @@
 use super::{
     balance,
     deployment::Deployment,
-    faults::{Blame, Injector, Kinds, Log, Plan, blame},
+    faults::{Attribution, FaultKinds, FaultLog, FaultPlan, Injector, attribute_incidents},
     fleet::{Fleet, Role},
     http::Http,
-    journal::{self, Verdict},
+    journal::{self, JournalCheck},
     launch::{Launcher, PLATFORM},
-    metrics::{self, Sample},
+    metrics::{self, ProcessMetrics},
     objects::{self, Objects},
     outcome::Summary,
     pki::Authority,
@@ -33,8 +33,8 @@
 use crate::{
     caller::{
         Target, client,
-        load::{Load, Mix, Share},
-        tally::Tally,
+        load::{Load, Mix, ServiceLoad},
+        stats::LoadStats,
     },
     platform::Counts,
     upstream::Record,
@@ -42,9 +42,9 @@
 
 const CALLER_HOSTS: usize = 16;
 const SPARE_ENDPOINTS: usize = 32;
-/// Deaths come a hundred times as often as at a real site, so that doubts about keys must pass sooner.
+/// Short, since faults are far more frequent than in production.
 pub(super) const KEY_WINDOW_S: u32 = 30;
-const PROGRESS: Duration = Duration::from_secs(5);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Settings of a run.
 #[derive(Clone, Debug)]
@@ -52,75 +52,75 @@
     /// Shape of the deployment.
     pub deployment: &'static Deployment,
     /// Length of the load.
-    pub span: Duration,
-    /// Seed of all random choices.
+    pub load_duration: Duration,
+    /// Seed of the random number generator.
     pub seed: u64,
     /// Number of balancers.
     pub balancers: usize,
-    /// Flows held open for the whole run.
-    pub flows: usize,
+    /// Number of flows held open for the whole run.
+    pub held_flows: usize,
     /// New short flows per second.
-    pub opens: f64,
+    pub new_flows_per_s: f64,
     /// Requests per second on the held flows.
-    pub requests: f64,
+    pub requests_per_s: f64,
     /// Folder with the programs.
     pub bin_dir: PathBuf,
-    /// Faults to place.
-    pub faults: Option<Kinds>,
-    /// Mean time between two faults.
-    pub every: Duration,
+    /// Fault kinds to inject, if any.
+    pub faults: Option<FaultKinds>,
+    /// Mean time between faults.
+    pub fault_interval: Duration,
 }
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Clone, Debug)]
-pub struct Findings {
-    /// Figures.
+pub struct RunResult {
+    /// Figures of the run.
     pub summary: Summary,
-    /// What callers were told against what was run.
-    pub verdict: Verdict,
-    /// What callers saw that no fault explains.
-    pub blame: Blame,
-    /// What went wrong besides, such as a process that did not stop gracefully.
-    pub faults: Vec<String>,
+    /// Reported outcomes compared with the upstreams' journals.
+    pub journal: JournalCheck,
+    /// Incidents by whether a fault explains them.
+    pub attribution: Attribution,
+    /// Other problems, such as a process that did not stop gracefully.
+    pub problems: Vec<String>,
     /// Mean number of busy slots by upstream.
     pub loads: BTreeMap<String, f64>,
 }
 
-impl Findings {
-    /// Whether every promise was kept.
-    pub fn kept(&self) -> bool {
-        self.summary.broken().is_empty() && self.faults.is_empty()
+impl RunResult {
+    /// Whether no guarantee was violated and no other problem occurred.
+    pub fn passed(&self) -> bool {
+        self.summary.violations().is_empty() && self.problems.is_empty()
     }
 }
 
-/// A deployment that runs.
+/// A deployment and its settings.
 struct Site {
     settings: Settings,
     shared: Arc<Shared>,
-    log: Arc<Log>,
+    log: Arc<FaultLog>,
 }
 
-/// Readings of the counters at one time.
-struct Reading {
+/// Counters at one time.
+struct CounterSnapshot {
     at: Instant,
     calls: u64,
     records: BTreeMap<String, Record>,
-    samples: Vec<Sample>,
+    samples: Vec<ProcessMetrics>,
 }
 
-/// Runs the deployment until its time is over or `stop` is cancelled.
-pub async fn run(settings: Settings, stop: CancellationToken) -> anyhow::Result<Findings> {
+/// Runs the deployment until the load ends or `stop` is cancelled.
+pub async fn run(settings: Settings, stop: CancellationToken) -> anyhow::Result<RunResult> {
     let folder = folder()?;
     println!("seed {}, logs and journals in {}", settings.seed, folder.display());
     let site = Site::new(settings, folder.clone())?;
-    let findings = site.run(stop).await?;
-    print::findings(&findings, &site.shared.tally, &site.log, site.settings.seed);
-    if findings.kept() {
+    let result = site.run(stop).await?;
+    print::result(&result, &site.shared.stats, &site.log, site.settings.seed);
+    if result.passed() {
         fs::remove_dir_all(&folder).with_context(|| format!("remove {}", folder.display()))?;
     } else {
-        println!("logs and journals are kept in {}", folder.display());
+        println!("logs and journals kept in {}", folder.display());
     }
-    Ok(findings)
+    Ok(result)
 }
 
 impl Site {
@@ -129,7 +129,7 @@
         let mut launcher =
             Launcher::new(settings.deployment, settings.bin_dir.clone(), settings.seed)?;
         let mut fleet = Fleet::new(folder);
-        launcher.fill(&mut fleet, settings.balancers)?;
+        launcher.add_all(&mut fleet, settings.balancers)?;
         println!("platform at http://{}", launcher.platform);
         let http = Http::new();
         let shared = Shared {
@@ -138,34 +138,34 @@
             objects: Objects::new(http.clone(), launcher.platform),
             launcher: Mutex::new(launcher),
             unrouted: SyncMutex::default(),
-            retired: SyncMutex::default(),
-            ended: SyncMutex::default(),
+            retired_records: SyncMutex::default(),
+            final_metrics: SyncMutex::default(),
             http,
             authority: Authority::new("callers")?,
-            tally: Arc::new(Tally::new()),
+            stats: Arc::new(LoadStats::new()),
         };
-        Ok(Site { settings, shared: Arc::new(shared), log: Arc::new(Log::default()) })
+        Ok(Site { settings, shared: Arc::new(shared), log: Arc::new(FaultLog::default()) })
     }
 
-    async fn run(&self, stop: CancellationToken) -> anyhow::Result<Findings> {
+    async fn run(&self, stop: CancellationToken) -> anyhow::Result<RunResult> {
         self.start().await?;
-        let before = self.read().await?;
+        let before = self.snapshot().await?;
         let load = self.start_load(stop.clone()).await?;
         let injector = self.start_faults(stop);
-        self.watch(load).await?;
+        self.wait_for_load(load).await?;
         injector.await.context("wait for the faults")?;
-        let after = self.read().await?;
-        let mut faults = self.log.broken();
-        for name in self.shared.fleet.lock().await.fallen() {
-            faults.push(format!("{name} ended by itself"));
+        let after = self.snapshot().await?;
+        let mut problems = self.log.violations();
+        for name in self.shared.fleet.lock().await.exited() {
+            problems.push(format!("{name} exited unexpectedly"));
         }
-        faults.extend(self.stop().await);
+        problems.extend(self.stop().await);
         let entries = journal::read(self.shared.fleet.lock().await.folder())?;
-        let verdict = journal::judge(&self.shared.tally.attempts(), &entries);
-        let blame = blame(&self.shared.tally.incidents(), &self.log.placed());
-        let summary = self.summary(&before, &after, &verdict, &blame);
+        let journal = journal::check(&self.shared.stats.attempts(), &entries);
+        let attribution = attribute_incidents(&self.shared.stats.incidents(), &self.log.injected());
+        let summary = self.summary(&before, &after, &journal, &attribution);
         let loads = balance::loads(&before.records, &after.records);
-        Ok(Findings { summary, verdict, blame, faults, loads })
+        Ok(RunResult { summary, journal, attribution, problems, loads })
     }
 
     async fn start(&self) -> anyhow::Result<()> {
@@ -208,60 +208,61 @@
     ) -> anyhow::Result<JoinHandle<anyhow::Result<()>>> {
         let hosts = self.shared.launcher.lock().await.callers(CALLER_HOSTS)?;
         let load = Load {
-            shares: self.shares().await,
-            endpoints: client::endpoints(&hosts, self.settings.flows / 2 + SPARE_ENDPOINTS)?,
+            services: self.service_loads().await,
+            endpoints: client::endpoints(&hosts, self.settings.held_flows / 2 + SPARE_ENDPOINTS)?,
             config: client::config(self.shared.authority.pem())?,
             seed: StdRng::seed_from_u64(self.settings.seed).random(),
-            span: self.settings.span,
+            duration: self.settings.load_duration,
         };
-        Ok(tokio::spawn(load.run(self.shared.tally.clone(), stop)))
+        Ok(tokio::spawn(load.run(self.shared.stats.clone(), stop)))
     }
 
-    async fn shares(&self) -> Vec<Share> {
-        let Settings { deployment, flows, opens, requests, .. } = &self.settings;
+    async fn service_loads(&self) -> Vec<ServiceLoad> {
+        let Settings { deployment, held_flows, new_flows_per_s, requests_per_s, .. } =
+            &self.settings;
         let addresses = self.shared.launcher.lock().await.services.clone();
-        let mut shares = Vec::new();
+        let mut loads = Vec::new();
         for (service, address) in deployment.services.iter().zip(addresses) {
             let name = service.name.to_owned();
-            shares.push(Share {
+            loads.push(ServiceLoad {
                 target: Target { name: name.clone(), address, pool: name },
-                held: (*flows as f64 * service.part).ceil() as usize,
-                rate: requests * service.part,
-                opens: opens * service.part,
-                feeds: service.upstreams * deployment.slots as usize / 2,
+                held_flows: (*held_flows as f64 * service.load_share).ceil() as usize,
+                requests_per_s: requests_per_s * service.load_share,
+                new_flows_per_s: new_flows_per_s * service.load_share,
+                max_feeds: service.upstreams * deployment.slots as usize / 2,
                 mix: Mix::new(service.shares),
             });
         }
-        shares
+        loads
     }
 
     fn start_faults(&self, stop: CancellationToken) -> JoinHandle<()> {
         let Some(kinds) = &self.settings.faults else {
             return tokio::spawn(async {});
         };
-        let plan = Plan {
+        let plan = FaultPlan {
             kinds: kinds.0.clone(),
-            every: self.settings.every,
-            span: self.settings.span,
+            mean_interval: self.settings.fault_interval,
+            load_duration: self.settings.load_duration,
             seed: self.settings.seed,
         };
         let injector = Injector::new(self.shared.clone(), self.log.clone());
         tokio::spawn(injector.run(plan, stop))
     }
 
-    async fn watch(&self, load: JoinHandle<anyhow::Result<()>>) -> anyhow::Result<()> {
+    async fn wait_for_load(&self, load: JoinHandle<anyhow::Result<()>>) -> anyhow::Result<()> {
         tokio::pin!(load);
-        let mut ticks = time::interval(PROGRESS);
-        ticks.tick().await;
+        let mut progress = time::interval(PROGRESS_INTERVAL);
+        progress.tick().await;
         loop {
             tokio::select! {
                 ended = &mut load => return ended.context("wait for the load")?,
-                _ = ticks.tick() => print::progress(&self.shared.tally),
+                _ = progress.tick() => print::progress(&self.shared.stats),
             }
         }
     }
 
-    async fn read(&self) -> anyhow::Result<Reading> {
+    async fn snapshot(&self) -> anyhow::Result<CounterSnapshot> {
         let shared = &self.shared;
         let platform = shared.admin(PLATFORM).await?;
         let counts: Counts = shared.http.get(platform, "/admin/counts").await?;
@@ -271,70 +272,75 @@
             let record = shared.record(&name).await?;
             records.insert(name, record);
         }
-        let (samples, silent) = metrics::read(&shared.http, &*shared.fleet.lock().await).await;
-        ensure!(silent.is_empty(), "read the metrics: no answer from {}", silent.join(", "));
-        Ok(Reading { at: Instant::now(), calls: counts.total, records, samples })
+        let (samples, unreachable) = metrics::read(&shared.http, &*shared.fleet.lock().await).await;
+        ensure!(
+            unreachable.is_empty(),
+            "read the metrics: no response from {}",
+            unreachable.join(", ")
+        );
+        Ok(CounterSnapshot { at: Instant::now(), calls: counts.total, records, samples })
     }
 
     async fn stop(&self) -> Vec<String> {
         let order = [Role::Agent, Role::Balancer, Role::Fabric, Role::Upstream, Role::Platform];
-        let mut faults = Vec::new();
+        let mut problems = Vec::new();
         let mut fleet = self.shared.fleet.lock().await;
         for role in order {
-            let late = tokio::spawn(self.shared.clone().keep_status(fleet.daemons(role)));
+            let dump = tokio::spawn(self.shared.clone().dump_slow_stops(fleet.daemons(role)));
             for error in fleet.stop_all(role).await {
-                faults.push(format!("{error:#}"));
+                problems.push(format!("{error:#}"));
             }
-            late.abort();
+            dump.abort();
         }
-        faults
+        problems
     }
 
     fn summary(
         &self,
-        before: &Reading,
-        after: &Reading,
-        verdict: &Verdict,
-        blame: &Blame,
+        before: &CounterSnapshot,
+        after: &CounterSnapshot,
+        journal: &JournalCheck,
+        attribution: &Attribution,
     ) -> Summary {
-        let tally = &self.shared.tally;
-        let (total, flows, latency) = (tally.total(), tally.flows(), tally.latency_of_all());
+        let stats = &self.shared.stats;
+        let (total, flows, latency) = (stats.total(), stats.flows(), stats.overall_latency());
         let span = after.at.duration_since(before.at).as_secs_f64();
         let loads = balance::loads(&before.records, &after.records);
-        let bytes = metrics::growth(&before.samples, &after.samples, metrics::CONTROL_BYTES);
-        let faulty = self.settings.faults.is_some();
+        let bytes = metrics::mean_increase(&before.samples, &after.samples, metrics::CONTROL_BYTES);
+        let with_faults = self.settings.faults.is_some();
         Summary {
             requests: total.requests,
             whole: total.whole,
             refused_not_run: total.refused,
-            unknown: total.unknown + blame.cut_answers,
-            failed: total.failed - blame.cut_answers,
+            unknown: total.unknown + attribution.truncated_responses,
+            failed: total.failed - attribution.truncated_responses,
             flows: flows.flows,
-            broken_flows: flows.broken - blame.lost_flows,
-            ran_twice: verdict.twice.len() as u64,
-            false_not_run: verdict.untrue.len() as u64,
-            wrong_service: total.strays + self.foreign(after),
+            broken_flows: flows.broken - attribution.lost_flows,
+            ran_twice: journal.ran_twice.len() as u64,
+            false_not_run: journal.false_not_run.len() as u64,
+            wrong_service: total.strays + self.wrong_service_requests(after),
             crossed_answers: total.crossed,
-            invariant_failures: violations(&after.samples) + violations(&self.shared.ended.lock()),
-            imbalance: round(balance::imbalance(&loads, &after.records)),
-            new_flows_per_s: round(flows.flows as f64 / span),
+            invariant_failures: invariant_failures(&after.samples)
+                + invariant_failures(&self.shared.final_metrics.lock()),
+            imbalance: round_to_thousandths(balance::imbalance(&loads, &after.records)),
+            new_flows_per_s: round_to_thousandths(flows.flows as f64 / span),
             p50_ms: latency.p50_ms,
             p99_ms: latency.p99_ms,
-            platform_calls_per_s: round((after.calls - before.calls) as f64 / span),
-            control_bytes_per_s: round(bytes / span),
-            lost_flows: faulty.then_some(blame.lost_flows),
-            faults: faulty.then_some(self.log.placed().len() as u64),
+            platform_calls_per_s: round_to_thousandths((after.calls - before.calls) as f64 / span),
+            control_bytes_per_s: round_to_thousandths(bytes / span),
+            lost_flows: with_faults.then_some(attribution.lost_flows),
+            faults: with_faults.then_some(self.log.injected().len() as u64),
         }
     }
 
-    /// Requests that met an upstream of another service.
-    fn foreign(&self, after: &Reading) -> u64 {
-        let retired = self.shared.retired.lock();
+    /// Requests received by upstreams of another service.
+    fn wrong_service_requests(&self, after: &CounterSnapshot) -> u64 {
+        let retired = self.shared.retired_records.lock();
         after.records.values().chain(retired.iter()).map(|it| it.foreign).sum()
     }
 }
 
-fn violations(samples: &[Sample]) -> u64 {
+fn invariant_failures(samples: &[ProcessMetrics]) -> u64 {
     let mut sum = 0.0;
     for sample in samples {
         sum += metrics::sum(&sample.text, metrics::INVARIANTS).unwrap_or(0.0);
@@ -353,10 +359,10 @@
 fn folder() -> anyhow::Result<PathBuf> {
     let name = format!("camphorwinch-site-{:08x}", rand::rng().random::<u32>());
     let folder = env::temp_dir().join(name);
-    fs::create_dir(&folder).with_context(|| format!("make the folder {}", folder.display()))?;
+    fs::create_dir(&folder).with_context(|| format!("create the folder {}", folder.display()))?;
     Ok(folder)
 }
 
-fn round(figure: f64) -> f64 {
+fn round_to_thousandths(figure: f64) -> f64 {
     (figure * 1_000.0).round() / 1_000.0
 }
--- a/crates/standin/src/site/shared.rs
+++ b/crates/standin/src/site/shared.rs
@@ -1,4 +1,4 @@
-//! What the run and its faults share: the processes, the objects and the counts.
+//! State shared by the run and its fault injector.
 
 use std::{
     collections::BTreeSet,
@@ -21,42 +21,42 @@
     fleet::{Fleet, Role},
     http::Http,
     launch::Launcher,
-    metrics::Sample,
+    metrics::ProcessMetrics,
     objects::Objects,
     pki::Authority,
     process::STOP_LIMIT,
 };
-use crate::{caller::tally::Tally, upstream::Record};
+use crate::{caller::stats::LoadStats, upstream::Record};
 
 const READY_LIMIT: Duration = Duration::from_secs(40);
 const READY_POLL: Duration = Duration::from_millis(100);
 
-/// What the run and its faults share. Locks are taken in the order of the fields and not held over a stop.
+/// State shared by the run and its fault injector. Lock order is field order; no lock is held during a stop.
 pub struct Shared {
     /// Shape of the deployment.
     pub deployment: &'static Deployment,
-    /// Processes.
+    /// Processes of the deployment.
     pub fleet: Mutex<Fleet>,
-    /// Builder of further processes.
+    /// Builder of new processes.
     pub launcher: Mutex<Launcher>,
-    /// Balancers that the fabric leaves out for now.
+    /// Balancers currently excluded from the fabric's routes.
     pub unrouted: SyncMutex<BTreeSet<String>>,
-    /// Last records of upstreams that were replaced.
-    pub retired: SyncMutex<Vec<Record>>,
-    /// Last metrics of processes that were stopped or killed during the run.
-    pub ended: SyncMutex<Vec<Sample>>,
+    /// Last records of replaced upstreams.
+    pub retired_records: SyncMutex<Vec<Record>>,
+    /// Last metrics of processes stopped or killed during the run.
+    pub final_metrics: SyncMutex<Vec<ProcessMetrics>>,
     /// Client for admin and operator addresses.
     pub http: Http,
-    /// Objects of the platform.
+    /// Client for the platform's objects.
     pub objects: Objects,
     /// CA that callers trust.
     pub authority: Authority,
-    /// What callers saw.
-    pub tally: Arc<Tally>,
+    /// Statistics of the callers.
+    pub stats: Arc<LoadStats>,
 }
 
 impl Role {
-    /// Path that answers with success once such a process is ready.
+    /// Path that returns 200 once a process with this role is ready.
     pub fn ready_path(self) -> &'static str {
         match self {
             Role::Platform => "/admin/counts",
@@ -91,21 +91,21 @@
 
     /// Stops a process gracefully.
     pub async fn stop(&self, name: &str) -> anyhow::Result<()> {
-        self.keep_metrics(name).await;
-        let process = self.fleet.lock().await.take(name)?;
+        self.save_metrics(name).await;
+        let process = self.fleet.lock().await.take_process(name)?;
         process.stop().await?;
         Ok(())
     }
 
-    /// Kills a process without notice.
+    /// Kills a process with SIGKILL.
     pub async fn kill(&self, name: &str) -> anyhow::Result<()> {
-        self.keep_metrics(name).await;
-        let process = self.fleet.lock().await.take(name)?;
+        self.save_metrics(name).await;
+        let process = self.fleet.lock().await.take_process(name)?;
         process.kill().await
     }
 
-    /// Tells the fabric which balancers there are.
-    pub async fn route(&self) -> anyhow::Result<()> {
+    /// Sends the current balancers to the fabric as its routes.
+    pub async fn update_routes(&self) -> anyhow::Result<()> {
         let hosts = self.balancers().await?;
         let launcher = self.launcher.lock().await;
         let mut routes = Map::new();
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    /// Record of an upstream.
+    /// Reads the record of an upstream.
     pub async fn record(&self, name: &str) -> anyhow::Result<Record> {
         let address = self.admin(name).await?;
         self.http.get(address, "/record").await
@@ -127,8 +127,8 @@
         Ok(self.fleet.lock().await.get(name)?.admin)
     }
 
-    /// Writes down the state of processes that take long to stop.
-    pub async fn keep_status(self: Arc<Shared>, daemons: Vec<(PathBuf, SocketAddr)>) {
+    /// Writes the status and metrics of processes that are slow to stop into files.
+    pub async fn dump_slow_stops(self: Arc<Shared>, daemons: Vec<(PathBuf, SocketAddr)>) {
         time::sleep(STOP_LIMIT / 2).await;
         for (file, address) in daemons {
             for path in ["/status", "/metrics"] {
@@ -137,20 +137,20 @@
                     continue;
                 };
                 if let Err(error) = writeln!(file, "{text}") {
-                    println!("write the state of {address}: {error}");
+                    println!("write the status of {address}: {error}");
                 }
             }
         }
     }
 
-    /// Keeps the last metrics of a process that is about to end.
-    async fn keep_metrics(&self, name: &str) {
+    /// Saves the metrics of a process before it is stopped.
+    async fn save_metrics(&self, name: &str) {
         let address = match self.fleet.lock().await.get(name) {
-            Ok(member) if member.daemon() => member.admin,
+            Ok(instance) if instance.is_daemon() => instance.admin,
             _ => return,
         };
         if let Ok(text) = self.http.text(address, "/metrics").await {
-            self.ended.lock().push(Sample { name: name.to_owned(), text });
+            self.final_metrics.lock().push(ProcessMetrics { name: name.to_owned(), text });
         }
     }
 
@@ -169,7 +169,7 @@
     async fn wait_ready(&self, name: &str) -> anyhow::Result<()> {
         let start = Instant::now();
         while !self.is_ready(name).await? {
-            ensure!(self.fleet.lock().await.is_alive(name), "start {name}: it ended by itself");
+            ensure!(self.fleet.lock().await.is_alive(name), "start {name}: exited unexpectedly");
             if start.elapsed() > READY_LIMIT {
                 bail!("start {name}: not ready after {READY_LIMIT:?}");
             }
@@ -181,10 +181,10 @@
     async fn is_ready(&self, name: &str) -> anyhow::Result<bool> {
         let (address, path) = {
             let fleet = self.fleet.lock().await;
-            let member = fleet.get(name)?;
-            (member.admin, member.role.ready_path())
+            let instance = fleet.get(name)?;
+            (instance.admin, instance.role.ready_path())
         };
-        let answer = self.http.call(Method::GET, address, path, None).await;
-        Ok(answer.is_ok_and(|it| it.0 == StatusCode::OK))
+        let response = self.http.call(Method::GET, address, path, None).await;
+        Ok(response.is_ok_and(|it| it.0 == StatusCode::OK))
     }
 }
--- a/crates/standin/tests/caller.rs
+++ b/crates/standin/tests/caller.rs
@@ -1,4 +1,4 @@
-//! The caller's verdicts, against a server that answers as it is told.
+//! Tests callers against a server with configurable responses.
 
 mod server;
 
@@ -12,11 +12,11 @@
     answer::{self, Head},
     caller::{
         Target,
-        ask::Ask,
-        flow::{End, Flow, Reply, State},
-        load::{Load, Mix, Share},
-        outcome::{Doubt, Flaw, Outcome},
-        tally::Tally,
+        flow::{Flow, FlowEnd, FlowState, RequestResult},
+        load::{Load, Mix, ServiceLoad},
+        outcome::{FailureReason, Outcome, UnknownReason},
+        request::CallerRequest,
+        stats::LoadStats,
         verify,
     },
 };
@@ -25,142 +25,156 @@
 use server::{Behaviour, Server};
 use tokio_util::sync::CancellationToken;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 async fn open(server: &Server) -> Flow {
     Flow::open(1, &server.endpoint, &server.config, &server.target).await.unwrap()
 }
 
-async fn run(behaviour: Behaviour, ask: &Ask) -> (Reply, State) {
+async fn run(behaviour: Behaviour, request: &CallerRequest) -> (RequestResult, FlowState) {
     let server = Server::start(behaviour);
     let flow = open(&server).await;
-    let reply = flow.run(ask, PATIENCE).await;
+    let result = flow.send(request, TIMEOUT).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
-    (reply, flow.state())
+    (result, flow.state())
 }
 
-fn asks() -> [Ask; 4] {
+fn requests() -> [CallerRequest; 4] {
     let rng = &mut StdRng::seed_from_u64(7);
     [
-        Ask::screen(rng, Duration::ZERO),
-        Ask::feed(rng, Duration::from_millis(10), Duration::from_millis(10)),
-        Ask::upload(rng, Duration::ZERO),
-        Ask::transfer(rng, Duration::from_millis(1)),
+        CallerRequest::screen(rng, Duration::ZERO),
+        CallerRequest::feed(rng, Duration::from_millis(10), Duration::from_millis(10)),
+        CallerRequest::upload(rng, Duration::ZERO),
+        CallerRequest::transfer(rng, Duration::from_millis(1)),
     ]
 }
 
 #[tokio::test]
-async fn whole_answers_of_every_kind() {
-    for ask in asks() {
-        let (reply, state) = run(Behaviour::Whole, &ask).await;
-        assert_eq!((reply.outcome, state), (Outcome::Whole, State::Open), "{:?}", ask.kind);
+async fn complete_responses_of_every_kind_pass() {
+    for request in requests() {
+        let (result, state) = run(Behaviour::Complete, &request).await;
+        assert_eq!(
+            (result.outcome, state),
+            (Outcome::Complete, FlowState::Open),
+            "{:?}",
+            request.kind
+        );
     }
 }
 
 #[tokio::test]
-async fn refusals_and_unknown_outcomes() {
+async fn rejections_and_unknown_outcomes_are_classified() {
     let cases = [
         (Behaviour::NotRun, Outcome::NotRun),
         (Behaviour::Rejected, Outcome::NotRun),
-        (Behaviour::Unknown, Outcome::Unknown(Doubt::Told)),
-        (Behaviour::Plain503, Outcome::Failed(Flaw::Status(503))),
+        (Behaviour::Unknown, Outcome::Unknown(UnknownReason::Reported)),
+        (Behaviour::Plain503, Outcome::Failed(FailureReason::Status(503))),
     ];
-    for ask in asks() {
+    for request in requests() {
         for (behaviour, outcome) in &cases {
-            let (reply, state) = run(*behaviour, &ask).await;
-            assert_eq!(reply.outcome, *outcome, "{behaviour:?} {:?}", ask.kind);
-            assert_eq!(state, State::Open, "{behaviour:?} {:?}", ask.kind);
+            let (result, state) = run(*behaviour, &request).await;
+            assert_eq!(result.outcome, *outcome, "{behaviour:?} {:?}", request.kind);
+            assert_eq!(state, FlowState::Open, "{behaviour:?} {:?}", request.kind);
         }
     }
 }
 
 #[tokio::test]
 async fn retry_after_is_read() {
-    let (reply, _) = run(Behaviour::NotRun, &asks()[0]).await;
-    assert_eq!(reply.wait, Some(Duration::from_secs(1)));
+    let (result, _) = run(Behaviour::NotRun, &requests()[0]).await;
+    assert_eq!(result.retry_after, Some(Duration::from_secs(1)));
 }
 
 #[tokio::test]
-async fn wrong_and_cut_answers_fail() {
-    for ask in asks() {
-        for behaviour in [Behaviour::Cut, Behaviour::Short] {
-            let (reply, _) = run(behaviour, &ask).await;
-            assert!(matches!(reply.outcome, Outcome::Failed(Flaw::Cut(_))), "{reply:?}");
+async fn wrong_and_truncated_responses_fail() {
+    for request in requests() {
+        for behaviour in [Behaviour::Truncated, Behaviour::Short] {
+            let (result, _) = run(behaviour, &request).await;
+            assert!(
+                matches!(result.outcome, Outcome::Failed(FailureReason::Truncated(_))),
+                "{result:?}"
+            );
         }
-        let (reply, _) = run(Behaviour::Crossed, &ask).await;
-        assert!(matches!(reply.outcome, Outcome::Failed(Flaw::Crossed(_))), "{reply:?}");
-        let (reply, _) = run(Behaviour::WrongService, &ask).await;
-        assert!(matches!(reply.outcome, Outcome::Failed(Flaw::WrongService(_))), "{reply:?}");
-        let (reply, _) = run(Behaviour::WrongBody, &ask).await;
-        assert!(matches!(reply.outcome, Outcome::Failed(Flaw::Corrupt(_))), "{reply:?}");
+        let (result, _) = run(Behaviour::WrongRequest, &request).await;
+        assert!(
+            matches!(result.outcome, Outcome::Failed(FailureReason::WrongRequest(_))),
+            "{result:?}"
+        );
+        let (result, _) = run(Behaviour::WrongService, &request).await;
+        assert!(
+            matches!(result.outcome, Outcome::Failed(FailureReason::WrongService(_))),
+            "{result:?}"
+        );
+        let (result, _) = run(Behaviour::WrongBody, &request).await;
+        assert!(matches!(result.outcome, Outcome::Failed(FailureReason::Corrupt(_))), "{result:?}");
     }
 }
 
 #[tokio::test]
 async fn flows_closed_with_a_request_in_progress_are_broken() {
-    for behaviour in [Behaviour::CloseAtOnce, Behaviour::CloseMidway] {
-        let (reply, state) = run(behaviour, &asks()[0]).await;
-        assert_eq!(reply.outcome, Outcome::Unknown(Doubt::FlowLost));
-        assert!(matches!(state, State::Ended(End::Broken(_))), "{behaviour:?} {state:?}");
+    for behaviour in [Behaviour::CloseImmediately, Behaviour::CloseMidway] {
+        let (result, state) = run(behaviour, &requests()[0]).await;
+        assert_eq!(result.outcome, Outcome::Unknown(UnknownReason::FlowLost));
+        assert!(matches!(state, FlowState::Ended(FlowEnd::Broken(_))), "{behaviour:?} {state:?}");
     }
 }
 
 #[tokio::test]
-async fn goaway_lets_requests_finish_and_starts_no_more() {
+async fn after_goaway_requests_finish_and_no_new_ones_start() {
     let server = Server::start(Behaviour::Goaway);
     let flow = open(&server).await;
-    let reply = flow.run(&asks()[0], PATIENCE).await;
-    assert_eq!(reply.outcome, Outcome::Whole);
-    let mut state = flow.watch();
-    let left = state.wait_for(|it| *it != State::Open);
-    tokio::time::timeout(PATIENCE, left).await.unwrap().unwrap();
-    let reply = flow.run(&asks()[1], PATIENCE).await;
-    assert_eq!(reply.outcome, Outcome::Unsent);
+    let result = flow.send(&requests()[0], TIMEOUT).await;
+    assert_eq!(result.outcome, Outcome::Complete);
+    let mut state = flow.subscribe();
+    let changed = state.wait_for(|it| *it != FlowState::Open);
+    tokio::time::timeout(TIMEOUT, changed).await.unwrap().unwrap();
+    let result = flow.send(&requests()[1], TIMEOUT).await;
+    assert_eq!(result.outcome, Outcome::NotSent);
     flow.close();
-    let ended = state.wait_for(|it| matches!(it, State::Ended(_)));
-    let end = tokio::time::timeout(PATIENCE, ended).await.unwrap().unwrap().clone();
-    assert!(matches!(end, State::Ended(End::Caller | End::Graceful)), "{end:?}");
+    let ended = state.wait_for(|it| matches!(it, FlowState::Ended(_)));
+    let end = tokio::time::timeout(TIMEOUT, ended).await.unwrap().unwrap().clone();
+    assert!(matches!(end, FlowState::Ended(FlowEnd::Caller | FlowEnd::Graceful)), "{end:?}");
 }
 
-async fn load(behaviour: Behaviour) -> Arc<Tally> {
+async fn load(behaviour: Behaviour) -> Arc<LoadStats> {
     let server = Server::start(behaviour);
-    let share = Share {
+    let share = ServiceLoad {
         target: server.target.clone(),
-        held: 10,
-        rate: 50.0,
-        opens: 20.0,
-        feeds: 2,
+        held_flows: 10,
+        requests_per_s: 50.0,
+        new_flows_per_s: 20.0,
+        max_feeds: 2,
         mix: Mix::new([0.4, 0.1, 0.2, 0.3]),
     };
     let load = Load {
-        shares: vec![share],
+        services: vec![share],
         endpoints: vec![server.endpoint.clone()],
         config: server.config.clone(),
         seed: 3,
-        span: Duration::from_secs(2),
+        duration: Duration::from_secs(2),
     };
-    let tally = Arc::new(Tally::new());
-    load.run(tally.clone(), CancellationToken::new()).await.unwrap();
-    tally
+    let stats = Arc::new(LoadStats::new());
+    load.run(stats.clone(), CancellationToken::new()).await.unwrap();
+    stats
 }
 
 #[tokio::test]
-async fn a_load_counts_every_request_once() {
-    let tally = load(Behaviour::Whole).await;
-    let total = tally.total();
+async fn load_counts_every_request_once() {
+    let stats = load(Behaviour::Complete).await;
+    let total = stats.total();
     assert!(total.requests > 50, "{total:?}");
-    assert_eq!(total.requests, total.whole, "{:?}", tally.incidents());
-    assert!(tally.flows().flows > 20);
-    assert!(tally.attempts().iter().all(|it| it.outcome == Outcome::Whole));
-    assert!(tally.latency_of_all().p99_ms > 0.0);
+    assert_eq!(total.requests, total.whole, "{:?}", stats.incidents());
+    assert!(stats.flows().flows > 20);
+    assert!(stats.attempts().iter().all(|it| it.outcome == Outcome::Complete));
+    assert!(stats.overall_latency().p99_ms > 0.0);
 }
 
 #[tokio::test]
-async fn a_load_that_is_refused_asks_again_under_the_same_key() {
-    let tally = load(Behaviour::NotRun).await;
-    let total = tally.total();
+async fn rejected_requests_are_retried_with_the_same_key() {
+    let stats = load(Behaviour::NotRun).await;
+    let total = stats.total();
     assert_eq!(total.requests, total.refused);
-    let attempts = tally.attempts();
+    let attempts = stats.attempts();
     let mut tokens = BTreeSet::new();
     let mut keys = BTreeMap::new();
     for attempt in &attempts {
@@ -171,23 +185,23 @@
 }
 
 #[tokio::test]
-async fn a_load_counts_broken_flows() {
-    let tally = load(Behaviour::CloseAtOnce).await;
-    let total = tally.total();
+async fn load_counts_broken_flows() {
+    let stats = load(Behaviour::CloseImmediately).await;
+    let total = stats.total();
     assert_eq!(total.requests, total.unknown + total.failed);
-    assert!(tally.flows().broken > 0);
-    assert!(!tally.incidents().is_empty());
+    assert!(stats.flows().broken > 0);
+    assert!(!stats.incidents().is_empty());
 }
 
 #[test]
-fn a_repeat_may_get_the_answer_of_an_earlier_attempt_under_its_key() {
+fn a_retry_accepts_the_response_of_an_earlier_attempt_with_its_key() {
     let rng = &mut StdRng::seed_from_u64(9);
     let target = Target {
         name: "ledger".into(),
         address: "127.0.0.1:1".parse().unwrap(),
         pool: "ledger".into(),
     };
-    let first = Ask::transfer(rng, Duration::ZERO);
+    let first = CallerRequest::transfer(rng, Duration::ZERO);
     let head = Head {
         pool: "ledger".into(),
         service: "ledger".into(),
@@ -199,11 +213,12 @@
     };
     let body = answer::write(&head, 0);
     let headers = HeaderMap::new();
-    let check = |ask: &Ask| verify::check(ask, &target, &headers, body.as_bytes());
+    let check =
+        |request: &CallerRequest| verify::check(request, &target, &headers, body.as_bytes());
     assert_eq!(check(&first), Ok(()));
-    assert_eq!(check(&first.again(rng)), Ok(()));
-    let stranger = Ask { group: "g".into(), token: "g-1".into(), ..first.clone() };
-    assert!(matches!(check(&stranger), Err(Flaw::Crossed(_))));
-    let keyless = Ask { key: None, ..first }.again(rng);
-    assert!(matches!(check(&keyless), Err(Flaw::Crossed(_))));
+    assert_eq!(check(&first.retry(rng)), Ok(()));
+    let stranger = CallerRequest { token_group: "g".into(), token: "g-1".into(), ..first.clone() };
+    assert!(matches!(check(&stranger), Err(FailureReason::WrongRequest(_))));
+    let keyless = CallerRequest { key: None, ..first }.retry(rng);
+    assert!(matches!(check(&keyless), Err(FailureReason::WrongRequest(_))));
 }
--- a/crates/standin/tests/client/mod.rs
+++ b/crates/standin/tests/client/mod.rs
@@ -1,4 +1,4 @@
-//! A plain HTTP client for the tests: one connection for each call.
+//! HTTP/1.1 client for tests, with one connection per request.
 
 #![allow(dead_code, missing_docs, unreachable_pub)]
 
@@ -59,8 +59,8 @@
         headers: &[(&str, &str)],
         body: Vec<u8>,
     ) -> anyhow::Result<Answer> {
-        let answer = self.open(method, path, headers, body).await?;
-        let (parts, body) = answer.into_parts();
+        let response = self.open(method, path, headers, body).await?;
+        let (parts, body) = response.into_parts();
         let body = body.collect().await.context("read the body")?.to_bytes();
         Ok(Answer { status: parts.status.as_u16(), headers: parts.headers, body })
     }
--- a/crates/standin/tests/process.rs
+++ b/crates/standin/tests/process.rs
@@ -1,4 +1,4 @@
-//! The program itself: its subcommands as processes, SIGTERM, and a journal that outlives a kill.
+//! Tests of the program: subcommands as processes, SIGTERM, and the journal after a kill.
 
 mod client;
 
@@ -21,10 +21,10 @@
     time::{sleep, timeout},
 };
 
-const ANY: &str = "127.0.0.1:0";
-const LONG: Duration = Duration::from_secs(20);
+const ANY_PORT: &str = "127.0.0.1:0";
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Starts a subcommand and waits for the line that tells its addresses.
+/// Starts a subcommand and parses the addresses from its first output line.
 async fn start(args: &[&str]) -> (Child, Vec<SocketAddr>) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_camphorwinch-standin"))
         .args(args)
@@ -34,7 +34,7 @@
         .unwrap();
     let mut line = String::new();
     let mut out = BufReader::new(child.stdout.take().unwrap());
-    timeout(LONG, out.read_line(&mut line)).await.unwrap().unwrap();
+    timeout(TIMEOUT, out.read_line(&mut line)).await.unwrap().unwrap();
     let words = line.split([' ', ',', '\n']);
     (child, words.filter_map(|word| word.parse().ok()).collect())
 }
@@ -45,15 +45,16 @@
 }
 
 async fn exit_code(child: &mut Child) -> Option<i32> {
-    timeout(LONG, child.wait()).await.unwrap().unwrap().code()
+    timeout(TIMEOUT, child.wait()).await.unwrap().unwrap().code()
 }
 
 #[tokio::test]
-async fn a_term_signal_ends_each_with_success() {
-    let upstream = ["upstream", "--listen", ANY, "--admin", ANY, "--name", "u", "--pool", "p"];
+async fn sigterm_stops_each_subcommand_with_success() {
+    let upstream =
+        ["upstream", "--listen", ANY_PORT, "--admin", ANY_PORT, "--name", "u", "--pool", "p"];
     let all: [&[&str]; 3] = [
-        &["platform", "--listen", ANY, "--delay-ms", "1"],
-        &["fabric", "--admin", ANY, "--loss", "0.5"],
+        &["platform", "--listen", ANY_PORT, "--delay-ms", "1"],
+        &["fabric", "--admin", ANY_PORT, "--loss", "0.5"],
         &upstream,
     ];
     for args in all {
@@ -65,9 +66,11 @@
 }
 
 #[tokio::test]
-async fn a_second_term_signal_cuts_no_request() {
-    let (mut child, addrs) =
-        start(&["upstream", "--listen", ANY, "--admin", ANY, "--name", "u", "--pool", "p"]).await;
+async fn a_second_sigterm_aborts_no_request() {
+    let (mut child, addrs) = start(&[
+        "upstream", "--listen", ANY_PORT, "--admin", ANY_PORT, "--name", "u", "--pool", "p",
+    ])
+    .await;
     let (client, admin) = (Client::new(addrs[0]), Client::new(addrs[1]));
     let request = tokio::spawn(async move {
         client.call(Method::POST, "/transfer?work_ms=1000", &[], Vec::new()).await
@@ -82,15 +85,15 @@
 }
 
 #[tokio::test]
-async fn the_journal_outlives_a_kill() {
+async fn the_journal_survives_a_kill() {
     let path = env::temp_dir().join(format!("camphorwinch-kill-{}", process::id()));
     let file = path.to_str().unwrap();
     let (mut child, addrs) = start(&[
         "upstream",
         "--listen",
-        ANY,
+        ANY_PORT,
         "--admin",
-        ANY,
+        ANY_PORT,
         "--name",
         "u",
         "--pool",
@@ -116,19 +119,19 @@
 }
 
 #[tokio::test]
-async fn wrong_settings_are_refused() {
+async fn invalid_settings_are_rejected() {
     for args in [
-        &["platform", "--listen", ANY, "--lost", "2"][..],
+        &["platform", "--listen", ANY_PORT, "--lost", "2"][..],
         &["platform", "--listen", "nowhere"],
-        &["fabric", "--admin", ANY, "--route", "127.0.0.1:1"],
-        &["fabric", "--admin", ANY, "--idle-s", "0"],
+        &["fabric", "--admin", ANY_PORT, "--route", "127.0.0.1:1"],
+        &["fabric", "--admin", ANY_PORT, "--idle-s", "0"],
         &[
-            "upstream", "--listen", ANY, "--admin", ANY, "--name", "u", "--pool", "p", "--slots",
-            "0",
+            "upstream", "--listen", ANY_PORT, "--admin", ANY_PORT, "--name", "u", "--pool", "p",
+            "--slots", "0",
         ],
     ] {
         let program = env!("CARGO_BIN_EXE_camphorwinch-standin");
-        let output = timeout(LONG, Command::new(program).args(args).output()).await;
+        let output = timeout(TIMEOUT, Command::new(program).args(args).output()).await;
         let output = output.unwrap().unwrap();
         assert!(!output.status.success(), "{args:?}");
         assert!(!output.stderr.is_empty(), "{args:?}");
--- a/crates/standin/tests/promises/fencing.rs
+++ b/crates/standin/tests/promises/fencing.rs
@@ -1,5 +1,4 @@
-//! A writer that lost its lease gets no write through: keepers against the platform stand-in over HTTP, with pauses between
-//! a decision and its write, and lost answers.
+//! Fencing: no write of a former lease holder takes effect, with pauses between decision and write, and lost responses.
 
 use camphorwinch_core::lease::{Attempt, Keeper, LEASES, Term};
 use camphorwinch_standin::platform::{Faults, Platform};
@@ -9,28 +8,28 @@
 use crate::client::{Answer, Client};
 
 const WRITERS: usize = 3;
-const TURNS: usize = 150;
+const STEPS: usize = 150;
 const SEEDS: u64 = 10;
 const HISTORY: usize = 4_096;
 
-/// What a writer bases its conditional write on.
+/// Version condition of a writer's write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Base {
-    /// The version that it last read before it decided.
+enum WriteCondition {
+    /// The version read before the decision.
     Decided,
-    /// The version that is stored when the write is sent: as good as no condition.
+    /// The version stored when the write is sent, which fences nothing.
     Current,
 }
 
 struct Writer {
     keeper: Keeper,
-    /// Decided, not sent yet: the process is paused in between.
-    in_hand: Option<Attempt>,
+    /// Decided but not sent: the process is paused in between.
+    pending: Option<Attempt>,
 }
 
 struct Run {
     client: Client,
-    base: Base,
+    condition: WriteCondition,
     now: u64,
     writers: Vec<Writer>,
     rng: StdRng,
@@ -48,8 +47,8 @@
 
 impl Run {
     async fn read(&mut self, writer: usize, number: u8) -> u64 {
-        let answer = self.client.get(&path(number)).await.unwrap();
-        let object = if answer.status == 200 { answer.json() } else { Value::Null };
+        let response = self.client.get(&path(number)).await.unwrap();
+        let object = if response.status == 200 { response.json() } else { Value::Null };
         let version = object["version"].as_u64().unwrap_or(0);
         let keeper = &mut self.writers[writer].keeper;
         keeper.observe(self.now, number, version, term(&object["spec"]));
@@ -64,13 +63,13 @@
             }
         }
         let it = &mut self.writers[writer];
-        it.in_hand = renewal.or_else(|| it.keeper.take(self.now, self.now));
+        it.pending = renewal.or_else(|| it.keeper.take(self.now, self.now));
     }
 
     async fn send(&mut self, writer: usize, attempt: &Attempt) {
-        let version = match self.base {
-            Base::Decided => attempt.base,
-            Base::Current => {
+        let version = match self.condition {
+            WriteCondition::Decided => attempt.base,
+            WriteCondition::Current => {
                 let stored = self.client.get(&path(attempt.number)).await.unwrap();
                 if stored.status == 200 { stored.json()["version"].as_u64().unwrap() } else { 0 }
             }
@@ -84,32 +83,32 @@
                 let version = object["version"].as_u64().unwrap();
                 self.writers[writer].keeper.written(self.now, attempt, version);
             }
-            // A conflict, or an answer that was lost: only a read tells.
+            // A conflict or a lost response: reads the stored state.
             Ok(_) | Err(_) => {
                 self.read(writer, attempt.number).await;
             }
         }
     }
 
-    async fn turn(&mut self) {
+    async fn step(&mut self) {
         let pause = if self.rng.random_bool(0.15) { 15_000 } else { 1_500 };
         self.now += self.rng.random_range(0..pause);
         let writer = self.rng.random_range(0..WRITERS);
-        match self.writers[writer].in_hand.take() {
+        match self.writers[writer].pending.take() {
             Some(attempt) => self.send(writer, &attempt).await,
             None => self.decide(writer).await,
         }
     }
 
-    /// Writes of a term that had ended before, in the whole history of the leases.
+    /// Counts writes of terms that had already ended, over the whole history of the leases.
     async fn late_writes(&self) -> usize {
-        let answer = self.client.get("/v1/watch?since=0&wait=0&kind=lease").await.unwrap();
+        let response = self.client.get("/v1/watch?since=0&wait=0&kind=lease").await.unwrap();
         let mut late = 0;
         for number in 0..LEASES {
             let name = json!(format!("seed-z-{number}"));
             let mut former: Vec<Term> = Vec::new();
             let mut last = Term::default();
-            for event in answer.json()["events"].as_array().unwrap() {
+            for event in response.json()["events"].as_array().unwrap() {
                 let object = &event["object"];
                 if object["name"] != name {
                     continue;
@@ -125,46 +124,46 @@
     }
 }
 
-/// Late writes that got through, of all that were sent.
-async fn run(seed: u64, base: Base) -> (usize, u32) {
+/// Returns the late writes that took effect, and all writes sent.
+async fn run(seed: u64, condition: WriteCondition) -> (usize, u32) {
     let listen = "127.0.0.1:0".parse().unwrap();
     let faults = Faults { lost: 0.1, ..Faults::default() };
     let platform = Platform::start(listen, HISTORY, seed, faults).await.unwrap();
     let keeper = |it: usize| Keeper::new(&format!("b{it}"));
     let mut run = Run {
         client: Client::new(platform.addr()),
-        base,
+        condition,
         now: 1_000,
-        writers: (0..WRITERS).map(|it| Writer { keeper: keeper(it), in_hand: None }).collect(),
+        writers: (0..WRITERS).map(|it| Writer { keeper: keeper(it), pending: None }).collect(),
         rng: StdRng::seed_from_u64(seed),
         sent: 0,
     };
-    for _ in 0..TURNS {
-        run.turn().await;
+    for _ in 0..STEPS {
+        run.step().await;
     }
     run.client.put("/admin/faults", &json!({})).await.unwrap();
     (run.late_writes().await, run.sent)
 }
 
 #[tokio::test]
-async fn a_former_holder_gets_no_write_through() {
+async fn no_write_of_a_former_holder_takes_effect() {
     let mut writes = 0;
     for seed in 0..SEEDS {
-        let (late, sent) = run(seed, Base::Decided).await;
+        let (late, sent) = run(seed, WriteCondition::Decided).await;
         assert_eq!(late, 0, "seed {seed}");
         writes += sent;
     }
-    println!("{writes} writes, none of a former holder took effect");
-    assert!(writes > 300, "{writes} writes prove little");
+    println!("{writes} writes, none by a former holder took effect");
+    assert!(writes > 300, "only {writes} writes were sent");
 }
 
-/// The test above would notice: writers that base their write on whatever is stored are not fenced.
+/// Shows that the check detects late writes: without fencing, some take effect.
 #[tokio::test]
-async fn without_fencing_a_former_holder_is_caught() {
+async fn without_fencing_late_writes_are_detected() {
     let mut late = 0;
     for seed in 0..SEEDS {
-        late += run(seed, Base::Current).await.0;
+        late += run(seed, WriteCondition::Current).await.0;
     }
-    println!("{late} writes of former holders took effect");
+    println!("{late} writes by former holders took effect");
     assert!(late > 0);
 }
--- a/crates/standin/tests/promises/main.rs
+++ b/crates/standin/tests/promises/main.rs
@@ -1,4 +1,4 @@
-//! Promises proved against the stand-ins.
+//! Tests of guarantees against the emulators.
 
 #[path = "../client/mod.rs"]
 mod client;
--- a/crates/standin/tests/server/mod.rs
+++ b/crates/standin/tests/server/mod.rs
@@ -1,4 +1,4 @@
-//! An HTTP/3 server that answers as it is told, in place of the system.
+//! HTTP/3 server with configurable behaviour, in place of the load balancer.
 
 #![allow(missing_docs, unreachable_pub)]
 
@@ -19,25 +19,25 @@
 use quinn::{ClientConfig, Endpoint, ServerConfig, crypto::rustls::QuicServerConfig};
 use rustls_pki_types::{CertificateDer, PrivateKeyDer, pem::PemObject};
 
-/// How the server answers.
+/// Behaviour of the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    Whole,
+    Complete,
     NotRun,
     Rejected,
     Unknown,
     Plain503,
-    Cut,
+    Truncated,
     Short,
-    Crossed,
+    WrongRequest,
     WrongService,
     WrongBody,
-    CloseAtOnce,
+    CloseImmediately,
     CloseMidway,
     Goaway,
 }
 
-/// A server on a free port, and what a caller needs to reach it.
+/// A running server on a free port, and a client's settings to reach it.
 pub struct Server {
     pub target: Target,
     pub config: ClientConfig,
@@ -113,12 +113,16 @@
             stream.stop_sending(Code::H3_REQUEST_REJECTED);
             return;
         }
-        Behaviour::CloseAtOnce => return conn.close(0x101_u32.into(), b"gone"),
+        Behaviour::CloseImmediately => return conn.close(0x101_u32.into(), b"gone"),
         Behaviour::NotRun => {
-            return refuse(stream, StatusCode::SERVICE_UNAVAILABLE, "not-run").await;
+            return respond_error(stream, StatusCode::SERVICE_UNAVAILABLE, "not-run").await;
+        }
+        Behaviour::Unknown => {
+            return respond_error(stream, StatusCode::BAD_GATEWAY, "unknown").await;
+        }
+        Behaviour::Plain503 => {
+            return respond_error(stream, StatusCode::SERVICE_UNAVAILABLE, "").await;
         }
-        Behaviour::Unknown => return refuse(stream, StatusCode::BAD_GATEWAY, "unknown").await,
-        Behaviour::Plain503 => return refuse(stream, StatusCode::SERVICE_UNAVAILABLE, "").await,
         _ => {}
     }
     let mut body = Vec::new();
@@ -127,13 +131,13 @@
         data.copy_to_slice(&mut bytes);
         body.extend(bytes);
     }
-    tokio::time::sleep(work(&request)).await;
-    let text = text(&request, &body, behaviour);
+    tokio::time::sleep(work_time(&request)).await;
+    let text = response_text(&request, &body, behaviour);
     let bytes = Bytes::from(text);
     let head = Response::builder().header("content-length", bytes.len());
     stream.send_response(head.body(()).unwrap()).await.unwrap();
     match behaviour {
-        Behaviour::Cut => {
+        Behaviour::Truncated => {
             stream.send_data(bytes.slice(..10)).await.unwrap();
             stream.stop_stream(Code::H3_INTERNAL_ERROR);
         }
@@ -153,7 +157,7 @@
     }
 }
 
-async fn refuse(mut stream: Stream, status: StatusCode, outcome: &str) {
+async fn respond_error(mut stream: Stream, status: StatusCode, outcome: &str) {
     let mut head = Response::builder().status(status).header("retry-after", "1");
     if !outcome.is_empty() {
         head = head.header("camphorwinch-outcome", outcome);
@@ -162,13 +166,13 @@
     stream.finish().await.unwrap();
 }
 
-fn work(request: &Request<()>) -> Duration {
+fn work_time(request: &Request<()>) -> Duration {
     let query = request.uri().query().unwrap_or_default();
     let work = query.split('&').find_map(|it| it.strip_prefix("work_ms="));
     Duration::from_millis(work.map_or(0, |it| it.parse().unwrap()))
 }
 
-fn text(request: &Request<()>, body: &[u8], behaviour: Behaviour) -> String {
+fn response_text(request: &Request<()>, body: &[u8], behaviour: Behaviour) -> String {
     let query = request.uri().query().unwrap_or_default();
     let echo = query.split('&').find_map(|it| it.strip_prefix("echo=")).unwrap_or_default();
     let key = request.headers().get("idempotency-key").map(|it| it.to_str().unwrap());
@@ -183,7 +187,7 @@
         ..Head::default()
     };
     match behaviour {
-        Behaviour::Crossed => head.echo = "another".into(),
+        Behaviour::WrongRequest => head.echo = "another".into(),
         Behaviour::WrongService => head.service = "intake".into(),
         Behaviour::WrongBody => head.size += 1,
         _ => {}
--- a/crates/standin/tests/site.rs
+++ b/crates/standin/tests/site.rs
@@ -1,18 +1,18 @@
-//! The parts of the site: what it concludes from what callers and upstreams saw, and how it handles processes.
+//! Unit tests of the site: checks of what callers and upstreams observed, and process handling.
 
 use std::{collections::BTreeMap, path::PathBuf, time::Duration};
 
 use camphorwinch_standin::{
     caller::{
-        ask::Kind as Ask,
-        outcome::{Doubt, Flaw, Outcome},
-        tally::{Attempt, Incident, What},
+        outcome::{FailureReason, Outcome, UnknownReason},
+        request::RequestKind,
+        stats::{Attempt, Incident, IncidentKind},
     },
     site::{
         balance,
         block::Block,
-        faults::{Kind, Kinds, Placed, blame},
-        fleet::{Fleet, Member, Role},
+        faults::{FaultKind, FaultKinds, InjectedFault, attribute_incidents},
+        fleet::{Fleet, Instance, Role},
         journal, metrics,
         outcome::Summary,
         process::Launch,
@@ -39,19 +39,19 @@
 }
 
 #[test]
-fn a_key_that_ran_at_two_upstreams_ran_twice() {
+fn a_key_run_by_two_upstreams_counts_as_run_twice() {
     let entries = [start("k", "a", "ledger-1"), start("k", "b", "ledger-2"), start("l", "c", "x")];
-    let verdict = journal::judge(&[], &entries);
-    assert_eq!((verdict.twice.len(), verdict.runs), (1, 3));
-    assert!(verdict.twice[0].contains("key k ran 2 times"), "{:?}", verdict.twice);
+    let result = journal::check(&[], &entries);
+    assert_eq!((result.ran_twice.len(), result.runs), (1, 3));
+    assert!(result.ran_twice[0].contains("key k ran 2 times"), "{:?}", result.ran_twice);
 }
 
 #[test]
-fn requests_without_a_key_are_told_apart_by_token() {
+fn requests_without_a_key_are_identified_by_token() {
     let once = [start("", "a", "ledger-1"), start("", "b", "ledger-1")];
-    assert!(journal::judge(&[], &once).twice.is_empty());
+    assert!(journal::check(&[], &once).ran_twice.is_empty());
     let twice = [start("", "a", "ledger-1"), start("", "a", "ledger-2")];
-    assert_eq!(journal::judge(&[], &twice).twice.len(), 1);
+    assert_eq!(journal::check(&[], &twice).ran_twice.len(), 1);
 }
 
 #[test]
@@ -60,22 +60,22 @@
     finish.event = Event::Finish;
     let mut upload = start("k", "a", "ledger-1");
     upload.method = "PUT".into();
-    let verdict = journal::judge(&[], &[start("k", "a", "ledger-1"), finish, upload]);
-    assert_eq!((verdict.twice.len(), verdict.runs), (0, 1));
+    let result = journal::check(&[], &[start("k", "a", "ledger-1"), finish, upload]);
+    assert_eq!((result.ran_twice.len(), result.runs), (0, 1));
 }
 
 #[test]
-fn not_run_is_untrue_for_the_attempt_that_ran() {
+fn not_run_is_false_only_for_the_attempt_that_ran() {
     let entries = [start("k", "a", "ledger-1"), start("l", "d", "ledger-1")];
     let attempts = [
         attempt("k", "a", Outcome::NotRun),
         attempt("k", "b", Outcome::NotRun),
         attempt("l", "c", Outcome::NotRun),
-        attempt("l", "d", Outcome::Unknown(Doubt::FlowLost)),
+        attempt("l", "d", Outcome::Unknown(UnknownReason::FlowLost)),
     ];
-    let verdict = journal::judge(&attempts, &entries);
-    assert_eq!(verdict.untrue.len(), 1);
-    assert!(verdict.untrue[0].contains("token a"), "{:?}", verdict.untrue);
+    let result = journal::check(&attempts, &entries);
+    assert_eq!(result.false_not_run.len(), 1);
+    assert!(result.false_not_run[0].contains("token a"), "{:?}", result.false_not_run);
 }
 
 fn record(pool: &str, busy_ms: f64, uptime_ms: u64) -> Record {
@@ -108,21 +108,21 @@
 }
 
 #[test]
-fn growth_is_a_mean_over_processes_and_survives_a_restart() {
-    let sample = |name: &str, value: u32| metrics::Sample {
+fn mean_increase_covers_processes_in_both_readings_and_restarts() {
+    let sample = |name: &str, value: u32| metrics::ProcessMetrics {
         name: name.to_owned(),
         text: format!("m{{direction=\"in\"}} {value}\n"),
     };
     let before = [sample("a", 10), sample("b", 50)];
     let after = [sample("a", 30), sample("b", 4), sample("new", 1_000)];
-    assert_eq!(metrics::growth(&before, &after, "m"), 12.0);
+    assert_eq!(metrics::mean_increase(&before, &after, "m"), 12.0);
 }
 
-fn incident(what: What, agent: Option<&str>, since: u64, at: u64) -> Incident {
+fn incident(kind: IncidentKind, agent: Option<&str>, started_at: u64, at: u64) -> Incident {
     Incident {
         at: Duration::from_secs(at),
-        since: Duration::from_secs(since),
-        what,
+        started_at: Duration::from_secs(started_at),
+        kind,
         service: "ledger".into(),
         flow: 1,
         agent: agent.map(str::to_owned),
@@ -131,49 +131,53 @@
     }
 }
 
-fn kill(agent: &str, at: u64) -> Placed {
-    Placed {
-        kind: Kind::Kill,
+fn kill(agent: &str, at: u64) -> InjectedFault {
+    InjectedFault {
+        kind: FaultKind::Kill,
         at: Duration::from_secs(at),
         until: Some(Duration::from_secs(at + 1)),
         text: String::new(),
         killed: vec![agent.into()],
-        cut: vec![agent.into()],
+        truncating: vec![agent.into()],
     }
 }
 
 #[test]
-fn only_flows_on_a_dead_vm_are_lost() {
-    let placed = [kill("ledger-1", 10)];
+fn only_flows_of_a_killed_agent_are_lost() {
+    let injected = [kill("ledger-1", 10)];
     let incidents = [
-        incident(What::BrokenFlow, Some("ledger-1"), 5, 11),
-        incident(What::BrokenFlow, None, 5, 11),
-        incident(What::BrokenFlow, Some("ledger-2"), 5, 11),
-        incident(What::BrokenFlow, Some("ledger-1"), 5, 9),
-        incident(What::BrokenFlow, Some("ledger-1"), 12, 13),
+        incident(IncidentKind::BrokenFlow, Some("ledger-1"), 5, 11),
+        incident(IncidentKind::BrokenFlow, None, 5, 11),
+        incident(IncidentKind::BrokenFlow, Some("ledger-2"), 5, 11),
+        incident(IncidentKind::BrokenFlow, Some("ledger-1"), 5, 9),
+        incident(IncidentKind::BrokenFlow, Some("ledger-1"), 12, 13),
     ];
-    let found = blame(&incidents, &placed);
+    let found = attribute_incidents(&incidents, &injected);
     assert_eq!((found.lost_flows, found.unexplained.len()), (2, 3));
 }
 
 #[test]
-fn only_cut_answers_are_explained_by_an_upstream_that_cuts() {
-    let placed = [kill("ledger-1", 10)];
-    let cut = What::Failed(Ask::Feed, Flaw::Cut("reset".into()));
-    let crossed = What::Failed(Ask::Feed, Flaw::Crossed("token".into()));
+fn only_truncated_responses_are_explained_by_a_killed_upstream() {
+    let injected = [kill("ledger-1", 10)];
+    let truncated =
+        IncidentKind::Failed(RequestKind::Feed, FailureReason::Truncated("reset".into()));
+    let wrong_request =
+        IncidentKind::Failed(RequestKind::Feed, FailureReason::WrongRequest("token".into()));
     let incidents = [
-        incident(cut.clone(), Some("ledger-1"), 9, 11),
-        incident(cut.clone(), Some("ledger-2"), 9, 11),
-        incident(cut, Some("ledger-1"), 12, 13),
-        incident(crossed, Some("ledger-1"), 9, 11),
+        incident(truncated.clone(), Some("ledger-1"), 9, 11),
+        incident(truncated.clone(), Some("ledger-2"), 9, 11),
+        incident(truncated, Some("ledger-1"), 12, 13),
+        incident(wrong_request, Some("ledger-1"), 9, 11),
     ];
-    let found = blame(&incidents, &placed);
-    assert_eq!((found.cut_answers, found.unexplained.len()), (1, 3));
+    let found = attribute_incidents(&incidents, &injected);
+    assert_eq!((found.truncated_responses, found.unexplained.len()), (1, 3));
 }
 
 #[test]
-fn every_broken_promise_is_named() {
-    assert!(Summary { unknown: 3, refused_not_run: 2, ..Summary::default() }.broken().is_empty());
+fn every_violated_guarantee_is_named() {
+    assert!(
+        Summary { unknown: 3, refused_not_run: 2, ..Summary::default() }.violations().is_empty()
+    );
     let summary = Summary {
         broken_flows: 1,
         ran_twice: 1,
@@ -184,14 +188,14 @@
         failed: 1,
         ..Summary::default()
     };
-    assert_eq!(summary.broken().len(), 7);
+    assert_eq!(summary.violations().len(), 7);
 }
 
 #[test]
-fn kinds_of_faults_are_read() {
-    assert_eq!("all".parse::<Kinds>().unwrap().0.len(), Kind::ALL.len());
-    assert_eq!("kill,lie".parse::<Kinds>().unwrap().0, [Kind::Kill, Kind::Lie]);
-    assert!("kill,flood".parse::<Kinds>().unwrap_err().contains("flood"));
+fn fault_kinds_are_parsed() {
+    assert_eq!("all".parse::<FaultKinds>().unwrap().0.len(), FaultKind::ALL.len());
+    assert_eq!("kill,lie".parse::<FaultKinds>().unwrap().0, [FaultKind::Kill, FaultKind::Lie]);
+    assert!("kill,flood".parse::<FaultKinds>().unwrap_err().contains("flood"));
 }
 
 fn fleet() -> (Fleet, Block, PathBuf) {
@@ -200,10 +204,10 @@
     (Fleet::new(folder.clone()), Block::new().unwrap(), folder)
 }
 
-fn member(block: &mut Block, name: &str, program: &str) -> Member {
+fn instance(block: &mut Block, name: &str, program: &str) -> Instance {
     let host = block.host().unwrap();
     let admin = std::net::SocketAddr::new(host, block.port(0));
-    Member {
+    Instance {
         role: Role::Platform,
         vm: name.into(),
         zone: "a".into(),
@@ -225,7 +229,7 @@
     let program = env!("CARGO_BIN_EXE_camphorwinch-standin");
     let (mut fleet, mut block, folder) = fleet();
     for name in ["a", "b"] {
-        fleet.add(member(&mut block, name, program));
+        fleet.add(instance(&mut block, name, program));
     }
     fleet.start_all(Role::Platform).unwrap();
     for name in ["a", "b"] {
@@ -233,26 +237,26 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
-    assert!(fleet.start("a").is_err(), "it runs already");
+    assert!(fleet.start("a").is_err(), "already running");
     fleet.process("a").unwrap().freeze().unwrap();
     fleet.process("a").unwrap().thaw().unwrap();
-    fleet.take("a").unwrap().stop().await.unwrap();
-    assert!(fleet.take("a").is_err());
-    assert!(fleet.is_alive("b") && fleet.fallen().is_empty());
-    fleet.take("b").unwrap().kill().await.unwrap();
+    fleet.take_process("a").unwrap().stop().await.unwrap();
+    assert!(fleet.take_process("a").is_err());
+    assert!(fleet.is_alive("b") && fleet.exited().is_empty());
+    fleet.take_process("b").unwrap().kill().await.unwrap();
     assert!(!fleet.is_alive("b"));
     std::fs::remove_dir_all(folder).unwrap();
 }
 
 #[tokio::test]
-async fn a_process_that_ends_by_itself_is_found() {
+async fn a_process_that_exits_unexpectedly_is_reported() {
     let (mut fleet, mut block, folder) = fleet();
-    fleet.add(member(&mut block, "a", "/bin/false"));
+    fleet.add(instance(&mut block, "a", "/bin/false"));
     fleet.start("a").unwrap();
     while fleet.is_alive("a") {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    assert_eq!(fleet.fallen(), ["a"]);
-    assert!(fleet.take("a").unwrap().stop().await.is_err());
+    assert_eq!(fleet.exited(), ["a"]);
+    assert!(fleet.take_process("a").unwrap().stop().await.is_err());
     std::fs::remove_dir_all(folder).unwrap();
 }
