--- a/crates/standin/src/caller/client.rs
+++ b/crates/standin/src/caller/client.rs
@@ -14,7 +14,7 @@
 use rustls_pki_types::{CertificateDer, pem::PemObject};
 
 const IDLE_TIMEOUT_MS: u32 = 20_000;
-/// Keeps a caller that waits for a response sending, so that it detects the loss of its agent.
+/// Lets a caller that only waits for a response detect the loss of its agent.
 const KEEP_ALIVE: Duration = Duration::from_secs(5);
 const ALPN: &[u8] = b"h3";
 
--- a/crates/standin/src/caller/load.rs
+++ b/crates/standin/src/caller/load.rs
@@ -36,23 +36,23 @@
 const BURST_SIZE: std::ops::Range<usize> = 2..5;
 const REQUESTS_PER_SHORT_FLOW: std::ops::Range<u32> = 1..4;
 
-/// Weights of the request kinds.
+/// Shares of the request kinds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Mix {
-    /// Weight of screens.
+    /// Share of screens.
     pub screen: f64,
-    /// Weight of feeds.
+    /// Share of feeds.
     pub feed: f64,
-    /// Weight of uploads.
+    /// Share of uploads.
     pub upload: f64,
-    /// Weight of transfers.
+    /// Share of transfers.
     pub transfer: f64,
 }
 
 impl FromStr for Mix {
     type Err = String;
 
-    /// Parses `screen=0.5,transfer=0.5`; kinds not given have weight 0.
+    /// Parses `screen=0.5,transfer=0.5`; kinds not given have share 0.
     fn from_str(s: &str) -> Result<Mix, String> {
         let mut mix = Mix::new([0.0; 4]);
         for part in s.split(',') {
@@ -74,7 +74,7 @@
 }
 
 impl Mix {
-    /// Fails if a weight is negative or not finite, or if all are 0.
+    /// Fails if a share is negative or not finite, or if all are 0.
     pub fn check(&self) -> anyhow::Result<()> {
         let shares = [self.screen, self.feed, self.upload, self.transfer];
         let valid = shares.iter().all(|it| it.is_finite() && *it >= 0.0);
@@ -85,7 +85,7 @@
         Ok(())
     }
 
-    /// Creates a mix from weights in the order of the fields.
+    /// Creates a mix from shares in the order of the fields.
     pub fn new(shares: [f64; 4]) -> Mix {
         let [screen, feed, upload, transfer] = shares;
         Mix { screen, feed, upload, transfer }
--- a/crates/standin/src/cmd/caller.rs
+++ b/crates/standin/src/cmd/caller.rs
@@ -53,7 +53,7 @@
     /// Maximum number of concurrent feeds per service
     #[bpaf(argument("N"), fallback(8))]
     feeds: usize,
-    /// Proportions of request kinds, such as screen=0.6,feed=0.1,upload=0.1,transfer=0.2
+    /// Shares of request kinds, such as screen=0.6,feed=0.1,upload=0.1,transfer=0.2
     #[bpaf(argument("MIX"), fallback(Mix::new([0.6, 0.1, 0.1, 0.2])))]
     mix: Mix,
     /// Length of the run in seconds
--- a/crates/standin/src/cmd/capacity.rs
+++ b/crates/standin/src/cmd/capacity.rs
@@ -24,8 +24,8 @@
 /// Measure cost against size and extrapolate to the design size
 ///
 /// Starts processes on loopback addresses, at five or more sizes of each axis, and measures the decision crate at
-/// larger sizes. Writes points.csv, slopes.csv, totals.csv, tables.md and a plot of each series into the folder. Needs a
-/// release build of the whole workspace, up to 170 processes, 2 GB and 13 minutes, or 6 minutes with --quick.
+/// larger sizes. Writes points.csv, slopes.csv, totals.csv, tables.md and a plot of each series into the folder. Needs
+/// a release build of the whole workspace, up to 170 processes, 2 GB and 13 minutes, or 6 minutes with --quick.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(command)]
 pub struct Capacity {
--- a/crates/standin/src/cmd/fabric.rs
+++ b/crates/standin/src/cmd/fabric.rs
@@ -21,7 +21,8 @@
 ///
 ///
 /// Forwards every datagram for a service's address to one of its balancers, chosen at random. Each caller has a socket
-/// of its own on the fabric's IP; datagrams received there, from any sender, go to the caller from the service's address.
+/// of its own on the fabric's IP; datagrams received there, from any sender, go to the caller from the service's
+/// address.
 ///
 ///
 /// Admin API: PUT /routes with {"SERVICE":["BALANCER",...],...} replaces all routes, PUT /faults takes a JSON object
--- a/crates/standin/src/cmd/upstream.rs
+++ b/crates/standin/src/cmd/upstream.rs
@@ -15,9 +15,9 @@
 ///
 /// GET /screen?size=N returns a small page; GET /feed?ms=N&every=MS streams numbered lines, until closed if ms is not
 /// given; PUT /upload counts and hashes its body; POST /transfer is not idempotent. All accept work_ms=N and
-/// echo=TOKEN. A page or a transfer holds a slot during its work; an upload reads its body without a slot and then takes
-/// one for its work; a feed needs none. GET /load returns slots, busy, connections and state. A rejected request was not
-/// started: 503 with camphorwinch-not-run: true. A request whose deadline expires during its work gets 504.
+/// echo=TOKEN. A page or a transfer holds a slot during its work; an upload reads its body without a slot and then
+/// takes one for its work; a feed needs none. GET /load returns slots, busy, connections and state. A rejected request
+/// was not started: 503 with camphorwinch-not-run: true. A request whose deadline expires during its work gets 504.
 ///
 ///
 /// Admin API: GET /record returns what was received and run; PUT /faults takes a JSON object with the names of the
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -201,14 +201,14 @@
 where
     T: DeserializeOwned,
 {
-    let whole = Limited::new(body, limit).collect().await.map_err(|error| {
+    let body = Limited::new(body, limit).collect().await.map_err(|error| {
         if error.is::<http_body_util::LengthLimitError>() {
             let text = format!("the body is larger than {limit} bytes");
             return Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, text);
         }
         Refusal::bad(format!("the body is incomplete: {error}"))
     })?;
-    serde_json::from_slice(&whole.to_bytes()).map_err(|e| Refusal::bad(format!("body: {e}")))
+    serde_json::from_slice(&body.to_bytes()).map_err(|e| Refusal::bad(format!("body: {e}")))
 }
 
 /// Splits a query into its pairs, without percent-decoding.
--- a/crates/standin/src/site/deployment.rs
+++ b/crates/standin/src/site/deployment.rs
@@ -51,7 +51,7 @@
     pub policy: Policy,
     /// Fraction of the total load on this service.
     pub load_share: f64,
-    /// Weights of screens, feeds, uploads and transfers.
+    /// Shares of screens, feeds, uploads and transfers.
     pub shares: [f64; 4],
 }
 
--- a/crates/standin/src/site/faults/inject.rs
+++ b/crates/standin/src/site/faults/inject.rs
@@ -30,12 +30,12 @@
             FaultKind::Freeze => self.freeze(rng).await,
             FaultKind::Cut => self.cut(rng).await,
             FaultKind::Outage => self.outage(rng).await,
-            FaultKind::LostAnswer => self.lose_responses(rng).await,
+            FaultKind::LostResponse => self.lose_responses(rng).await,
             FaultKind::Race => self.race(rng).await,
             FaultKind::Drain => self.drain(rng).await,
             FaultKind::Replace => self.replace(rng).await,
             FaultKind::Config => self.configure(rng).await,
-            FaultKind::Lie => self.lie(rng).await,
+            FaultKind::WrongLoad => self.report_wrong_load(rng).await,
         }
     }
 
@@ -100,9 +100,9 @@
         let Some(vm) = self.pick_vm(rng).await else { return Ok(()) };
         let name = if roll < 75 { &vm.agent } else { &vm.upstream };
         let _fault = self.begin(FaultKind::Freeze, format!("{name} for {freeze_time:.1?}"));
-        self.signal(name, Process::freeze).await?;
+        self.signal(name, Process::pause).await?;
         time::sleep(freeze_time).await;
-        self.signal(name, Process::thaw).await
+        self.signal(name, Process::resume).await
     }
 
     async fn freeze_balancer(
@@ -112,12 +112,12 @@
     ) -> anyhow::Result<()> {
         let name = &balancer.name;
         let _fault = self.begin(FaultKind::Freeze, format!("{name} for {freeze_time:.1?}"));
-        self.signal(name, Process::freeze).await?;
+        self.signal(name, Process::pause).await?;
         let detection = freeze_time.min(FABRIC_DETECTION);
         time::sleep(detection).await;
         self.unroute(name).await?;
         time::sleep(freeze_time - detection).await;
-        self.signal(name, Process::thaw).await?;
+        self.signal(name, Process::resume).await?;
         self.reroute(name).await
     }
 
@@ -155,8 +155,8 @@
         if rng.random_bool(0.4) {
             let Some(_reservation) = self.reservations.reserve(PLATFORM) else { return Ok(()) };
             let faults = json!({ "lost": 0.4, "answer_ms": 50 });
-            let _fault =
-                self.begin(FaultKind::LostAnswer, format!("platform {faults} for {duration:.1?}"));
+            let _fault = self
+                .begin(FaultKind::LostResponse, format!("platform {faults} for {duration:.1?}"));
             return self.apply_faults(PLATFORM, "/admin/faults", &faults, duration).await;
         }
         let Some(vm) = self.pick_vm(rng).await else { return Ok(()) };
@@ -164,7 +164,7 @@
             [json!({ "lost": 0.3 }), json!({ "late": 0.3, "late_ms": 900 }), json!({ "cut": 0.2 })];
         let Some(faults) = faults.choose(rng) else { return Ok(()) };
         let _fault = self.record(InjectedFault {
-            kind: FaultKind::LostAnswer,
+            kind: FaultKind::LostResponse,
             at: self.shared.stats.now(),
             until: None,
             text: format!("{} {faults} for {duration:.1?}", vm.upstream),
@@ -174,7 +174,7 @@
         self.apply_faults(&vm.upstream, "/faults", faults, duration).await
     }
 
-    async fn lie(&self, rng: &mut StdRng) -> anyhow::Result<()> {
+    async fn report_wrong_load(&self, rng: &mut StdRng) -> anyhow::Result<()> {
         let Some(vm) = self.pick_vm(rng).await else { return Ok(()) };
         let duration = random_duration(rng, FAULT_MS);
         let faults = [
@@ -185,8 +185,8 @@
             json!({ "lag_ms": 3_000, "slow": 2.0 }),
         ];
         let Some(faults) = faults.choose(rng) else { return Ok(()) };
-        let _fault =
-            self.begin(FaultKind::Lie, format!("{} {faults} for {duration:.1?}", vm.upstream));
+        let _fault = self
+            .begin(FaultKind::WrongLoad, format!("{} {faults} for {duration:.1?}", vm.upstream));
         self.apply_faults(&vm.upstream, "/faults", faults, duration).await
     }
 
@@ -247,7 +247,7 @@
         injected.iter().any(|it| {
             let delays = matches!(
                 it.kind,
-                FaultKind::Outage | FaultKind::LostAnswer | FaultKind::Freeze | FaultKind::Kill
+                FaultKind::Outage | FaultKind::LostResponse | FaultKind::Freeze | FaultKind::Kill
             );
             delays && it.until.is_none_or(|until| until >= since)
         })
--- a/crates/standin/src/site/faults/mod.rs
+++ b/crates/standin/src/site/faults/mod.rs
@@ -34,7 +34,7 @@
     /// The platform is unavailable or slow.
     Outage,
     /// Responses of the platform or an upstream are lost, late or truncated.
-    LostAnswer,
+    LostResponse,
     /// Two operators write one object concurrently.
     Race,
     /// Upstreams or a zone are drained and restored.
@@ -44,7 +44,7 @@
     /// A weight, policy, limit, certificate or key changes.
     Config,
     /// An upstream reports a wrong load, is slow or sheds load.
-    Lie,
+    WrongLoad,
 }
 
 impl FaultKind {
@@ -54,12 +54,12 @@
         FaultKind::Freeze,
         FaultKind::Cut,
         FaultKind::Outage,
-        FaultKind::LostAnswer,
+        FaultKind::LostResponse,
         FaultKind::Race,
         FaultKind::Drain,
         FaultKind::Replace,
         FaultKind::Config,
-        FaultKind::Lie,
+        FaultKind::WrongLoad,
     ];
 
     /// Name on the command line.
@@ -69,12 +69,12 @@
             FaultKind::Freeze => "freeze",
             FaultKind::Cut => "cut",
             FaultKind::Outage => "outage",
-            FaultKind::LostAnswer => "lost-answer",
+            FaultKind::LostResponse => "lost-answer",
             FaultKind::Race => "race",
             FaultKind::Drain => "drain",
             FaultKind::Replace => "replace",
             FaultKind::Config => "config",
-            FaultKind::Lie => "lie",
+            FaultKind::WrongLoad => "lie",
         }
     }
 }
--- a/crates/standin/src/site/fleet.rs
+++ b/crates/standin/src/site/fleet.rs
@@ -150,9 +150,9 @@
     }
 
     /// Whether the process is running.
-    pub fn is_alive(&mut self, name: &str) -> bool {
+    pub fn is_running(&mut self, name: &str) -> bool {
         let process = self.instances.get_mut(name).and_then(|it| it.process.as_mut());
-        process.is_some_and(Process::alive)
+        process.is_some_and(Process::is_running)
     }
 
     /// Names of processes that exited without being stopped.
@@ -160,7 +160,7 @@
         let mut names = Vec::new();
         for (name, instance) in &mut self.instances {
             let Some(process) = &mut instance.process else { continue };
-            if !process.alive() {
+            if !process.is_running() {
                 names.push(name.clone());
             }
         }
--- a/crates/standin/src/site/process.rs
+++ b/crates/standin/src/site/process.rs
@@ -73,7 +73,7 @@
     }
 
     /// Whether it is running.
-    pub fn alive(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
@@ -100,13 +100,13 @@
         self.child.kill().await.with_context(|| format!("kill {}", self.name))
     }
 
-    /// Pauses it with SIGSTOP until [`Process::thaw`].
-    pub fn freeze(&self) -> anyhow::Result<()> {
+    /// Pauses it with SIGSTOP until [`Process::resume`].
+    pub fn pause(&self) -> anyhow::Result<()> {
         self.signal(Signal::SIGSTOP)
     }
 
     /// Resumes it with SIGCONT.
-    pub fn thaw(&self) -> anyhow::Result<()> {
+    pub fn resume(&self) -> anyhow::Result<()> {
         self.signal(Signal::SIGCONT)
     }
 
--- a/crates/standin/src/site/shared.rs
+++ b/crates/standin/src/site/shared.rs
@@ -169,7 +169,7 @@
     async fn wait_ready(&self, name: &str) -> anyhow::Result<()> {
         let start = Instant::now();
         while !self.is_ready(name).await? {
-            ensure!(self.fleet.lock().await.is_alive(name), "start {name}: exited unexpectedly");
+            ensure!(self.fleet.lock().await.is_running(name), "start {name}: exited unexpectedly");
             if start.elapsed() > READY_LIMIT {
                 bail!("start {name}: not ready after {READY_LIMIT:?}");
             }
--- a/crates/standin/tests/promises/fencing.rs
+++ b/crates/standin/tests/promises/fencing.rs
@@ -17,7 +17,7 @@
 enum WriteCondition {
     /// The version read before the decision.
     Decided,
-    /// The version stored when the write is sent, which fences nothing.
+    /// The version stored when the write is sent: no fencing.
     Current,
 }
 
--- a/crates/standin/tests/site.rs
+++ b/crates/standin/tests/site.rs
@@ -194,7 +194,10 @@
 #[test]
 fn fault_kinds_are_parsed() {
     assert_eq!("all".parse::<FaultKinds>().unwrap().0.len(), FaultKind::ALL.len());
-    assert_eq!("kill,lie".parse::<FaultKinds>().unwrap().0, [FaultKind::Kill, FaultKind::Lie]);
+    assert_eq!(
+        "kill,lie".parse::<FaultKinds>().unwrap().0,
+        [FaultKind::Kill, FaultKind::WrongLoad]
+    );
     assert!("kill,flood".parse::<FaultKinds>().unwrap_err().contains("flood"));
 }
 
@@ -225,7 +228,7 @@
 }
 
 #[tokio::test]
-async fn processes_start_pause_stop_and_die() {
+async fn processes_start_pause_stop_and_are_killed() {
     let program = env!("CARGO_BIN_EXE_camphorwinch-standin");
     let (mut fleet, mut block, folder) = fleet();
     for name in ["a", "b"] {
@@ -238,13 +241,13 @@
         }
     }
     assert!(fleet.start("a").is_err(), "already running");
-    fleet.process("a").unwrap().freeze().unwrap();
-    fleet.process("a").unwrap().thaw().unwrap();
+    fleet.process("a").unwrap().pause().unwrap();
+    fleet.process("a").unwrap().resume().unwrap();
     fleet.take_process("a").unwrap().stop().await.unwrap();
     assert!(fleet.take_process("a").is_err());
-    assert!(fleet.is_alive("b") && fleet.exited().is_empty());
+    assert!(fleet.is_running("b") && fleet.exited().is_empty());
     fleet.take_process("b").unwrap().kill().await.unwrap();
-    assert!(!fleet.is_alive("b"));
+    assert!(!fleet.is_running("b"));
     std::fs::remove_dir_all(folder).unwrap();
 }
 
@@ -253,7 +256,7 @@
     let (mut fleet, mut block, folder) = fleet();
     fleet.add(instance(&mut block, "a", "/bin/false"));
     fleet.start("a").unwrap();
-    while fleet.is_alive("a") {
+    while fleet.is_running("a") {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     assert_eq!(fleet.exited(), ["a"]);
