--- a/crates/standin/src/fabric/admin.rs
+++ b/crates/standin/src/fabric/admin.rs
@@ -1,4 +1,4 @@
-//! The fabric as a whole and its admin calls.
+//! The fabric and its admin API.
 
 use std::{
     collections::BTreeMap,
@@ -15,16 +15,16 @@
 use super::{
     counts::Counts,
     faults::Faults,
-    service::{Common, Service},
+    service::{Service, ServiceConfig},
 };
 use crate::server::{self, Body, Refusal, Server};
 
-const MAX_BODY: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// Balancers by service address.
+/// Data addresses of the balancers by service address.
 pub type Routes = BTreeMap<SocketAddr, Vec<SocketAddr>>;
 
-/// A running fabric; it ends when this value is dropped.
+/// A running fabric; dropping it stops it.
 #[derive(Debug)]
 pub struct Fabric {
     server: Server,
@@ -35,44 +35,44 @@
 struct State {
     services: Mutex<BTreeMap<SocketAddr, Service>>,
     faults: watch::Sender<Arc<Faults>>,
-    common: Common,
+    config: ServiceConfig,
 }
 
 impl Fabric {
-    /// Serves the routes; callers' sockets are bound on `ip` and forgotten after `idle`.
+    /// Starts serving the routes; the socket of each caller is bound on `ip` and closed after `idle_timeout`.
     pub async fn start(
         admin: SocketAddr,
         routes: &Routes,
         ip: IpAddr,
-        idle: Duration,
+        idle_timeout: Duration,
         seed: u64,
         faults: Faults,
     ) -> anyhow::Result<Fabric> {
         let faults = watch::Sender::new(Arc::new(faults));
-        let common = Common { ip, idle, seed, faults: faults.subscribe() };
-        let state = Arc::new(State { services: Mutex::default(), faults, common });
+        let config = ServiceConfig { ip, idle_timeout, seed, faults: faults.subscribe() };
+        let state = Arc::new(State { services: Mutex::default(), faults, config });
         state.set_routes(routes)?;
         let handle = {
             let state = state.clone();
             move |request| {
                 let state = state.clone();
-                async move { Ok(state.answer(request).await.unwrap_or_else(|it| it.answer())) }
+                async move { Ok(state.handle(request).await.unwrap_or_else(|it| it.answer())) }
             }
         };
         Ok(Fabric { server: Server::start(admin, handle).await?, state })
     }
 
-    /// Address of the admin calls.
+    /// Address of the admin API.
     pub fn admin(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Replaces the routes: new services are added, missing ones removed.
+    /// Replaces the routes: adds new services and removes missing ones. An error if an address cannot be bound.
     pub fn set_routes(&self, routes: &Routes) -> anyhow::Result<()> {
         self.state.set_routes(routes)
     }
 
-    /// Counts by service.
+    /// Datagram counters by service.
     pub fn counts(&self) -> Counts {
         self.state.counts()
     }
@@ -84,7 +84,7 @@
         let mut added = BTreeMap::new();
         for (&addr, balancers) in routes {
             if !services.contains_key(&addr) {
-                added.insert(addr, Service::start(addr, balancers, &self.common)?);
+                added.insert(addr, Service::start(addr, balancers, &self.config)?);
             }
         }
         services.retain(|addr, _| routes.contains_key(addr));
@@ -104,19 +104,19 @@
         Counts { services: services.iter().map(|(addr, it)| (*addr, it.counts())).collect() }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, Refusal> {
+    async fn handle(&self, request: Request<Incoming>) -> Result<Response<Body>, Refusal> {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/counts") => Ok(server::json(StatusCode::OK, &self.counts())),
             (&Method::GET, "/routes") => Ok(server::json(StatusCode::OK, &self.routes())),
             (&Method::GET, "/faults") => Ok(server::json(StatusCode::OK, &**self.faults.borrow())),
             (&Method::PUT, "/routes") => {
-                let routes: Routes = server::read_json(request.into_body(), MAX_BODY).await?;
-                let failed = |error| Refusal::new(StatusCode::CONFLICT, format!("{error:#}"));
-                self.set_routes(&routes).map_err(failed)?;
+                let routes: Routes = server::read_json(request.into_body(), MAX_BODY_BYTES).await?;
+                let conflict = |error| Refusal::new(StatusCode::CONFLICT, format!("{error:#}"));
+                self.set_routes(&routes).map_err(conflict)?;
                 Ok(server::json(StatusCode::OK, &routes))
             }
             (&Method::PUT, "/faults") => {
-                let faults: Faults = server::read_json(request.into_body(), MAX_BODY).await?;
+                let faults: Faults = server::read_json(request.into_body(), MAX_BODY_BYTES).await?;
                 faults.check().map_err(Refusal::bad)?;
                 self.faults.send_replace(Arc::new(faults.clone()));
                 Ok(server::json(StatusCode::OK, &faults))
--- a/crates/standin/src/fabric/counts.rs
+++ b/crates/standin/src/fabric/counts.rs
@@ -1,46 +1,46 @@
-//! Counts of the datagrams that passed the fabric.
+//! Datagram counters of the fabric.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
 use serde::{Deserialize, Serialize};
 
-/// Counts of all services, by address.
+/// Counters of all services, as returned by `GET /counts`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Counts by service address.
+    /// Counters by service address.
     pub services: BTreeMap<SocketAddr, ServiceCounts>,
 }
 
-/// Counts of one service since it was added.
+/// Counters of a service since it was added.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceCounts {
-    /// Callers known now.
+    /// Callers with an open socket.
     pub callers: u64,
-    /// Callers seen, each as often as it was forgotten and came back.
+    /// Sockets opened; a caller that returns after the idle timeout counts again.
     pub opened: u64,
     /// Datagrams from callers.
     pub forward: u64,
-    /// Datagrams towards callers.
+    /// Datagrams to callers.
     pub back: u64,
     /// Datagrams sent to each balancer.
     pub balancers: BTreeMap<SocketAddr, u64>,
-    /// Datagrams lost on purpose, both ways.
+    /// Injected faults: datagrams dropped, in both directions.
     pub lost: u64,
-    /// Datagrams sent twice on purpose, both ways.
+    /// Injected faults: datagrams duplicated, in both directions.
     pub duplicated: u64,
-    /// Datagrams held back on purpose, both ways.
+    /// Injected faults: datagrams delayed, in both directions.
     pub reordered: u64,
-    /// Datagrams dropped because their balancer is cut off.
+    /// Injected faults: datagrams dropped because their balancer is cut off.
     pub cut: u64,
-    /// Datagrams dropped because the service has no balancer.
+    /// Datagrams dropped because the service has no balancers.
     pub unrouted: u64,
-    /// Datagrams that the operating system did not take, and callers for which it gave no socket.
+    /// Failed socket operations: send, receive and bind.
     pub errors: u64,
 }
 
 impl ServiceCounts {
-    /// Adds the counts of another shard.
+    /// Adds the counters of another shard.
     pub(super) fn add(&mut self, other: &ServiceCounts) {
         self.callers += other.callers;
         self.opened += other.opened;
--- a/crates/standin/src/fabric/faults.rs
+++ b/crates/standin/src/fabric/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the fabric.
+//! Fault injection of the fabric.
 
 use std::net::IpAddr;
 
@@ -6,46 +6,52 @@
 use rand::{Rng, rngs::StdRng};
 use serde::{Deserialize, Serialize};
 
-/// Faults that are in force, all off by default
+/// Faults to inject; all are off by default
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Bpaf)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Share of datagrams that are lost, each way
+    /// Share of datagrams that are dropped, in each direction
     #[bpaf(argument("SHARE"), fallback(0.0))]
     pub loss: f64,
-    /// Share of datagrams that are sent twice, each way
+    /// Share of datagrams that are duplicated, in each direction
     #[bpaf(argument("SHARE"), fallback(0.0))]
     pub duplicate: f64,
-    /// Share of datagrams that are held back, so that later ones overtake them, each way
+    /// Share of datagrams that are delayed, and so reordered, in each direction
     #[bpaf(argument("SHARE"), fallback(0.0))]
     pub reorder: f64,
-    /// Milliseconds for which a datagram is held back
-    #[bpaf(argument("MS"), fallback(HOLD_MS))]
+    /// Delay of these datagrams in milliseconds
+    #[bpaf(argument("MS"), fallback(DEFAULT_HOLD_MS))]
     pub hold_ms: u64,
     /// IP of a balancer whose datagrams are dropped; repeatable
     #[bpaf(argument("IP"))]
     pub cut: Vec<IpAddr>,
 }
 
-const HOLD_MS: u64 = 2;
+const DEFAULT_HOLD_MS: u64 = 2;
 
 impl Default for Faults {
     fn default() -> Faults {
-        Faults { loss: 0.0, duplicate: 0.0, reorder: 0.0, hold_ms: HOLD_MS, cut: Vec::new() }
+        Faults {
+            loss: 0.0,
+            duplicate: 0.0,
+            reorder: 0.0,
+            hold_ms: DEFAULT_HOLD_MS,
+            cut: Vec::new(),
+        }
     }
 }
 
-/// What becomes of a datagram.
+/// Action to take on a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Fate {
+pub(super) enum Action {
     Send,
-    Lose,
+    Drop,
     Duplicate,
-    Hold,
+    Delay,
 }
 
 impl Faults {
-    /// Checks the ranges.
+    /// Checks that each value is in range.
     pub fn check(&self) -> Result<(), String> {
         let shares =
             [("loss", self.loss), ("duplicate", self.duplicate), ("reorder", self.reorder)];
@@ -60,24 +66,24 @@
         Ok(())
     }
 
-    /// Whether every datagram is sent as it is.
-    pub(super) fn is_clean(&self) -> bool {
+    /// Whether no datagram is dropped, duplicated or delayed at random.
+    pub(super) fn is_passthrough(&self) -> bool {
         self.loss == 0.0 && self.duplicate == 0.0 && self.reorder == 0.0
     }
 
-    pub(super) fn fate(&self, random: &mut StdRng) -> Fate {
-        if self.is_clean() {
-            return Fate::Send;
+    pub(super) fn draw_action(&self, rng: &mut StdRng) -> Action {
+        if self.is_passthrough() {
+            return Action::Send;
         }
-        let draw: f64 = random.random();
+        let draw: f64 = rng.random();
         if draw < self.loss {
-            Fate::Lose
+            Action::Drop
         } else if draw < self.loss + self.duplicate {
-            Fate::Duplicate
+            Action::Duplicate
         } else if draw < self.loss + self.duplicate + self.reorder {
-            Fate::Hold
+            Action::Delay
         } else {
-            Fate::Send
+            Action::Send
         }
     }
 }
--- a/crates/standin/src/fabric/mod.rs
+++ b/crates/standin/src/fabric/mod.rs
@@ -1,4 +1,4 @@
-//! The fabric: hands each datagram of a caller to a balancer picked at random, and brings the answers back.
+//! Emulated network fabric: sprays the datagrams of callers over the balancers at random, and relays the replies.
 
 mod admin;
 mod counts;
--- a/crates/standin/src/fabric/service.rs
+++ b/crates/standin/src/fabric/service.rs
@@ -1,4 +1,4 @@
-//! The fabric's side of one service address.
+//! Sockets and tasks of one service address.
 
 use std::{
     io::{self, IoSliceMut},
@@ -19,45 +19,45 @@
 
 use super::{
     counts::ServiceCounts,
-    faults::{Fate, Faults},
-    relay::{BUFFER, Buffers, Relay, Udp},
+    faults::{Action, Faults},
+    relay::{BufferPool, RECV_BUFFER_BYTES, Relay, Udp},
 };
 
-/// Sockets on one service address, each with a task and a receive buffer of its own.
+/// Number of sockets per service address, each with its own task and receive buffer.
 const SHARDS: u64 = 4;
 
-/// What the service's task shares with the relays of its callers.
+/// State that the task of a shard shares with the relays of its callers.
 #[derive(Debug)]
-pub(super) struct Shared {
+pub(super) struct ShardState {
     pub(super) udp: Udp,
     pub(super) counts: Mutex<ServiceCounts>,
-    pub(super) buffers: Buffers,
+    pub(super) buffers: BufferPool,
     pub(super) started: Instant,
     pub(super) seed: u64,
     faults: watch::Receiver<Arc<Faults>>,
 }
 
-impl Shared {
+impl ShardState {
     pub(super) fn faults(&self) -> Arc<Faults> {
         self.faults.borrow().clone()
     }
 }
 
-/// Settings that all services have in common.
+/// Settings common to all services.
 #[derive(Clone, Debug)]
-pub(super) struct Common {
-    /// IP of the callers' sockets.
+pub(super) struct ServiceConfig {
+    /// IP to bind the sockets of callers on.
     pub(super) ip: IpAddr,
-    /// Time after which a caller that sends nothing and gets nothing is forgotten.
-    pub(super) idle: Duration,
+    /// Time without a datagram in either direction after which a caller is evicted.
+    pub(super) idle_timeout: Duration,
     pub(super) seed: u64,
     pub(super) faults: watch::Receiver<Arc<Faults>>,
 }
 
-/// A service address that is being served; its tasks end when this value is dropped.
+/// A served address; dropping it ends its tasks.
 #[derive(Debug)]
 pub(super) struct Service {
-    shards: Vec<Arc<Shared>>,
+    shards: Vec<Arc<ShardState>>,
     balancers: watch::Sender<Vec<SocketAddr>>,
 }
 
@@ -65,22 +65,22 @@
     pub(super) fn start(
         addr: SocketAddr,
         balancers: &[SocketAddr],
-        common: &Common,
+        config: &ServiceConfig,
     ) -> anyhow::Result<Service> {
         let mut shards = Vec::new();
         for shard in 0..SHARDS {
-            shards.push(Arc::new(Shared {
+            shards.push(Arc::new(ShardState {
                 udp: Udp::bind(addr, true)?,
                 counts: Mutex::default(),
-                buffers: Buffers::default(),
+                buffers: BufferPool::default(),
                 started: Instant::now(),
-                seed: common.seed ^ u64::from(addr.port()) ^ (shard << u32::BITS),
-                faults: common.faults.clone(),
+                seed: config.seed ^ u64::from(addr.port()) ^ (shard << u32::BITS),
+                faults: config.faults.clone(),
             }));
         }
-        let (balancers, route) = watch::channel(balancers.to_vec());
+        let (balancers, receiver) = watch::channel(balancers.to_vec());
         for shared in &shards {
-            tokio::spawn(Task::new(shared.clone(), common, route.clone()).run());
+            tokio::spawn(ShardTask::new(shared.clone(), config, receiver.clone()).run());
         }
         Ok(Service { shards, balancers })
     }
@@ -94,32 +94,36 @@
     }
 
     pub(super) fn counts(&self) -> ServiceCounts {
-        let mut sum = ServiceCounts::default();
+        let mut total = ServiceCounts::default();
         for shared in &self.shards {
-            sum.add(&shared.counts.lock());
+            total.add(&shared.counts.lock());
         }
-        sum
+        total
     }
 }
 
-/// The task that reads one of the service's sockets.
-struct Task {
-    shared: Arc<Shared>,
+/// Task that receives from one of the sockets of a service.
+struct ShardTask {
+    shared: Arc<ShardState>,
     ip: IpAddr,
-    idle: Duration,
-    route: watch::Receiver<Vec<SocketAddr>>,
-    random: StdRng,
+    idle_timeout: Duration,
+    balancers: watch::Receiver<Vec<SocketAddr>>,
+    rng: StdRng,
     callers: FxHashMap<SocketAddr, (Arc<Relay>, AbortHandle)>,
     tasks: JoinSet<()>,
 }
 
-impl Task {
-    fn new(shared: Arc<Shared>, common: &Common, route: watch::Receiver<Vec<SocketAddr>>) -> Task {
-        Task {
-            ip: common.ip,
-            idle: common.idle,
-            route,
-            random: StdRng::seed_from_u64(shared.seed),
+impl ShardTask {
+    fn new(
+        shared: Arc<ShardState>,
+        config: &ServiceConfig,
+        balancers: watch::Receiver<Vec<SocketAddr>>,
+    ) -> ShardTask {
+        ShardTask {
+            ip: config.ip,
+            idle_timeout: config.idle_timeout,
+            balancers,
+            rng: StdRng::seed_from_u64(shared.seed),
             callers: FxHashMap::default(),
             tasks: JoinSet::new(),
             shared,
@@ -127,30 +131,30 @@
     }
 
     async fn run(mut self) {
-        let mut buffer = vec![0; BUFFER * BATCH_SIZE];
-        let mut sweep = interval(self.idle / 4);
-        sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut buffer = vec![0; RECV_BUFFER_BYTES * BATCH_SIZE];
+        let mut evict_ticks = interval(self.idle_timeout / 4);
+        evict_ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let shared = self.shared.clone();
         loop {
             tokio::select! {
-                changed = self.route.changed() => match changed {
+                changed = self.balancers.changed() => match changed {
                     Ok(()) => {}
                     Err(_) => return,
                 },
-                _ = sweep.tick() => self.forget_idle(),
+                _ = evict_ticks.tick() => self.evict_idle(),
                 Some(_) = self.tasks.join_next() => {}
                 ready = shared.udp.socket.readable() => match ready {
-                    Ok(()) => self.read(&mut buffer),
+                    Ok(()) => self.receive(&mut buffer),
                     Err(_) => return,
                 }
             }
         }
     }
 
-    fn forget_idle(&mut self) {
-        let idle_ms = self.idle.as_millis() as u64;
+    fn evict_idle(&mut self) {
+        let timeout_ms = self.idle_timeout.as_millis() as u64;
         self.callers.retain(|_, (relay, task)| {
-            let keep = relay.idle_ms() < idle_ms;
+            let keep = relay.idle_ms() < timeout_ms;
             if !keep {
                 task.abort();
             }
@@ -159,11 +163,11 @@
         self.shared.counts.lock().callers = self.callers.len() as u64;
     }
 
-    fn read(&mut self, buffer: &mut [u8]) {
+    fn receive(&mut self, buffer: &mut [u8]) {
         let mut metas = [RecvMeta::default(); BATCH_SIZE];
         let received = {
             let mut slices: Vec<IoSliceMut<'_>> =
-                buffer.chunks_mut(BUFFER).map(IoSliceMut::new).collect();
+                buffer.chunks_mut(RECV_BUFFER_BYTES).map(IoSliceMut::new).collect();
             self.shared.udp.recv(&mut slices, &mut metas)
         };
         let count = match received {
@@ -175,16 +179,16 @@
             }
         };
         let faults = self.shared.faults();
-        let balancers = self.route.borrow().clone();
-        for (part, meta) in buffer.chunks(BUFFER).zip(&metas[..count]) {
+        let balancers = self.balancers.borrow().clone();
+        for (part, meta) in buffer.chunks(RECV_BUFFER_BYTES).zip(&metas[..count]) {
             for datagram in part[..meta.len].chunks(meta.stride.max(1)) {
-                self.spray(datagram, meta.addr, &balancers, &faults);
+                self.forward(datagram, meta.addr, &balancers, &faults);
             }
         }
     }
 
-    /// Sends one datagram to one balancer.
-    fn spray(
+    /// Forwards a datagram to a random balancer.
+    fn forward(
         &mut self,
         datagram: &[u8],
         caller: SocketAddr,
@@ -197,26 +201,26 @@
             counts.unrouted += 1;
             return;
         }
-        let balancer = balancers[self.random.random_range(0..balancers.len())];
+        let balancer = balancers[self.rng.random_range(0..balancers.len())];
         if faults.cut.contains(&balancer.ip()) {
             counts.cut += 1;
             return;
         }
-        let fate = faults.fate(&mut self.random);
-        if fate != Fate::Lose {
+        let action = faults.draw_action(&mut self.rng);
+        if action != Action::Drop {
             *counts.balancers.entry(balancer).or_default() += 1;
         }
         drop(counts);
-        match self.relay(caller) {
-            Ok(relay) => relay.forward(datagram, balancer, fate),
+        match self.get_or_open_relay(caller) {
+            Ok(relay) => relay.forward(datagram, balancer, action),
             Err(error) => {
-                tracing::warn!(%caller, "no socket for the caller: {error:#}");
+                tracing::warn!(%caller, "failed to open a socket for the caller: {error:#}");
                 self.shared.counts.lock().errors += 1;
             }
         }
     }
 
-    fn relay(&mut self, caller: SocketAddr) -> anyhow::Result<Arc<Relay>> {
+    fn get_or_open_relay(&mut self, caller: SocketAddr) -> anyhow::Result<Arc<Relay>> {
         if let Some((relay, _)) = self.callers.get(&caller) {
             return Ok(relay.clone());
         }
--- a/crates/standin/src/platform/api.rs
+++ b/crates/standin/src/platform/api.rs
@@ -1,4 +1,4 @@
-//! The calls of the object API over HTTP.
+//! HTTP handlers of the object API and the admin API.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,28 +17,28 @@
 use super::{
     counts::Counts,
     faults::{Faults, Outage},
-    limit::Limit,
-    store::{Refused, Store},
+    rate_limit::RateLimiter,
+    store::{Store, StoreError},
 };
 use crate::server::{self, Answer, Body, Dropped, Refusal, Server};
 
-/// Tells in each answer how often the store came back from a copy.
+/// Response header with the number of restores from the backup.
 const STORE_ERA: HeaderName = HeaderName::from_static("store-era");
-const MAX_WAIT: u64 = 30;
-/// Room for the version and the writer's mark around a spec.
-const MAX_BODY: usize = MAX_OBJECT + 1024;
-const MAX_WRITER: usize = 64;
-const MAX_NAME: usize = 63;
-const MAX_ADMIN: usize = 64 << 10;
-
-/// A running platform; it ends when this value is dropped.
+const MAX_WATCH_WAIT_S: u64 = 30;
+/// Maximum spec size plus room for the version and the writer.
+const MAX_PUT_BODY_BYTES: usize = MAX_OBJECT + 1024;
+const MAX_WRITER_BYTES: usize = 64;
+const MAX_NAME_BYTES: usize = 63;
+const MAX_ADMIN_BODY_BYTES: usize = 64 << 10;
+
+/// A running platform; dropping it stops it.
 #[derive(Debug)]
 pub struct Platform {
     server: Server,
 }
 
 impl Platform {
-    /// Listens on the address; keeps the newest `history` events for watches.
+    /// Starts listening; keeps the newest `history` events for watches. An error if the address cannot be bound.
     pub async fn start(
         listen: SocketAddr,
         history: usize,
@@ -48,18 +48,18 @@
         let shared = Arc::new(Shared::new(history, seed, faults));
         let handle = move |request| {
             let shared = shared.clone();
-            async move { shared.answer(request).await }
+            async move { shared.handle(request).await }
         };
         Ok(Platform { server: Server::start(listen, handle).await? })
     }
 
-    /// The address it listens on.
+    /// Address that it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 }
 
-/// A call, as read from a request's head.
+/// An API call, parsed from a request head.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Call {
     List(Option<String>),
@@ -70,38 +70,38 @@
 }
 
 impl Call {
-    fn new(request: &Request<Incoming>) -> Result<Call, Refusal> {
+    fn parse(request: &Request<Incoming>) -> Result<Call, Refusal> {
         let path = request.uri().path();
         let pairs = server::pairs(request.uri().query());
         let parts: Vec<&str> = path.split('/').skip(1).collect();
         match (request.method(), &parts[..]) {
             (&Method::GET, ["v1", "objects"]) => Ok(Call::List(None)),
-            (&Method::GET, ["v1", "objects", kind]) => Ok(Call::List(Some(checked(kind)?))),
+            (&Method::GET, ["v1", "objects", kind]) => Ok(Call::List(Some(parse_name(kind)?))),
             (&Method::GET, ["v1", "objects", kind, name]) => {
-                Ok(Call::Get { kind: checked(kind)?, name: checked(name)? })
+                Ok(Call::Get { kind: parse_name(kind)?, name: parse_name(name)? })
             }
             (&Method::PUT, ["v1", "objects", kind, name]) => {
-                Ok(Call::Put { kind: checked(kind)?, name: checked(name)? })
+                Ok(Call::Put { kind: parse_name(kind)?, name: parse_name(name)? })
             }
             (&Method::DELETE, ["v1", "objects", kind, name]) => {
                 let version = server::value(&pairs, "version")?
                     .ok_or_else(|| Refusal::bad("query version is missing"))?;
-                Ok(Call::Delete { kind: checked(kind)?, name: checked(name)?, version })
+                Ok(Call::Delete { kind: parse_name(kind)?, name: parse_name(name)?, version })
             }
-            (&Method::GET, ["v1", "watch"]) => Call::watch(&pairs),
+            (&Method::GET, ["v1", "watch"]) => Call::parse_watch(&pairs),
             _ => Err(Refusal::unknown(path)),
         }
     }
 
-    fn watch(pairs: &[(&str, &str)]) -> Result<Call, Refusal> {
+    fn parse_watch(pairs: &[(&str, &str)]) -> Result<Call, Refusal> {
         let since =
             server::value(pairs, "since")?.ok_or_else(|| Refusal::bad("query since is missing"))?;
         let wait = server::value(pairs, "wait")?.unwrap_or(0);
-        if wait > MAX_WAIT {
-            return Err(Refusal::bad(format!("query wait={wait}: at most {MAX_WAIT}")));
+        if wait > MAX_WATCH_WAIT_S {
+            return Err(Refusal::bad(format!("query wait={wait}: at most {MAX_WATCH_WAIT_S}")));
         }
         let kinds = pairs.iter().filter(|(key, _)| *key == "kind");
-        let kinds = kinds.map(|(_, kind)| checked(kind)).collect::<Result<_, _>>()?;
+        let kinds = kinds.map(|(_, kind)| parse_name(kind)).collect::<Result<_, _>>()?;
         Ok(Call::Watch { since, wait, kinds })
     }
 
@@ -133,17 +133,17 @@
     }
 }
 
-fn checked(name: &str) -> Result<String, Refusal> {
-    let plain = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit();
-    let ends = name.starts_with(plain) && name.ends_with(plain);
-    let inner = name.chars().all(|c| plain(c) || c == '.' || c == '-');
-    if ends && inner && name.len() <= MAX_NAME {
+fn parse_name(name: &str) -> Result<String, Refusal> {
+    let is_alphanumeric = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit();
+    let ends_valid = name.starts_with(is_alphanumeric) && name.ends_with(is_alphanumeric);
+    let chars_valid = name.chars().all(|c| is_alphanumeric(c) || c == '.' || c == '-');
+    if ends_valid && chars_valid && name.len() <= MAX_NAME_BYTES {
         return Ok(name.to_owned());
     }
     Err(Refusal::bad(format!("{name:?} is no name: [a-z0-9]([a-z0-9.-]{{0,61}}[a-z0-9])?")))
 }
 
-/// Body of a put.
+/// Request body of a put.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Write {
@@ -152,14 +152,14 @@
     spec: Value,
 }
 
-/// State behind all connections. Lock order: `store`, `counts`, `random`; none is held across an await.
+/// State shared by all connections. Lock order: `store`, `counts`, `rng`; no lock is held across an await.
 #[derive(Debug)]
 struct Shared {
     store: Mutex<Store>,
     counts: Mutex<Counts>,
-    random: Mutex<StdRng>,
-    reads: Mutex<Limit>,
-    writes: Mutex<Limit>,
+    rng: Mutex<StdRng>,
+    reads: Mutex<RateLimiter>,
+    writes: Mutex<RateLimiter>,
     faults: watch::Sender<Faults>,
     revision: watch::Sender<u64>,
     started: Instant,
@@ -171,21 +171,21 @@
         Shared {
             store: Mutex::new(Store::new(history)),
             counts: Mutex::default(),
-            random: Mutex::new(StdRng::seed_from_u64(seed)),
-            reads: Mutex::new(Limit::new(started.into_std())),
-            writes: Mutex::new(Limit::new(started.into_std())),
+            rng: Mutex::new(StdRng::seed_from_u64(seed)),
+            reads: Mutex::new(RateLimiter::new(started.into_std())),
+            writes: Mutex::new(RateLimiter::new(started.into_std())),
             faults: watch::Sender::new(faults),
             revision: watch::Sender::new(0),
             started,
         }
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Answer {
+    async fn handle(&self, request: Request<Incoming>) -> Answer {
         if request.uri().path().starts_with("/admin/") {
-            return Ok(self.admin(request).await.unwrap_or_else(|refusal| refusal.answer()));
+            return Ok(self.handle_admin(request).await.unwrap_or_else(|refusal| refusal.answer()));
         }
-        let mut answer = match Call::new(&request) {
-            Ok(call) => self.call(call, request.into_body()).await?,
+        let mut answer = match Call::parse(&request) {
+            Ok(call) => self.handle_call(call, request.into_body()).await?,
             Err(refusal) => refusal.answer(),
         };
         answer.headers_mut().insert(STORE_ERA, self.store.lock().era().into());
@@ -193,7 +193,7 @@
         Ok(answer)
     }
 
-    async fn admin(&self, request: Request<Incoming>) -> Result<Response<Body>, Refusal> {
+    async fn handle_admin(&self, request: Request<Incoming>) -> Result<Response<Body>, Refusal> {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/admin/counts") => {
                 let mut counts = self.counts.lock().clone();
@@ -204,17 +204,18 @@
                 Ok(server::json(StatusCode::OK, &*self.faults.borrow()))
             }
             (&Method::PUT, "/admin/faults") => {
-                let faults: Faults = server::read_json(request.into_body(), MAX_ADMIN).await?;
+                let faults: Faults =
+                    server::read_json(request.into_body(), MAX_ADMIN_BODY_BYTES).await?;
                 faults.check().map_err(Refusal::bad)?;
                 self.faults.send_replace(faults.clone());
                 Ok(server::json(StatusCode::OK, &faults))
             }
             (&Method::PUT, "/admin/copy") => {
-                self.store.lock().keep_copy();
+                self.store.lock().save_backup();
                 Ok(server::json(StatusCode::OK, &Value::Null))
             }
             (&Method::PUT, "/admin/reset") => {
-                self.store.lock().reset();
+                self.store.lock().restore();
                 let revision = self.store.lock().revision();
                 self.revision.send_replace(revision);
                 Ok(server::json(StatusCode::OK, &Value::Null))
@@ -223,32 +224,32 @@
         }
     }
 
-    async fn call(&self, call: Call, body: Incoming) -> Answer {
-        self.counts.lock().call(call.method(), call.kind());
+    async fn handle_call(&self, call: Call, body: Incoming) -> Answer {
+        self.counts.lock().count_call(call.method(), call.kind());
         if let Some(answer) = self.outage().await? {
             return Ok(answer);
         }
-        if !self.fits_limit(&call) {
-            return Ok(limited());
+        if !self.acquire_token(&call) {
+            return Ok(rate_limited());
         }
         let body = match &call {
-            Call::Put { .. } => match server::read_json::<Write>(body, MAX_BODY).await {
-                Ok(write) => Some(write),
+            Call::Put { .. } => match server::read_json::<Write>(body, MAX_PUT_BODY_BYTES).await {
+                Ok(body) => Some(body),
                 Err(refusal) => return Ok(refusal.answer()),
             },
             _ => None,
         };
-        sleep(self.delay()).await;
+        sleep(self.random_delay()).await;
         if let Some(answer) = self.outage().await? {
             return Ok(answer);
         }
-        let answer = self.run(call, body).await?;
+        let answer = self.execute(call, body).await?;
         let answer_ms = self.faults.borrow().answer_ms;
         sleep(Duration::from_millis(answer_ms)).await;
         Ok(answer)
     }
 
-    /// The answer of a call during an outage, if there is one.
+    /// Response of a call during an outage; `None` if there is no outage.
     async fn outage(&self) -> Result<Option<Response<Body>>, Dropped> {
         let outage = self.faults.borrow().outage;
         let Some(outage) = outage else { return Ok(None) };
@@ -267,64 +268,64 @@
         }
     }
 
-    fn fits_limit(&self, call: &Call) -> bool {
+    fn acquire_token(&self, call: &Call) -> bool {
         let now = Instant::now().into_std();
-        let fits = {
+        let allowed = {
             let faults = self.faults.borrow();
             match call.is_write() {
-                true => self.writes.lock().take(now, faults.writes_per_s),
-                false => self.reads.lock().take(now, faults.reads_per_s),
+                true => self.writes.lock().try_acquire(now, faults.writes_per_s),
+                false => self.reads.lock().try_acquire(now, faults.reads_per_s),
             }
         };
-        if !fits {
+        if !allowed {
             self.counts.lock().limited += 1;
         }
-        fits
+        allowed
     }
 
-    fn delay(&self) -> Duration {
+    fn random_delay(&self) -> Duration {
         let faults = self.faults.borrow();
-        let jitter = self.random.lock().random_range(0..=faults.jitter_ms);
+        let jitter = self.rng.lock().random_range(0..=faults.jitter_ms);
         Duration::from_millis(faults.delay_ms + jitter)
     }
 
-    fn chance(&self, share: f64) -> bool {
-        share > 0.0 && self.random.lock().random_bool(share)
+    fn random_bool(&self, probability: f64) -> bool {
+        probability > 0.0 && self.rng.lock().random_bool(probability)
     }
 
-    async fn run(&self, call: Call, write: Option<Write>) -> Answer {
-        match (call, write) {
+    async fn execute(&self, call: Call, body: Option<Write>) -> Answer {
+        match (call, body) {
             (Call::List(kind), _) => {
                 Ok(server::json_text(StatusCode::OK, self.store.lock().list(kind.as_deref())))
             }
             (Call::Get { kind, name }, _) => {
                 let found = self.store.lock().get(&kind, &name);
-                Ok(self.result(found.map(|text| text.to_string())))
+                Ok(self.response(found.map(|text| text.to_string())))
             }
-            (Call::Put { kind, name }, Some(write)) => self.put(kind, name, write),
+            (Call::Put { kind, name }, Some(body)) => self.put(kind, name, body),
             (Call::Put { .. }, None) => Ok(Refusal::bad("a put needs a body").answer()),
             (Call::Delete { kind, name, version }, _) => self.delete(&kind, &name, version),
             (Call::Watch { since, wait, kinds }, _) => self.watch(since, wait, &kinds).await,
         }
     }
 
-    fn put(&self, kind: String, name: String, write: Write) -> Answer {
-        if write.writer.is_empty() || write.writer.len() > MAX_WRITER {
-            let text = format!("writer: must have 1 to {MAX_WRITER} characters");
+    fn put(&self, kind: String, name: String, body: Write) -> Answer {
+        if body.writer.is_empty() || body.writer.len() > MAX_WRITER_BYTES {
+            let text = format!("writer: must have 1 to {MAX_WRITER_BYTES} characters");
             return Ok(Refusal::bad(text).answer());
         }
-        let Write { version, writer, spec } = write;
-        let written = self.store.lock().put(Object { kind, name, version, writer, spec });
-        self.written(written.map(|text| text.to_string()))
+        let Write { version, writer, spec } = body;
+        let result = self.store.lock().put(Object { kind, name, version, writer, spec });
+        self.finish_write(result.map(|text| text.to_string()))
     }
 
     fn delete(&self, kind: &str, name: &str, version: u64) -> Answer {
-        let deleted = self.store.lock().delete(kind, name, version);
-        self.written(deleted.map(|revision| format!(r#"{{"revision":{revision}}}"#)))
+        let result = self.store.lock().delete(kind, name, version);
+        self.finish_write(result.map(|revision| format!(r#"{{"revision":{revision}}}"#)))
     }
 
-    /// Wakes the watches after a write; loses the answer if the faults say so.
-    fn written(&self, result: Result<String, Refused>) -> Answer {
+    /// Notifies the watches after a write, then responds, or closes the connection if a lost response is injected.
+    fn finish_write(&self, result: Result<String, StoreError>) -> Answer {
         if result.is_ok() {
             let revision = self.store.lock().revision();
             self.revision.send_if_modified(|it| {
@@ -332,34 +333,36 @@
                 *it = revision.max(*it);
                 newer
             });
-            if self.loses() {
+            if self.loses_response() {
                 self.counts.lock().lost += 1;
                 return Err(Dropped);
             }
         }
-        Ok(self.result(result))
+        Ok(self.response(result))
     }
 
-    fn loses(&self) -> bool {
+    fn loses_response(&self) -> bool {
         let next = self.faults.send_if_modified(|it| {
             let next = it.lose_next > 0;
             it.lose_next = it.lose_next.saturating_sub(1);
             next
         });
-        let share = self.faults.borrow().lost;
-        next || self.chance(share)
+        let probability = self.faults.borrow().lost;
+        next || self.random_bool(probability)
     }
 
-    fn result(&self, result: Result<String, Refused>) -> Response<Body> {
+    fn response(&self, result: Result<String, StoreError>) -> Response<Body> {
         match result {
             Ok(text) => server::json_text(StatusCode::OK, text),
-            Err(Refused::Missing) => Refusal::new(StatusCode::NOT_FOUND, "no such object").answer(),
-            Err(Refused::Gone) => {
+            Err(StoreError::NotFound) => {
+                Refusal::new(StatusCode::NOT_FOUND, "no such object").answer()
+            }
+            Err(StoreError::Gone) => {
                 self.counts.lock().gone += 1;
                 let text = "the history does not hold this revision: list again";
                 Refusal::new(StatusCode::GONE, text).answer()
             }
-            Err(Refused::Conflict(current)) => {
+            Err(StoreError::Conflict(current)) => {
                 self.counts.lock().conflicts += 1;
                 let current = current.as_deref().unwrap_or("null");
                 let text = format!(
@@ -370,14 +373,14 @@
         }
     }
 
-    async fn watch(&self, since: u64, wait: u64, kinds: &[String]) -> Answer {
-        let mut end = Instant::now() + Duration::from_secs(wait);
-        let share = self.faults.borrow().watch_close;
-        let closes = self.chance(share);
-        if closes {
-            end = Instant::now() + self.part_of(wait);
+    async fn watch(&self, since: u64, wait_s: u64, kinds: &[String]) -> Answer {
+        let mut end = Instant::now() + Duration::from_secs(wait_s);
+        let probability = self.faults.borrow().watch_close;
+        let close_early = self.random_bool(probability);
+        if close_early {
+            end = Instant::now() + self.random_part_of(wait_s);
         }
-        let _waiting = Waiting::new(&self.counts);
+        let _guard = WatchGuard::new(&self.counts);
         let era = self.store.lock().era();
         let mut revision = self.revision.subscribe();
         let mut faults = self.faults.subscribe();
@@ -386,17 +389,17 @@
             let (found, now) = {
                 let store = self.store.lock();
                 if store.era() != era {
-                    // Its connections ended with it.
+                    // A restore closes all connections.
                     return Err(Dropped);
                 }
-                (store.since(since, kinds), store.revision())
+                (store.events_since(since, kinds), store.revision())
             };
             let events = match found {
                 Ok(events) => events,
-                Err(refused) => return Ok(self.result(Err(refused))),
+                Err(refused) => return Ok(self.response(Err(refused))),
             };
             if !events.is_empty() {
-                return Ok(self.events(now, since, kinds, events));
+                return Ok(self.watch_response(now, since, kinds, events));
             }
             let event = async {
                 tokio::select! {
@@ -408,41 +411,41 @@
             if let Some(answer) = self.outage().await? {
                 return Ok(answer);
             }
-            if ended && closes {
+            if ended && close_early {
                 self.counts.lock().closed += 1;
                 return Err(Dropped);
             }
             if ended {
                 let now = self.store.lock().revision();
-                return Ok(self.events(now, since, kinds, Vec::new()));
+                return Ok(self.watch_response(now, since, kinds, Vec::new()));
             }
         }
     }
 
-    fn part_of(&self, wait: u64) -> Duration {
-        let share = self.random.lock().random_range(0.0..1.0);
-        Duration::from_secs_f64(wait as f64 * share)
+    fn random_part_of(&self, wait_s: u64) -> Duration {
+        let share = self.rng.lock().random_range(0.0..1.0);
+        Duration::from_secs_f64(wait_s as f64 * share)
     }
 
-    fn events(
+    fn watch_response(
         &self,
         revision: u64,
         since: u64,
         kinds: &[String],
         events: Vec<Arc<str>>,
     ) -> Response<Body> {
-        let (skip, repeat) = {
+        let (skip_probability, repeat_probability) = {
             let faults = self.faults.borrow();
             (faults.watch_skip, faults.watch_repeat)
         };
         let mut kept = Vec::new();
-        if self.chance(repeat) {
-            let older = self.store.lock().before(since, kinds);
+        if self.random_bool(repeat_probability) {
+            let older = self.store.lock().last_event_until(since, kinds);
             self.counts.lock().repeated += u64::from(older.is_some());
             kept.extend(older);
         }
         for event in events {
-            if self.chance(skip) {
+            if self.random_bool(skip_probability) {
                 self.counts.lock().skipped += 1;
                 continue;
             }
@@ -453,28 +456,28 @@
     }
 }
 
-fn limited() -> Response<Body> {
+fn rate_limited() -> Response<Body> {
     let mut answer = Refusal::new(StatusCode::TOO_MANY_REQUESTS, "too many calls").answer();
     answer.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from_static("1"));
     answer
 }
 
-/// Counts a watch as waiting for as long as it lives.
-struct Waiting<'a> {
+/// Counts a watch as waiting until it is dropped.
+struct WatchGuard<'a> {
     counts: &'a Mutex<Counts>,
 }
 
-impl Waiting<'_> {
-    fn new(counts: &Mutex<Counts>) -> Waiting<'_> {
+impl WatchGuard<'_> {
+    fn new(counts: &Mutex<Counts>) -> WatchGuard<'_> {
         let mut locked = counts.lock();
         locked.waiting += 1;
         locked.waiting_peak = locked.waiting_peak.max(locked.waiting);
         drop(locked);
-        Waiting { counts }
+        WatchGuard { counts }
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WatchGuard<'_> {
     fn drop(&mut self) {
         self.counts.lock().waiting -= 1;
     }
--- a/crates/standin/src/platform/counts.rs
+++ b/crates/standin/src/platform/counts.rs
@@ -1,45 +1,45 @@
-//! Counts of the calls that the platform got.
+//! Counters of the platform's API calls.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Counts since the start.
+/// Counters since the start, as returned by `GET /admin/counts`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Counts {
-    /// All calls, a waiting watch as one.
+    /// All calls; a long-polling watch counts as one.
     pub total: u64,
-    /// Calls by method (list, get, put, delete, watch) and kind; `all` if the call names none or several.
+    /// Calls by method (list, get, put, delete, watch) and kind; the kind is `all` if a call names none or several.
     pub calls: BTreeMap<String, BTreeMap<String, u64>>,
-    /// Watches waiting now.
+    /// Watches in progress.
     pub waiting: u64,
-    /// Most watches that waited at once.
+    /// Peak number of concurrent watches.
     pub waiting_peak: u64,
     /// Calls answered with 429.
     pub limited: u64,
-    /// Calls that met an outage.
+    /// Calls affected by an injected outage.
     pub outage: u64,
-    /// Writes that took effect and whose answer was lost.
+    /// Injected faults: writes that took effect without a response.
     pub lost: u64,
-    /// Writes refused for their version.
+    /// Writes rejected because of a version conflict.
     pub conflicts: u64,
-    /// Watch events left out.
+    /// Injected faults: watch events skipped.
     pub skipped: u64,
-    /// Watch events repeated.
+    /// Injected faults: watch events repeated.
     pub repeated: u64,
-    /// Watches closed early.
+    /// Injected faults: watches closed early.
     pub closed: u64,
-    /// Watches whose revision was too old.
+    /// Watches from a revision outside the history.
     pub gone: u64,
-    /// Bytes of answers.
+    /// Bytes of response bodies sent.
     pub bytes_out: u64,
     /// Milliseconds since the start.
     pub uptime_ms: u64,
 }
 
 impl Counts {
-    pub(super) fn call(&mut self, method: &str, kind: &str) {
+    pub(super) fn count_call(&mut self, method: &str, kind: &str) {
         self.total += 1;
         let kinds = self.calls.entry(method.to_owned()).or_default();
         *kinds.entry(kind.to_owned()).or_default() += 1;
--- a/crates/standin/src/platform/faults.rs
+++ b/crates/standin/src/platform/faults.rs
@@ -1,19 +1,19 @@
-//! Faults of the platform.
+//! Fault injection of the platform.
 
 use std::{fmt, str::FromStr};
 
 use bpaf::Bpaf;
 use serde::{Deserialize, Serialize};
 
-/// How the platform fails as a whole.
+/// Kind of a complete outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Outage {
-    /// Every call is answered with 503.
+    /// Every call gets a 503 response.
     Error,
-    /// Every connection is closed without an answer.
+    /// Every connection is closed without a response.
     Refuse,
-    /// No call is answered until the outage ends; its connection is closed then.
+    /// Calls get no response; their connections are closed when the outage ends.
     Hang,
 }
 
@@ -40,38 +40,38 @@
     }
 }
 
-/// Faults that are in force, all off by default.
+/// Faults to inject; all are off by default.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, Bpaf)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Outage: error (503), refuse (connections closed without an answer) or hang
+    /// Outage: error (503), refuse (connections closed without a response) or hang
     #[bpaf(argument("MODE"))]
     pub outage: Option<Outage>,
-    /// Milliseconds before a call takes effect
+    /// Delay in milliseconds before a call takes effect
     #[bpaf(argument("MS"), fallback(0))]
     pub delay_ms: u64,
-    /// Further milliseconds before a call takes effect, at random up to this
+    /// Maximum random delay in milliseconds added before a call takes effect
     #[bpaf(argument("MS"), fallback(0))]
     pub jitter_ms: u64,
-    /// Milliseconds between a call's effect and its answer
+    /// Delay in milliseconds between the effect of a call and its response
     #[bpaf(argument("MS"), fallback(0))]
     pub answer_ms: u64,
-    /// Share of writes that take effect and whose answer is lost (the connection is closed)
+    /// Share of writes that take effect and get a closed connection instead of a response
     #[bpaf(argument("SHARE"), fallback(0.0))]
     pub lost: f64,
-    /// Number of next writes that take effect and whose answer is lost
+    /// Number of upcoming writes that take effect and get a closed connection instead of a response
     #[bpaf(argument("N"), fallback(0))]
     pub lose_next: u32,
-    /// Reads and watches a second beyond which calls are answered with 429
+    /// Rate limit of reads and watches per second; calls above it get a 429 response
     #[bpaf(argument("N"))]
     pub reads_per_s: Option<f64>,
-    /// Writes a second beyond which calls are answered with 429
+    /// Rate limit of writes per second; calls above it get a 429 response
     #[bpaf(argument("N"))]
     pub writes_per_s: Option<f64>,
-    /// Share of watch events that are left out
+    /// Share of watch events that are skipped
     #[bpaf(argument("SHARE"), fallback(0.0))]
     pub watch_skip: f64,
-    /// Share of watch answers that repeat an event from before
+    /// Share of watch responses that repeat an earlier event
     #[bpaf(argument("SHARE"), fallback(0.0))]
     pub watch_repeat: f64,
     /// Share of watches whose connection is closed early
@@ -80,7 +80,7 @@
 }
 
 impl Faults {
-    /// Checks the ranges.
+    /// Checks that each value is in range.
     pub fn check(&self) -> Result<(), String> {
         let shares = [
             ("lost", self.lost),
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,14 +1,14 @@
-//! The platform's object API, in memory, with faults that can be set while it runs.
+//! In-memory emulator of the platform's object API, with fault injection at run time.
 
 mod api;
 mod counts;
 mod faults;
-mod limit;
+mod rate_limit;
 mod store;
 
 pub use self::{
     api::Platform,
     counts::Counts,
     faults::{Faults, Outage, faults},
-    store::{Change, Refused, Store},
+    store::{Change, Store, StoreError},
 };
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Objects with versions, and a bounded history of their writes.
+//! Versioned objects and a bounded history of their writes.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -7,7 +7,7 @@
 
 use camphorwinch_core::object::Object;
 
-/// Kind of a write.
+/// Type of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// Created or replaced.
@@ -25,27 +25,28 @@
     }
 }
 
-/// Why a call was refused.
+/// Why an operation failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// The version given is not the stored one; with the stored object as JSON.
+pub enum StoreError {
+    /// The version is not the stored one; carries the stored object as JSON, if there is one.
     Conflict(Option<Arc<str>>),
-    /// There is no such object.
-    Missing,
-    /// The history does not reach back to the revision asked for.
+    /// The object does not exist.
+    NotFound,
+    /// The requested revision is not in the history.
     Gone,
 }
 
+/// An object with its JSON text.
 #[derive(Clone, Debug)]
-struct Stored {
+struct StoredObject {
     object: Object,
     text: Arc<str>,
 }
 
-impl Stored {
-    fn new(object: Object) -> Stored {
+impl StoredObject {
+    fn new(object: Object) -> StoredObject {
         let text = serde_json::to_string(&object).unwrap_or_default().into();
-        Stored { object, text }
+        StoredObject { object, text }
     }
 }
 
@@ -56,27 +57,27 @@
     text: Arc<str>,
 }
 
-/// What a store holds, and loses if it comes back from a copy.
+/// Content of a store; replaced when the store is restored from its backup.
 #[derive(Clone, Debug, Default)]
 struct Data {
     revision: u64,
-    objects: BTreeMap<(String, String), Stored>,
+    objects: BTreeMap<(String, String), StoredObject>,
     history: VecDeque<Event>,
 }
 
-/// Objects, revision and history.
+/// In-memory object store with a history of events and one backup.
 #[derive(Clone, Debug)]
 pub struct Store {
     data: Data,
-    keep: usize,
+    history_limit: usize,
     era: u64,
-    copy: Data,
+    backup: Data,
 }
 
 impl Store {
-    /// An empty store that keeps the newest `keep` events.
-    pub fn new(keep: usize) -> Store {
-        Store { data: Data::default(), keep, era: 0, copy: Data::default() }
+    /// Creates an empty store that keeps the newest `history_limit` events.
+    pub fn new(history_limit: usize) -> Store {
+        Store { data: Data::default(), history_limit, era: 0, backup: Data::default() }
     }
 
     /// Revision of the last write.
@@ -84,88 +85,92 @@
         self.data.revision
     }
 
-    /// How often the store came back from a copy.
+    /// Number of restores from the backup.
     pub fn era(&self) -> u64 {
         self.era
     }
 
-    /// Keeps a copy of all that it holds.
-    pub fn keep_copy(&mut self) {
-        self.copy = self.data.clone();
+    /// Replaces the backup by the current content.
+    pub fn save_backup(&mut self) {
+        self.backup = self.data.clone();
     }
 
-    /// Comes back from its copy: what was written since is lost, and revisions are given out again.
-    pub fn reset(&mut self) {
-        self.data = self.copy.clone();
+    /// Restores the backup: later writes are lost, and their revisions are assigned again.
+    pub fn restore(&mut self) {
+        self.data = self.backup.clone();
         self.era += 1;
     }
 
-    /// All objects, or those of one kind, as JSON.
+    /// Lists all objects, or those of one kind, as JSON.
     pub fn list(&self, kind: Option<&str>) -> String {
-        let fits = |it: &&Stored| kind.is_none_or(|kind| it.object.kind == kind);
+        let matches = |it: &&StoredObject| kind.is_none_or(|kind| it.object.kind == kind);
         let items: Vec<&str> =
-            self.data.objects.values().filter(fits).map(|it| &*it.text).collect();
+            self.data.objects.values().filter(matches).map(|it| &*it.text).collect();
         format!(r#"{{"revision":{},"items":[{}]}}"#, self.data.revision, items.join(","))
     }
 
-    /// One object as JSON.
-    pub fn get(&self, kind: &str, name: &str) -> Result<Arc<str>, Refused> {
+    /// Returns an object as JSON.
+    pub fn get(&self, kind: &str, name: &str) -> Result<Arc<str>, StoreError> {
         let key = (kind.to_owned(), name.to_owned());
-        self.data.objects.get(&key).map(|it| it.text.clone()).ok_or(Refused::Missing)
+        self.data.objects.get(&key).map(|it| it.text.clone()).ok_or(StoreError::NotFound)
     }
 
-    /// Stores the object if its version is the stored one (0: there is none); answers it with its new version as JSON.
-    pub fn put(&mut self, mut object: Object) -> Result<Arc<str>, Refused> {
+    /// Stores the object if its version is the stored one (0 to create it); returns it with its new version as JSON.
+    pub fn put(&mut self, mut object: Object) -> Result<Arc<str>, StoreError> {
         let key = (object.kind.clone(), object.name.clone());
         let current = self.data.objects.get(&key);
         let version = current.map_or(0, |it| it.object.version);
         if object.version != version {
-            return Err(Refused::Conflict(current.map(|it| it.text.clone())));
+            return Err(StoreError::Conflict(current.map(|it| it.text.clone())));
         }
         self.data.revision += 1;
         object.version = self.data.revision;
-        let stored = Stored::new(object);
+        let stored = StoredObject::new(object);
         let text = stored.text.clone();
         self.record(Change::Put, &stored);
         self.data.objects.insert(key, stored);
         Ok(text)
     }
 
-    /// Deletes the object if its version is the stored one; answers the revision of the deletion.
-    pub fn delete(&mut self, kind: &str, name: &str, version: u64) -> Result<u64, Refused> {
+    /// Deletes the object if its version is the stored one; returns the revision of the deletion.
+    pub fn delete(&mut self, kind: &str, name: &str, version: u64) -> Result<u64, StoreError> {
         let key = (kind.to_owned(), name.to_owned());
-        let current = self.data.objects.get(&key).ok_or(Refused::Missing)?;
+        let current = self.data.objects.get(&key).ok_or(StoreError::NotFound)?;
         if current.object.version != version {
-            return Err(Refused::Conflict(Some(current.text.clone())));
+            return Err(StoreError::Conflict(Some(current.text.clone())));
         }
         let mut object = current.object.clone();
         self.data.objects.remove(&key);
         self.data.revision += 1;
         object.version = self.data.revision;
-        self.record(Change::Delete, &Stored::new(object));
+        self.record(Change::Delete, &StoredObject::new(object));
         Ok(self.data.revision)
     }
 
-    /// Events after a revision as JSON, oldest first; `Gone` if the history does not reach back to it.
-    pub fn since(&self, revision: u64, kinds: &[String]) -> Result<Vec<Arc<str>>, Refused> {
+    /// Returns the events after a revision as JSON, oldest first; `Gone` if the revision is not in the history.
+    pub fn events_since(
+        &self,
+        revision: u64,
+        kinds: &[String],
+    ) -> Result<Vec<Arc<str>>, StoreError> {
         let oldest = self.data.revision - self.data.history.len() as u64;
         if revision < oldest || revision > self.data.revision {
-            return Err(Refused::Gone);
+            return Err(StoreError::Gone);
         }
-        let skipped = (revision - oldest) as usize;
-        let fits = |it: &&Event| kinds.is_empty() || kinds.contains(&it.kind);
-        let newer = self.data.history.iter().skip(skipped).filter(fits);
+        let skip = (revision - oldest) as usize;
+        let matches = |it: &&Event| kinds.is_empty() || kinds.contains(&it.kind);
+        let newer = self.data.history.iter().skip(skip).filter(matches);
         Ok(newer.map(|it| it.text.clone()).collect())
     }
 
-    /// The last event at or before a revision, as JSON.
-    pub fn before(&self, revision: u64, kinds: &[String]) -> Option<Arc<str>> {
-        let fits = |it: &&Event| kinds.is_empty() || kinds.contains(&it.kind);
+    /// Returns the last event at or before a revision as JSON.
+    pub fn last_event_until(&self, revision: u64, kinds: &[String]) -> Option<Arc<str>> {
+        let matches = |it: &&Event| kinds.is_empty() || kinds.contains(&it.kind);
         let older = self.data.history.iter().rev().filter(|it| it.revision <= revision);
-        older.filter(fits).map(|it| it.text.clone()).next()
+        older.filter(matches).map(|it| it.text.clone()).next()
     }
 
-    fn record(&mut self, change: Change, stored: &Stored) {
+    fn record(&mut self, change: Change, stored: &StoredObject) {
         let text = format!(r#"{{"type":"{}","object":{}}}"#, change.as_str(), stored.text);
         let kind = stored.object.kind.clone();
         self.data.history.push_back(Event {
@@ -173,7 +178,7 @@
             kind,
             text: text.into(),
         });
-        if self.data.history.len() > self.keep {
+        if self.data.history.len() > self.history_limit {
             self.data.history.pop_front();
         }
     }
--- a/crates/standin/src/upstream/admin.rs
+++ b/crates/standin/src/upstream/admin.rs
@@ -1,4 +1,4 @@
-//! The upstream's connections and its admin calls.
+//! Listener and admin API of an upstream.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,20 +14,20 @@
 };
 
 use super::{
+    admission::{GaugeGuard, GaugeName},
     faults::Faults,
-    gate::{Count, Counted},
     record::Record,
     settings::Settings,
     state::State,
 };
 use crate::server::{self, Body, Refusal, Server};
 
-const MAX_BODY: usize = 1 << 20;
-const POLL: Duration = Duration::from_millis(5);
-/// Time after the last request in which requests on open connections are still refused in words.
-const LINGER: Duration = Duration::from_millis(100);
+const MAX_BODY_BYTES: usize = 1 << 20;
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Time after the last request during which requests on open connections still get a 503 response.
+const CLOSE_DELAY: Duration = Duration::from_millis(100);
 
-/// A running upstream; it ends at once when this value is dropped.
+/// A running upstream; dropping it stops it at once.
 #[derive(Debug)]
 pub struct Upstream {
     addr: SocketAddr,
@@ -45,7 +45,7 @@
 }
 
 impl Upstream {
-    /// Listens with these settings.
+    /// Starts listening with these settings; an error if a setting is out of range or an address cannot be bound.
     pub async fn start(settings: Settings, faults: Faults) -> anyhow::Result<Upstream> {
         settings.check()?;
         let (listen, admin) = (settings.listen, settings.admin);
@@ -57,7 +57,7 @@
             let state = state.clone();
             move |request| {
                 let state = state.clone();
-                async move { Ok(admin_call(&state, request).await.unwrap_or_else(|it| it.answer())) }
+                async move { Ok(handle_admin(&state, request).await.unwrap_or_else(|it| it.answer())) }
             }
         };
         let admin = Server::start(admin, handle).await?;
@@ -66,35 +66,35 @@
         Ok(Upstream { addr, admin, state, closing, task })
     }
 
-    /// The address it listens on.
+    /// Address that it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Address of the admin calls.
+    /// Address of the admin API.
     pub fn admin(&self) -> SocketAddr {
         self.admin.addr()
     }
 
-    /// What it got and ran.
+    /// Counters and gauges up to now.
     pub fn record(&self) -> Record {
         self.state.record()
     }
 
-    /// Refuses new requests, ends feeds with their last line, lets the others finish and closes; whether all did.
+    /// Stops gracefully: rejects new requests, ends feeds, and waits for the other requests. Returns false on timeout.
     pub async fn stop(mut self) -> bool {
         let end = Instant::now() + Duration::from_millis(self.state.settings.stop_ms);
         self.state.drain.send_replace(true);
         self.state.stop.send_replace(true);
         let idle = async {
             while !self.is_idle() {
-                sleep(POLL).await;
+                sleep(IDLE_POLL_INTERVAL).await;
             }
         };
         if timeout_at(end, idle).await.is_err() {
             return false;
         }
-        sleep(LINGER).await;
+        sleep(CLOSE_DELAY).await;
         self.closing.send_replace(true);
         timeout_at(end, &mut self.task).await.is_ok()
     }
@@ -124,14 +124,14 @@
                     sleep(server::ACCEPT_PAUSE).await;
                     continue;
                 };
-                let counted = Counted::new(&state, Count::Connections);
-                let over = state.record.lock().connections.now > state.settings.connections as u64;
+                let guard = GaugeGuard::new(&state, GaugeName::Connections);
+                let over_limit = state.record.lock().connections.now > state.settings.connections as u64;
                 let (state, closed) = (state.clone(), closed.clone());
                 connections.spawn(async move {
-                    let _counted = counted;
+                    let _guard = guard;
                     let handle = |request| {
                         let state = state.clone();
-                        async move { state.answer(request, over).await }
+                        async move { state.handle(request, over_limit).await }
                     };
                     server::serve_until(stream, handle, closed).await;
                 });
@@ -142,23 +142,27 @@
     while connections.join_next().await.is_some() {}
 }
 
-async fn admin_call(state: &State, request: Request<Incoming>) -> Result<Response<Body>, Refusal> {
+async fn handle_admin(
+    state: &State,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, Refusal> {
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/record") => Ok(server::json(StatusCode::OK, &state.record())),
         (&Method::GET, "/faults") => Ok(server::json(StatusCode::OK, &*state.faults.borrow())),
         (&Method::PUT, "/faults") => {
-            let faults: Faults = server::read_json(request.into_body(), MAX_BODY).await?;
+            let faults: Faults = server::read_json(request.into_body(), MAX_BODY_BYTES).await?;
             faults.check().map_err(Refusal::bad)?;
             state.faults.send_replace(faults.clone());
             Ok(server::json(StatusCode::OK, &faults))
         }
         (&Method::PUT, "/services") => {
-            let services: Vec<String> = server::read_json(request.into_body(), MAX_BODY).await?;
+            let services: Vec<String> =
+                server::read_json(request.into_body(), MAX_BODY_BYTES).await?;
             *state.services.lock() = services.clone();
             Ok(server::json(StatusCode::OK, &services))
         }
         (&Method::PUT, "/drain") => {
-            let drain: Drain = server::read_json(request.into_body(), MAX_BODY).await?;
+            let drain: Drain = server::read_json(request.into_body(), MAX_BODY_BYTES).await?;
             state.drain.send_replace(drain.on);
             Ok(server::json(StatusCode::OK, &serde_json::json!({ "on": drain.on })))
         }
--- a/crates/standin/src/upstream/faults.rs
+++ b/crates/standin/src/upstream/faults.rs
@@ -1,67 +1,67 @@
-//! Faults of an upstream.
+//! Fault injection of an upstream.
 
 use std::{fmt, str::FromStr};
 
 use bpaf::Bpaf;
 use serde::{Deserialize, Serialize};
 
-/// A lie of `GET /load`.
+/// A false load reported by `GET /load`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Lie {
-    /// Always ready with no slot busy.
+pub enum LoadOverride {
+    /// Ready, with no slot busy.
     Idle,
-    /// Always shedding with all slots busy.
+    /// Shedding, with all slots busy.
     Full,
 }
 
-impl FromStr for Lie {
+impl FromStr for LoadOverride {
     type Err = String;
 
-    fn from_str(s: &str) -> Result<Lie, String> {
+    fn from_str(s: &str) -> Result<LoadOverride, String> {
         match s {
-            "idle" => Ok(Lie::Idle),
-            "full" => Ok(Lie::Full),
+            "idle" => Ok(LoadOverride::Idle),
+            "full" => Ok(LoadOverride::Full),
             _ => Err(format!("{s:?} is none of idle, full")),
         }
     }
 }
 
-impl fmt::Display for Lie {
+impl fmt::Display for LoadOverride {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Lie::Idle => "idle",
-            Lie::Full => "full",
+            LoadOverride::Idle => "idle",
+            LoadOverride::Full => "full",
         })
     }
 }
 
-/// Faults that are in force, all off by default
+/// Faults to inject; all are off by default
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Bpaf)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Factor by which work takes longer
+    /// Factor applied to the work time of each request
     #[bpaf(argument("FACTOR"), fallback(1.0))]
     pub slow: f64,
-    /// Share of requests that are refused as not run
+    /// Share of requests that are rejected without being run
     #[bpaf(argument("SHARE"), fallback(0.0))]
     pub shed: f64,
-    /// Lie of GET /load: idle or full
+    /// False load reported by GET /load: idle or full
     #[bpaf(argument("LIE"))]
-    pub lie: Option<Lie>,
-    /// Milliseconds by which GET /load may lag, over --lag-ms
+    pub lie: Option<LoadOverride>,
+    /// Milliseconds by which GET /load may lag; overrides --lag-ms
     #[bpaf(long("load-lag-ms"), argument("MS"))]
     pub lag_ms: Option<u64>,
-    /// Share of answers that come late
+    /// Share of responses that are delayed
     #[bpaf(argument("SHARE"), fallback(0.0))]
     pub late: f64,
-    /// Milliseconds by which they come late
+    /// Delay of these responses in milliseconds
     #[bpaf(argument("MS"), fallback(0))]
     pub late_ms: u64,
-    /// Share of requests that run, but whose connection is closed instead of an answer
+    /// Share of requests that run and get a closed connection instead of a response
     #[bpaf(argument("SHARE"), fallback(0.0))]
     pub lost: f64,
-    /// Share of answers that break off in the middle
+    /// Share of responses that are truncated
     #[bpaf(argument("SHARE"), fallback(0.0))]
     pub cut: f64,
 }
@@ -82,7 +82,7 @@
 }
 
 impl Faults {
-    /// Checks the ranges.
+    /// Checks that each value is in range.
     pub fn check(&self) -> Result<(), String> {
         let shares =
             [("shed", self.shed), ("late", self.late), ("lost", self.lost), ("cut", self.cut)];
--- a/crates/standin/src/upstream/feed.rs
+++ b/crates/standin/src/upstream/feed.rs
@@ -1,4 +1,5 @@
-//! A feed: numbered lines until its time is over, the upstream stops or the connection is closed.
+//! Feed responses: a stream of numbered lines that ends after its duration, at a deadline, when the upstream stops, or when
+//! the connection is closed.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,7 +14,7 @@
 };
 
 use super::{
-    gate::{Count, Counted},
+    admission::{GaugeGuard, GaugeName},
     journal::Event,
     request::Task,
     run::Run,
@@ -24,79 +25,79 @@
     server::{Body, Dropped, turned_on},
 };
 
-/// Lines after which a feed that is to break off does so.
-const CUT_AFTER: u64 = 2;
-const FOREVER: Duration = Duration::from_secs(365 * 24 * 3600);
+/// Ticks sent before a feed that is to be truncated is cut.
+const TRUNCATE_AFTER_TICKS: u64 = 2;
+const UNLIMITED: Duration = Duration::from_secs(365 * 24 * 3600);
 
 struct Feed {
     echo: String,
-    first: Option<String>,
+    first_line: Option<String>,
     digest: Sha256,
-    count: u64,
+    tick_count: u64,
     ticks: Interval,
     end: Instant,
     stop: watch::Receiver<bool>,
-    cuts: bool,
+    truncate: bool,
     run: Option<Run>,
-    _open: Counted,
+    _open: GaugeGuard,
 }
 
-/// The body of a feed.
+/// Builds the streaming body of a feed.
 pub(super) fn body(
     state: &Arc<State>,
     task: &Task,
     run: Run,
-    length: Option<Duration>,
-    every: Duration,
-    cuts: bool,
+    duration: Option<Duration>,
+    period: Duration,
+    truncate: bool,
 ) -> Body {
     let now = Instant::now();
-    let mut ticks = interval_at(now + every, every);
+    let mut ticks = interval_at(now + period, period);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let end = now + length.unwrap_or(FOREVER);
+    let end = now + duration.unwrap_or(UNLIMITED);
     let feed = Feed {
         echo: task.head.echo.clone(),
-        first: Some(answer::first_line(&task.head)),
+        first_line: Some(answer::first_line(&task.head)),
         digest: Sha256::new(),
-        count: 0,
+        tick_count: 0,
         ticks,
         end: task.deadline.map_or(end, |deadline| deadline.min(end)),
         stop: state.stop.subscribe(),
-        cuts,
+        truncate,
         run: Some(run),
-        _open: Counted::new(state, Count::Feeds),
+        _open: GaugeGuard::new(state, GaugeName::Feeds),
     };
     let lines = stream::unfold(feed, |mut feed| async move {
-        let line = feed.next().await?;
+        let line = feed.next_line().await?;
         Some((line.map(|line| Frame::data(Bytes::from(line))), feed))
     });
     BodyExt::boxed(StreamBody::new(lines))
 }
 
 impl Feed {
-    async fn next(&mut self) -> Option<Result<String, Dropped>> {
+    async fn next_line(&mut self) -> Option<Result<String, Dropped>> {
         self.run.as_ref()?;
-        if let Some(line) = self.first.take() {
+        if let Some(line) = self.first_line.take() {
             self.digest.update(&line);
             return Some(Ok(line));
         }
-        if self.cuts && self.count == CUT_AFTER {
+        if self.truncate && self.tick_count == TRUNCATE_AFTER_TICKS {
             self.run = None;
             return Some(Err(Dropped));
         }
         tokio::select! {
             _ = self.ticks.tick() => {
-                self.count += 1;
-                let line = answer::tick_line(self.count, &self.echo);
+                self.tick_count += 1;
+                let line = answer::tick_line(self.tick_count, &self.echo);
                 self.digest.update(&line);
                 Some(Ok(line))
             }
-            _ = sleep_until(self.end) => self.last(),
-            () = turned_on(&mut self.stop) => self.last(),
+            _ = sleep_until(self.end) => self.last_line(),
+            () = turned_on(&mut self.stop) => self.last_line(),
         }
     }
 
-    fn last(&mut self) -> Option<Result<String, Dropped>> {
+    fn last_line(&mut self) -> Option<Result<String, Dropped>> {
         self.run.take()?.end(Event::Finish);
         let digest = std::mem::take(&mut self.digest);
         Some(Ok(answer::sum_text(&answer::to_hex(&digest.finalize()))))
--- a/crates/standin/src/upstream/journal.rs
+++ b/crates/standin/src/upstream/journal.rs
@@ -1,4 +1,4 @@
-//! A file with a line for each start and end of a request, which outlives the process.
+//! Append-only file with a JSON line for each start and end of a request; it survives a kill of the process.
 
 use std::{
     fs::{self, File, OpenOptions},
@@ -11,26 +11,26 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// What happened to a request.
+/// Lifecycle event of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Event {
-    /// It was started.
+    /// Started.
     Start,
-    /// Its work was done.
+    /// Completed.
     Finish,
-    /// Its connection was closed before the work was done.
+    /// The connection was closed before completion.
     Cancel,
-    /// Its deadline passed before the work was done.
+    /// The deadline passed before completion.
     Expire,
 }
 
 /// A line of the journal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Milliseconds since 1970.
+    /// Milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What happened.
+    /// Event.
     pub event: Event,
     /// Name of the upstream.
     pub upstream: String,
@@ -38,9 +38,9 @@
     pub service: String,
     /// Id of the request, given by the agent.
     pub request: String,
-    /// The caller's idempotency key.
+    /// Idempotency key of the caller; empty if there is none.
     pub key: String,
-    /// The caller's token, from `?echo=`.
+    /// Token of the caller, from `?echo=`.
     pub echo: String,
     /// Method of the request.
     pub method: String,
@@ -61,7 +61,7 @@
         Ok(Journal { file: Mutex::new(file) })
     }
 
-    /// Appends the line by one unbuffered write, so that a kill right after it does not lose it.
+    /// Appends a line with one unbuffered write, so that it survives a kill of the process.
     pub(super) fn append(&self, entry: &Entry) -> anyhow::Result<()> {
         let mut line = serde_json::to_vec(entry).context("write the journal")?;
         line.push(b'\n');
@@ -69,12 +69,12 @@
     }
 }
 
-/// Reads a journal; a last line that was cut by a kill is left out.
+/// Reads a journal, skipping an incomplete last line.
 pub fn read_journal(path: &Path) -> anyhow::Result<Vec<Entry>> {
     let step = || format!("read the journal {}", path.display());
     let text = fs::read_to_string(path).with_context(step)?;
-    let whole = text.rfind('\n').map_or("", |end| &text[..end]);
-    let entries = whole.lines().map(serde_json::from_str);
+    let complete = text.rfind('\n').map_or("", |end| &text[..end]);
+    let entries = complete.lines().map(serde_json::from_str);
     entries.collect::<Result<_, _>>().with_context(step)
 }
 
--- a/crates/standin/src/upstream/load.rs
+++ b/crates/standin/src/upstream/load.rs
@@ -1,30 +1,30 @@
-//! The load that the upstream reports, which may lag or lie.
+//! Load report of an upstream.
 
 use serde::{Deserialize, Serialize};
 
-/// State of an upstream, as it reports it.
+/// State that an upstream reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LoadState {
-    /// Refuses all requests for the first moments.
+    /// Rejects all requests shortly after the start.
     Starting,
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Refuses some requests.
+    /// Rejects some requests.
     Shedding,
-    /// Refuses all requests and finishes those in progress.
+    /// Rejects new requests and completes those in progress.
     Draining,
 }
 
-/// Answer of `GET /load`.
+/// Response of `GET /load`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests worked on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u64,
-    /// Requests being worked on.
+    /// Requests in progress.
     pub busy: u64,
     /// Open connections.
     pub connections: u64,
-    /// State.
+    /// Reported state.
     pub state: LoadState,
 }
--- a/crates/standin/src/upstream/mod.rs
+++ b/crates/standin/src/upstream/mod.rs
@@ -1,10 +1,10 @@
-//! An upstream over HTTP/1.1: slots, a queue, cold start, shedding, drain, deadlines and cancellation, with faults, and a
-//! record of what it ran.
+//! Emulated upstream over HTTP/1.1: concurrency slots, a queue, cold start, load shedding, drain, deadlines, cancellation
+//! and fault injection, with a record of the requests that it ran.
 
 mod admin;
+mod admission;
 mod faults;
 mod feed;
-mod gate;
 mod journal;
 mod load;
 mod record;
@@ -15,7 +15,7 @@
 
 pub use self::{
     admin::Upstream,
-    faults::{Faults, Lie, faults},
+    faults::{Faults, LoadOverride, faults},
     journal::{Entry, Event, read_journal},
     load::{Load, LoadState},
     record::{Record, Runs},
--- a/crates/standin/src/upstream/record.rs
+++ b/crates/standin/src/upstream/record.rs
@@ -1,20 +1,20 @@
-//! What an upstream got and ran, since its start.
+//! Counters and gauges of an upstream since its start.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// How often a non-idempotent request ran.
+/// Run counts of a non-idempotent request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Runs {
-    /// Starts.
+    /// Number of runs started.
     pub started: u64,
-    /// Runs whose work was done.
+    /// Number of runs completed.
     pub finished: u64,
 }
 
-/// The record, as `GET /record` tells it.
+/// Counters and gauges, as returned by `GET /record`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Record {
@@ -26,72 +26,70 @@
     pub keys: BTreeMap<String, Runs>,
     /// Runs of non-idempotent requests by the agent's request id.
     pub requests: BTreeMap<String, Runs>,
-    /// Requests by the service that the agent named, refused ones too.
+    /// Requests by the service that the agent named, including rejected ones.
     pub services: BTreeMap<String, u64>,
-    /// Requests of a service that is not allowed here.
+    /// Requests for a service that this upstream does not allow.
     pub foreign: u64,
     /// Requests started.
     pub started: u64,
-    /// Requests whose work was done.
+    /// Requests completed.
     pub finished: u64,
-    /// Requests whose connection was closed before the work was done.
+    /// Requests whose connection was closed before completion.
     pub cancelled: u64,
-    /// Requests whose deadline passed before the work was done.
+    /// Requests whose deadline passed before completion.
     pub expired: u64,
-    /// Requests refused as not run, by reason.
+    /// Requests rejected without being run, by reason.
     pub refused: BTreeMap<String, u64>,
-    /// Requests that ran and whose connection was closed on purpose instead of an answer.
+    /// Injected faults: requests that ran and got a closed connection instead of a response.
     pub lost: u64,
-    /// Answers that broke off on purpose.
+    /// Injected faults: truncated responses.
     pub cut: u64,
-    /// Answers held back on purpose.
+    /// Injected faults: delayed responses.
     pub late: u64,
-    /// Busy slots over time.
+    /// Busy slots.
     pub busy: Gauge,
-    /// Requests waiting for a slot over time.
+    /// Requests waiting for a slot.
     pub waiting: Gauge,
-    /// Open feeds over time.
+    /// Open feeds.
     pub feeds: Gauge,
-    /// Connections over time.
+    /// Open connections.
     pub connections: Gauge,
     /// Milliseconds since the start.
     pub uptime_ms: u64,
 }
 
-/// A number that goes up and down, with its integral over time.
+/// A gauge with its peak and its integral over time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Gauge {
-    /// The number now.
+    /// Current value.
     pub now: u64,
-    /// Its highest value.
+    /// Highest value.
     pub peak: u64,
-    /// Its integral over the milliseconds since the start.
+    /// Integral over time, in units times milliseconds.
     pub sum_ms: f64,
     #[serde(skip)]
-    changed: Option<Instant>,
+    updated: Option<Instant>,
 }
 
 impl Gauge {
-    /// Adds one.
-    pub(super) fn enter(&mut self, now: Instant) {
+    pub(super) fn increment(&mut self, now: Instant) {
         self.advance(now);
         self.now += 1;
         self.peak = self.peak.max(self.now);
     }
 
-    /// Takes one away.
-    pub(super) fn leave(&mut self, now: Instant) {
+    pub(super) fn decrement(&mut self, now: Instant) {
         self.advance(now);
         self.now -= 1;
     }
 
-    /// Brings the integral up to now.
+    /// Updates the integral up to `now`.
     pub(super) fn advance(&mut self, now: Instant) {
-        if let Some(changed) = self.changed {
-            let since_ms = now.duration_since(changed).as_secs_f64() * 1e3;
+        if let Some(updated) = self.updated {
+            let since_ms = now.duration_since(updated).as_secs_f64() * 1e3;
             self.sum_ms += self.now as f64 * since_ms;
         }
-        self.changed = Some(now);
+        self.updated = Some(now);
     }
 }
 
@@ -102,7 +100,7 @@
         }
     }
 
-    pub(super) fn refuse(&mut self, reason: &str) {
+    pub(super) fn count_rejected(&mut self, reason: &str) {
         *self.refused.entry(reason.to_owned()).or_default() += 1;
     }
 }
--- a/crates/standin/src/upstream/request.rs
+++ b/crates/standin/src/upstream/request.rs
@@ -1,4 +1,4 @@
-//! A request, as read from its head.
+//! Parsing of request heads.
 
 use std::time::Duration;
 
@@ -12,24 +12,24 @@
     server::{self, Refusal},
 };
 
-const MAX_FILLING: usize = 1 << 20;
-const MAX_TOKEN: usize = 256;
-const DEFAULT_EVERY_MS: u64 = 1000;
+const MAX_PADDING_BYTES: usize = 1 << 20;
+const MAX_TOKEN_BYTES: usize = 256;
+const DEFAULT_FEED_PERIOD_MS: u64 = 1000;
 
-/// What is asked for.
+/// Requested resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Resource {
-    /// A small page with some further bytes.
-    Screen { filling: usize },
-    /// A stream of numbered lines, for a time or until it is closed.
-    Feed { length: Option<Duration>, every: Duration },
-    /// A body to be counted and hashed.
+    /// A small response with a number of padding bytes.
+    Screen { padding: usize },
+    /// A stream of numbered lines, with or without an end.
+    Feed { duration: Option<Duration>, period: Duration },
+    /// A request body to measure and hash.
     Upload,
-    /// Work that must not be repeated.
+    /// Work that is not idempotent.
     Transfer,
 }
 
-/// A request that can be run.
+/// A parsed and validated request.
 #[derive(Clone, Debug)]
 pub(super) struct Task {
     pub(super) resource: Resource,
@@ -44,12 +44,12 @@
         let path = request.uri().path();
         let resource = match (request.method(), path) {
             (&Method::GET, "/screen") => {
-                let filling = server::value(&pairs, "size")?.unwrap_or(0);
-                if filling > MAX_FILLING {
-                    let text = format!("query size={filling}: at most {MAX_FILLING}");
+                let padding = server::value(&pairs, "size")?.unwrap_or(0);
+                if padding > MAX_PADDING_BYTES {
+                    let text = format!("query size={padding}: at most {MAX_PADDING_BYTES}");
                     return Err(Refusal::bad(text));
                 }
-                Resource::Screen { filling }
+                Resource::Screen { padding }
             }
             (&Method::GET, "/feed") => feed(&pairs)?,
             (&Method::PUT, "/upload") => Resource::Upload,
@@ -57,8 +57,8 @@
             _ => return Err(Refusal::unknown(path)),
         };
         let echo: String = server::value(&pairs, "echo")?.unwrap_or_default();
-        if echo.len() > MAX_TOKEN {
-            return Err(Refusal::bad(format!("query echo: at most {MAX_TOKEN} characters")));
+        if echo.len() > MAX_TOKEN_BYTES {
+            return Err(Refusal::bad(format!("query echo: at most {MAX_TOKEN_BYTES} characters")));
         }
         let headers = request.headers();
         let head = Head {
@@ -78,35 +78,35 @@
         Ok(Task { resource, head, work, deadline: deadline(headers)? })
     }
 
-    /// Notes the length and digest of the body.
-    pub(super) fn received(&mut self, (size, digest): (u64, String)) {
+    /// Stores the length and digest of the request body.
+    pub(super) fn set_body(&mut self, (size, digest): (u64, String)) {
         self.head.size = size;
         self.head.digest = digest;
     }
 
-    /// Whether running it twice differs from running it once.
-    pub(super) fn runs_once(&self) -> bool {
+    pub(super) fn is_non_idempotent(&self) -> bool {
         self.resource == Resource::Transfer
     }
 }
 
 fn feed(pairs: &[(&str, &str)]) -> Result<Resource, Refusal> {
-    let length_ms: u64 = server::value(pairs, "ms")?.unwrap_or(0);
-    let every_ms: u64 = server::value(pairs, "every")?.unwrap_or(DEFAULT_EVERY_MS);
-    if every_ms == 0 {
+    let duration_ms: u64 = server::value(pairs, "ms")?.unwrap_or(0);
+    let period_ms: u64 = server::value(pairs, "every")?.unwrap_or(DEFAULT_FEED_PERIOD_MS);
+    if period_ms == 0 {
         return Err(Refusal::bad("query every=0: must be above 0"));
     }
-    let length = (length_ms > 0).then(|| Duration::from_millis(length_ms));
-    Ok(Resource::Feed { length, every: Duration::from_millis(every_ms) })
+    let duration = (duration_ms > 0).then(|| Duration::from_millis(duration_ms));
+    Ok(Resource::Feed { duration, period: Duration::from_millis(period_ms) })
 }
 
 fn header(headers: &HeaderMap, name: &str) -> Result<String, Refusal> {
     let Some(value) = headers.get(name) else {
         return Ok(String::new());
     };
-    let text = value.to_str().ok().filter(|text| text.len() <= MAX_TOKEN);
-    let wrong = || Refusal::bad(format!("header {name}: at most {MAX_TOKEN} plain characters"));
-    text.map(str::to_owned).ok_or_else(wrong)
+    let text = value.to_str().ok().filter(|text| text.len() <= MAX_TOKEN_BYTES);
+    let invalid =
+        || Refusal::bad(format!("header {name}: at most {MAX_TOKEN_BYTES} plain characters"));
+    text.map(str::to_owned).ok_or_else(invalid)
 }
 
 fn deadline(headers: &HeaderMap) -> Result<Option<Instant>, Refusal> {
@@ -114,7 +114,7 @@
     if text.is_empty() {
         return Ok(None);
     }
-    let wrong = |_| Refusal::bad(format!("header {}: {text:?} is no number", answer::DEADLINE));
-    let left_ms: u32 = text.parse().map_err(wrong)?;
+    let invalid = |_| Refusal::bad(format!("header {}: {text:?} is no number", answer::DEADLINE));
+    let left_ms: u32 = text.parse().map_err(invalid)?;
     Ok(Some(Instant::now() + Duration::from_millis(left_ms.into())))
 }
--- a/crates/standin/src/upstream/run.rs
+++ b/crates/standin/src/upstream/run.rs
@@ -1,4 +1,4 @@
-//! One run of a request: recorded when it starts, and when it ends in whatever way.
+//! Execution of a request, recorded at its start and at its end.
 
 use std::sync::Arc;
 
@@ -8,17 +8,17 @@
     state::State,
 };
 
-/// A started run. Dropped before its end, it counts as cancelled.
+/// A started request; dropping it before `end` records a cancellation.
 #[derive(Debug)]
 pub(super) struct Run {
     state: Arc<State>,
     entry: Entry,
-    once: bool,
+    non_idempotent: bool,
     ended: bool,
 }
 
 impl Run {
-    /// Records the start; the journal's line stands before anything runs.
+    /// Records the start; the journal line is written before any work is done.
     pub(super) fn new(state: &Arc<State>, task: &Task) -> anyhow::Result<Run> {
         let head = &task.head;
         let entry = Entry {
@@ -35,12 +35,16 @@
         if let Some(journal) = &state.journal {
             journal.append(&entry)?;
         }
-        let run = Run { state: state.clone(), entry, once: task.runs_once(), ended: false };
+        let run = Run {
+            state: state.clone(),
+            entry,
+            non_idempotent: task.is_non_idempotent(),
+            ended: false,
+        };
         run.count();
         Ok(run)
     }
 
-    /// Records the end.
     pub(super) fn end(mut self, event: Event) {
         self.record_end(event);
     }
@@ -65,7 +69,7 @@
             Event::Cancel => record.cancelled += 1,
             Event::Expire => record.expired += 1,
         }
-        if !self.once {
+        if !self.non_idempotent {
             return;
         }
         let started = u64::from(self.entry.event == Event::Start);
--- a/crates/standin/src/upstream/settings.rs
+++ b/crates/standin/src/upstream/settings.rs
@@ -8,58 +8,58 @@
 /// Settings of an upstream
 #[derive(Clone, Debug, Bpaf)]
 pub struct Settings {
-    /// Address to listen on; port 0 picks one
+    /// Address to listen on; port 0 picks a free port
     #[bpaf(argument("IP:PORT"))]
     pub listen: SocketAddr,
-    /// Address of the admin calls; port 0 picks one
+    /// Address of the admin API; port 0 picks a free port
     #[bpaf(argument("IP:PORT"))]
     pub admin: SocketAddr,
-    /// Name, in answers and records
+    /// Name in responses and records
     #[bpaf(argument("NAME"))]
     pub name: String,
-    /// Pool, in answers and records
+    /// Pool in responses and records
     #[bpaf(argument("POOL"))]
     pub pool: String,
-    /// Requests worked on at once
+    /// Maximum number of concurrent requests
     #[bpaf(argument("N"), fallback(7), display_fallback)]
     pub slots: usize,
-    /// Connections answered at once; requests on others are refused
+    /// Maximum number of connections; requests on further ones are rejected
     #[bpaf(argument("N"), fallback(2000), display_fallback)]
     pub connections: usize,
-    /// Requests that may wait for a slot; others are refused
+    /// Maximum number of requests that wait for a slot; further ones are rejected
     #[bpaf(argument("N"), fallback(7), display_fallback)]
     pub queue: usize,
-    /// Milliseconds of work of a request that names none
+    /// Default work time of a request in milliseconds
     #[bpaf(argument("MS"), fallback(2), display_fallback)]
     pub work_ms: u64,
-    /// Milliseconds from the start in which every request is refused
+    /// Milliseconds after the start during which every request is rejected
     #[bpaf(argument("MS"), fallback(0), display_fallback)]
     pub starting_ms: u64,
-    /// Milliseconds after that in which work is slow, at first most
+    /// Milliseconds of cold start after that, with a slowdown that falls linearly
     #[bpaf(argument("MS"), fallback(0), display_fallback)]
     pub cold_ms: u64,
-    /// Factor of slowness at the start of the cold time
+    /// Slowdown factor at the beginning of the cold start
     #[bpaf(argument("FACTOR"), fallback(5.0), display_fallback)]
     pub cold_factor: f64,
     /// Milliseconds by which GET /load may lag
     #[bpaf(argument("MS"), fallback(0), display_fallback)]
     pub lag_ms: u64,
-    /// Most milliseconds for requests in progress at a stop
+    /// Milliseconds that requests in progress get to complete at a stop
     #[bpaf(argument("MS"), fallback(20_000), display_fallback)]
     pub stop_ms: u64,
-    /// Services that may send requests here, others are counted as foreign; repeatable, any if none is named
+    /// Allowed service, others are counted as foreign; repeatable, any service if left out
     #[bpaf(argument("NAME"))]
     pub service: Vec<String>,
-    /// File to which each start and end of a request is appended, to be read after a kill
+    /// File to append each start and end of a request to; it survives a kill
     #[bpaf(argument("FILE"))]
     pub journal: Option<PathBuf>,
-    /// Seed of the random faults
+    /// Seed of the random number generator for faults
     #[bpaf(argument("N"), fallback(1), display_fallback)]
     pub seed: u64,
 }
 
 impl Settings {
-    /// Settings with the defaults of the command line.
+    /// Settings with the command-line defaults.
     pub fn new(listen: SocketAddr, admin: SocketAddr, name: &str, pool: &str) -> Settings {
         Settings {
             listen,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Checks the ranges.
+    /// Checks that each value is in range.
     pub fn check(&self) -> anyhow::Result<()> {
         ensure!(self.slots > 0, "--slots: must be above 0");
         ensure!(self.connections > 0, "--connections: must be above 0");
--- a/crates/standin/src/upstream/state.rs
+++ b/crates/standin/src/upstream/state.rs
@@ -1,4 +1,4 @@
-//! State of an upstream, and how it answers a request.
+//! State of an upstream and its request handling.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,9 +16,9 @@
 };
 
 use super::{
-    faults::{Faults, Lie},
+    admission::{Admission, RejectReason},
+    faults::{Faults, LoadOverride},
     feed,
-    gate::{Gate, Reason},
     journal::{Event, Journal},
     load::{Load, LoadState},
     record::Record,
@@ -31,9 +31,9 @@
     server::{self, Answer, Body, Dropped, Refusal},
 };
 
-const RETRY_AFTER: &str = "1";
+const RETRY_AFTER_S: &str = "1";
 
-/// State behind all connections. Lock order: `load`, `record`; none is held across an await.
+/// State shared by all connections. Lock order: `last_load`, `record`; no lock is held across an await.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) settings: Settings,
@@ -43,15 +43,15 @@
     pub(super) stop: watch::Sender<bool>,
     pub(super) record: Mutex<Record>,
     pub(super) journal: Option<Journal>,
-    gate: Gate,
-    random: Mutex<StdRng>,
-    load: Mutex<Option<(Instant, Load)>>,
+    admission: Admission,
+    rng: Mutex<StdRng>,
+    last_load: Mutex<Option<(Instant, Load)>>,
     started: Instant,
 }
 
-/// Work that did not come to its end.
-enum Broken {
-    Expired,
+/// Why work was not completed.
+enum WorkError {
+    DeadlineExceeded,
     Dropped,
 }
 
@@ -70,15 +70,15 @@
             stop: watch::Sender::new(false),
             record: Mutex::new(record),
             journal,
-            gate: Gate::new(settings.slots, settings.queue),
-            random: Mutex::new(StdRng::seed_from_u64(settings.seed)),
-            load: Mutex::default(),
+            admission: Admission::new(settings.slots, settings.queue),
+            rng: Mutex::new(StdRng::seed_from_u64(settings.seed)),
+            last_load: Mutex::default(),
             started: Instant::now(),
             settings,
         })
     }
 
-    /// The record up to now.
+    /// Returns the record, with its gauges updated to now.
     pub(super) fn record(&self) -> Record {
         let mut record = self.record.lock();
         record.advance(Instant::now());
@@ -86,64 +86,65 @@
         record.clone()
     }
 
-    /// Answers a request; `over` says that its connection is beyond the limit.
-    pub(super) async fn answer(
+    /// Handles a request; `over_limit` means that its connection exceeds the connection limit.
+    pub(super) async fn handle(
         self: &Arc<State>,
         request: Request<Incoming>,
-        over: bool,
+        over_limit: bool,
     ) -> Answer {
         if request.uri().path() == "/load" {
-            return Ok(server::json(StatusCode::OK, &self.load()));
+            return Ok(server::json(StatusCode::OK, &self.reported_load()));
         }
         let task = match Task::new(&request, &self.settings) {
             Ok(task) => task,
             Err(refusal) => return Ok(refusal.answer()),
         };
         self.count_service(&task.head.service);
-        let refused = if over { Some(Reason::Connections) } else { self.refusal(&task) };
-        if let Some(reason) = refused {
+        let rejected =
+            if over_limit { Some(RejectReason::Connections) } else { self.reject_reason(&task) };
+        if let Some(reason) = rejected {
             server::discard(request.into_body());
-            return Ok(self.refuse(&task, reason));
+            return Ok(self.reject(&task, reason));
         }
         match task.resource {
-            Resource::Feed { length, every } => self.feed(&task, length, every),
+            Resource::Feed { duration, period } => self.feed(&task, duration, period),
             Resource::Upload => self.upload(task, request.into_body()).await,
             Resource::Screen { .. } | Resource::Transfer => {
-                self.page(task, request.into_body()).await
+                self.run_in_slot(task, request.into_body()).await
             }
         }
     }
 
-    /// The load as reported, which may lag and lie.
-    fn load(&self) -> Load {
-        let (lag_ms, lie) = {
+    /// The load to report, which may be outdated or overridden.
+    fn reported_load(&self) -> Load {
+        let (lag_ms, load_override) = {
             let faults = self.faults.borrow();
             (faults.lag_ms.unwrap_or(self.settings.lag_ms), faults.lie)
         };
-        let mut last = self.load.lock();
+        let mut last = self.last_load.lock();
         let now = Instant::now();
         let lag = Duration::from_millis(lag_ms);
         let mut load = match &*last {
             Some((at, load)) if now.duration_since(*at) < lag => load.clone(),
-            _ => self.exact_load(),
+            _ => self.actual_load(),
         };
         if last.as_ref().is_none_or(|(at, _)| now.duration_since(*at) >= lag) {
             *last = Some((now, load.clone()));
         }
-        match lie {
+        match load_override {
             None => {}
-            Some(Lie::Idle) => (load.busy, load.state) = (0, LoadState::Ready),
-            Some(Lie::Full) => (load.busy, load.state) = (load.slots, LoadState::Shedding),
+            Some(LoadOverride::Idle) => (load.busy, load.state) = (0, LoadState::Ready),
+            Some(LoadOverride::Full) => (load.busy, load.state) = (load.slots, LoadState::Shedding),
         }
         load
     }
 
-    fn exact_load(&self) -> Load {
+    fn actual_load(&self) -> Load {
         let state = if *self.drain.borrow() {
             LoadState::Draining
         } else if self.is_starting() {
             LoadState::Starting
-        } else if self.faults.borrow().shed > 0.0 || !self.gate.has_room(self) {
+        } else if self.faults.borrow().shed > 0.0 || !self.admission.has_capacity(self) {
             LoadState::Shedding
         } else {
             LoadState::Ready
@@ -169,105 +170,110 @@
         *record.services.entry(service.to_owned()).or_default() += 1;
     }
 
-    /// Why the request is refused before anything is run, if it is.
-    fn refusal(&self, task: &Task) -> Option<Reason> {
+    /// Why the request is to be rejected before it runs, if at all.
+    fn reject_reason(&self, task: &Task) -> Option<RejectReason> {
         let is_feed = matches!(task.resource, Resource::Feed { .. });
         let shed = self.faults.borrow().shed;
         if *self.drain.borrow() {
-            Some(Reason::Draining)
+            Some(RejectReason::Draining)
         } else if self.is_starting() {
-            Some(Reason::Starting)
-        } else if self.chance(shed) {
-            Some(Reason::Shed)
-        } else if !is_feed && !self.gate.has_room(self) {
-            Some(Reason::Full)
+            Some(RejectReason::Starting)
+        } else if self.random_bool(shed) {
+            Some(RejectReason::Shed)
+        } else if !is_feed && !self.admission.has_capacity(self) {
+            Some(RejectReason::Full)
         } else {
             None
         }
     }
 
-    fn refuse(&self, task: &Task, reason: Reason) -> Response<Body> {
-        self.record.lock().refuse(reason.as_str());
+    fn reject(&self, task: &Task, reason: RejectReason) -> Response<Body> {
+        self.record.lock().count_rejected(reason.as_str());
         let text = format!("not run: {}", reason.as_str());
         let mut answer = Refusal::new(StatusCode::SERVICE_UNAVAILABLE, text).answer();
         let headers = answer.headers_mut();
         headers.insert(HeaderName::from_static(answer::NOT_RUN), HeaderValue::from_static("true"));
-        headers.insert(header::RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER));
+        headers.insert(header::RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_S));
         echo_request(&mut answer, task);
         answer
     }
 
-    fn chance(&self, share: f64) -> bool {
-        share > 0.0 && self.random.lock().random_bool(share)
+    fn random_bool(&self, probability: f64) -> bool {
+        probability > 0.0 && self.rng.lock().random_bool(probability)
     }
 
-    fn start(self: &Arc<State>, task: &Task) -> Result<Run, Reason> {
+    fn start(self: &Arc<State>, task: &Task) -> Result<Run, RejectReason> {
         Run::new(self, task).map_err(|error| {
             tracing::error!("{error:#}");
-            Reason::Journal
+            RejectReason::Journal
         })
     }
 
-    fn feed(self: &Arc<State>, task: &Task, length: Option<Duration>, every: Duration) -> Answer {
+    fn feed(
+        self: &Arc<State>,
+        task: &Task,
+        duration: Option<Duration>,
+        period: Duration,
+    ) -> Answer {
         let run = match self.start(task) {
             Ok(run) => run,
-            Err(reason) => return Ok(self.refuse(task, reason)),
+            Err(reason) => return Ok(self.reject(task, reason)),
         };
-        let share = self.faults.borrow().cut;
-        let cuts = self.chance(share);
-        self.record.lock().cut += u64::from(cuts);
-        let mut answer = Response::new(feed::body(self, task, run, length, every, cuts));
+        let probability = self.faults.borrow().cut;
+        let truncate = self.random_bool(probability);
+        self.record.lock().cut += u64::from(truncate);
+        let mut answer = Response::new(feed::body(self, task, run, duration, period, truncate));
         echo_request(&mut answer, task);
         Ok(answer)
     }
 
-    /// A request that starts when it has a slot, and reads its body, if it has one, in that slot.
-    async fn page(self: &Arc<State>, mut task: Task, body: Incoming) -> Answer {
-        let slot = match self.gate.enter(self, task.deadline).await {
+    /// Runs a request that needs a slot before it starts; its body is read while it holds the slot.
+    async fn run_in_slot(self: &Arc<State>, mut task: Task, body: Incoming) -> Answer {
+        let slot = match self.admission.acquire(self, task.deadline).await {
             Ok(slot) => slot,
-            Err(reason) => return Ok(self.refuse(&task, reason)),
+            Err(reason) => return Ok(self.reject(&task, reason)),
         };
         let run = match self.start(&task) {
             Ok(run) => run,
-            Err(reason) => return Ok(self.refuse(&task, reason)),
+            Err(reason) => return Ok(self.reject(&task, reason)),
         };
         let work = task.work;
-        let whole = async {
-            let read = digest(body).await?;
+        let steps = async {
+            let read = read_digest(body).await?;
             self.work(work).await?;
             Ok(read)
         };
-        let worked = within(task.deadline, whole).await.map(|read| task.received(read));
+        let result = with_deadline(task.deadline, steps).await.map(|read| task.set_body(read));
         drop(slot);
-        self.finish(task, run, worked).await
+        self.finish(task, run, result).await
     }
 
-    /// An upload is started when its body is read, and takes a slot for the work that follows.
+    /// Runs an upload: it starts at once, reads its body, then takes a slot for the work.
     async fn upload(self: &Arc<State>, mut task: Task, body: Incoming) -> Answer {
         let run = match self.start(&task) {
             Ok(run) => run,
-            Err(reason) => return Ok(self.refuse(&task, reason)),
+            Err(reason) => return Ok(self.reject(&task, reason)),
         };
         let work = task.work;
-        let whole = async {
-            let read = digest(body).await?;
-            let slot = self.gate.enter(self, None).await.map_err(|_| Broken::Dropped)?;
+        let steps = async {
+            let read = read_digest(body).await?;
+            let slot = self.admission.acquire(self, None).await.map_err(|_| WorkError::Dropped)?;
             self.work(work).await?;
             drop(slot);
             Ok(read)
         };
-        let worked = within(task.deadline, whole).await.map(|read| task.received(read));
-        self.finish(task, run, worked).await
+        let result = with_deadline(task.deadline, steps).await.map(|read| task.set_body(read));
+        self.finish(task, run, result).await
     }
 
-    async fn work(&self, length: Duration) -> Result<(), Broken> {
+    async fn work(&self, duration: Duration) -> Result<(), WorkError> {
         let slow = self.faults.borrow().slow;
-        sleep(length.mul_f64(slow * self.cold())).await;
+        sleep(duration.mul_f64(slow * self.cold_start_factor())).await;
         Ok(())
     }
 
-    /// Factor of slowness after the start, falling to 1.
-    fn cold(&self) -> f64 {
+    /// Slowdown factor after the start, falling linearly to 1.
+    fn cold_start_factor(&self) -> f64 {
         let starting = Duration::from_millis(self.settings.starting_ms);
         let since_ms = self.started.elapsed().saturating_sub(starting).as_millis() as f64;
         let cold_ms = self.settings.cold_ms as f64;
@@ -277,35 +283,35 @@
         1.0 + (self.settings.cold_factor - 1.0) * (1.0 - since_ms / cold_ms)
     }
 
-    async fn finish(&self, task: Task, run: Run, worked: Result<(), Broken>) -> Answer {
-        match worked {
+    async fn finish(&self, task: Task, run: Run, result: Result<(), WorkError>) -> Answer {
+        match result {
             Ok(()) => run.end(Event::Finish),
-            Err(Broken::Expired) => {
+            Err(WorkError::DeadlineExceeded) => {
                 run.end(Event::Expire);
                 let text = "the deadline passed";
                 let mut answer = Refusal::new(StatusCode::GATEWAY_TIMEOUT, text).answer();
                 echo_request(&mut answer, &task);
                 return Ok(answer);
             }
-            Err(Broken::Dropped) => return Err(Dropped),
+            Err(WorkError::Dropped) => return Err(Dropped),
         }
         let faults = self.faults.borrow().clone();
-        if self.chance(faults.late) {
+        if self.random_bool(faults.late) {
             self.record.lock().late += 1;
             sleep(Duration::from_millis(faults.late_ms)).await;
         }
-        if self.chance(faults.lost) {
+        if self.random_bool(faults.lost) {
             self.record.lock().lost += 1;
             return Err(Dropped);
         }
-        let filling = match task.resource {
-            Resource::Screen { filling } => filling,
+        let padding = match task.resource {
+            Resource::Screen { padding } => padding,
             _ => 0,
         };
-        let text = answer::write(&task.head, filling);
-        let mut answer = if self.chance(faults.cut) {
+        let text = answer::write(&task.head, padding);
+        let mut answer = if self.random_bool(faults.cut) {
             self.record.lock().cut += 1;
-            cut(text)
+            truncated(text)
         } else {
             Response::new(server::full(text))
         };
@@ -314,22 +320,24 @@
     }
 }
 
-async fn within<T, F>(deadline: Option<Instant>, work: F) -> Result<T, Broken>
+async fn with_deadline<T, F>(deadline: Option<Instant>, work: F) -> Result<T, WorkError>
 where
-    F: Future<Output = Result<T, Broken>>,
+    F: Future<Output = Result<T, WorkError>>,
 {
     match deadline {
         None => work.await,
-        Some(deadline) => timeout_at(deadline, work).await.unwrap_or(Err(Broken::Expired)),
+        Some(deadline) => {
+            timeout_at(deadline, work).await.unwrap_or(Err(WorkError::DeadlineExceeded))
+        }
     }
 }
 
-/// Length and SHA-256 of a body, the latter empty if there is no body.
-async fn digest(mut body: Incoming) -> Result<(u64, String), Broken> {
+/// Length and hex SHA-256 of a body; the digest is empty for an empty body.
+async fn read_digest(mut body: Incoming) -> Result<(u64, String), WorkError> {
     let mut size = 0;
     let mut digest = Sha256::new();
     while let Some(frame) = body.frame().await {
-        let Ok(frame) = frame else { return Err(Broken::Dropped) };
+        let Ok(frame) = frame else { return Err(WorkError::Dropped) };
         let Some(data) = frame.data_ref() else { continue };
         size += data.len() as u64;
         digest.update(data);
@@ -340,8 +348,8 @@
     Ok((size, answer::to_hex(&digest.finalize())))
 }
 
-/// An answer whose connection is closed after half of its body.
-fn cut(text: String) -> Response<Body> {
+/// A response whose connection is closed after half of its body.
+fn truncated(text: String) -> Response<Body> {
     let length = text.len();
     let half = Bytes::from(text).slice(..length / 2);
     let parts = stream::iter([Ok(Frame::data(half)), Err(Dropped)]);
--- a/crates/standin/tests/fabric.rs
+++ b/crates/standin/tests/fabric.rs
@@ -1,4 +1,4 @@
-//! The fabric stand-in: spray, return path, routes and faults.
+//! Fabric emulator: packet spraying, return path, routes and faults.
 
 mod client;
 
@@ -14,18 +14,18 @@
 use serde_json::json;
 use tokio::{net::UdpSocket, task::JoinSet, time::timeout};
 
-const IDLE: Duration = Duration::from_secs(60);
-const SHORT: Duration = Duration::from_millis(200);
-const LONG: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(200);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-async fn socket() -> (UdpSocket, SocketAddr) {
+async fn bind_socket() -> (UdpSocket, SocketAddr) {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let addr = socket.local_addr().unwrap();
     (socket, addr)
 }
 
-/// A free address on an IP that nothing else in this test binds.
-async fn free() -> SocketAddr {
+/// Returns a free address on an IP that no other test binds.
+async fn free_address() -> SocketAddr {
     static COUNT: AtomicU8 = AtomicU8::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let ip = Ipv4Addr::new(127, high | 0x80, low, COUNT.fetch_add(1, Ordering::Relaxed));
@@ -51,45 +51,47 @@
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    assert!(timeout(LONG, wait).await.is_ok(), "{:?}", counts(fabric));
+    assert!(timeout(TEST_TIMEOUT, wait).await.is_ok(), "{:?}", counts(fabric));
     counts(fabric)
 }
 
 #[tokio::test]
-async fn datagrams_spread_and_answers_come_from_the_service() {
-    let service = free().await;
+async fn datagrams_are_sprayed_and_replies_come_from_the_service_address() {
+    let service = free_address().await;
     let agent = UdpSocket::bind("127.0.0.2:0").await.unwrap();
     let mut balancers = Vec::new();
     let mut tasks = JoinSet::new();
-    let (told, mut heard) = tokio::sync::mpsc::unbounded_channel();
+    let (sender, mut received) = tokio::sync::mpsc::unbounded_channel();
     for index in 0..3 {
-        let (socket, addr) = socket().await;
+        let (socket, addr) = bind_socket().await;
         balancers.push(addr);
-        let told = told.clone();
+        let sender = sender.clone();
         tasks.spawn(async move {
             let mut buffer = [0; 2048];
             while let Ok((len, from)) = socket.recv_from(&mut buffer).await {
-                let _ = told.send((index, from, buffer[..len].to_vec()));
+                let _ = sender.send((index, from, buffer[..len].to_vec()));
             }
         });
     }
     let routes = Routes::from([(service, balancers)]);
-    let fabric = start(&routes, IDLE, Faults::default()).await;
+    let fabric = start(&routes, IDLE_TIMEOUT, Faults::default()).await;
 
-    let callers = [socket().await.0, socket().await.0];
+    let callers = [bind_socket().await.0, bind_socket().await.0];
     let mut sources = [BTreeSet::new(), BTreeSet::new()];
     let mut spread: BTreeMap<usize, u64> = BTreeMap::new();
     for round in 0..150_u16 {
         for (index, caller) in callers.iter().enumerate() {
             let sent = [index as u8, round as u8, (round >> 8) as u8];
             caller.send_to(&sent, service).await.unwrap();
-            let (balancer, from, got) = timeout(LONG, heard.recv()).await.unwrap().unwrap();
-            assert_eq!(got, sent);
+            let (balancer, from, payload) =
+                timeout(TEST_TIMEOUT, received.recv()).await.unwrap().unwrap();
+            assert_eq!(payload, sent);
             sources[index].insert(from);
             *spread.entry(balancer).or_default() += 1;
-            agent.send_to(&got, from).await.unwrap();
+            agent.send_to(&payload, from).await.unwrap();
             let mut buffer = [0; 16];
-            let (len, from) = timeout(LONG, caller.recv_from(&mut buffer)).await.unwrap().unwrap();
+            let (len, from) =
+                timeout(TEST_TIMEOUT, caller.recv_from(&mut buffer)).await.unwrap().unwrap();
             assert_eq!((&buffer[..len], from), (&sent[..], service));
         }
     }
@@ -102,13 +104,14 @@
 }
 
 #[tokio::test]
-async fn a_burst_with_segmentation_is_split() {
-    let (service, (balancer, addr)) = (free().await, socket().await);
-    let fabric = start(&Routes::from([(service, vec![addr])]), IDLE, Faults::default()).await;
-    let (caller, _) = socket().await;
+async fn a_segmented_burst_is_split_into_datagrams() {
+    let (service, (balancer, addr)) = (free_address().await, bind_socket().await);
+    let fabric =
+        start(&Routes::from([(service, vec![addr])]), IDLE_TIMEOUT, Faults::default()).await;
+    let (caller, _) = bind_socket().await;
     caller.send_to(b"x", service).await.unwrap();
     let mut buffer = [0; 2048];
-    let (_, relay) = timeout(LONG, balancer.recv_from(&mut buffer)).await.unwrap().unwrap();
+    let (_, relay) = timeout(TEST_TIMEOUT, balancer.recv_from(&mut buffer)).await.unwrap().unwrap();
 
     let state = quinn_udp::UdpSocketState::new((&balancer).into()).unwrap();
     let contents: Vec<u8> = (0..10_u8).flat_map(|it| [it; 1000]).chain([10; 7]).collect();
@@ -127,34 +130,35 @@
         }
     }
     for index in 0..=10_u8 {
-        let (len, _) = timeout(LONG, caller.recv_from(&mut buffer)).await.unwrap().unwrap();
+        let (len, _) = timeout(TEST_TIMEOUT, caller.recv_from(&mut buffer)).await.unwrap().unwrap();
         assert_eq!((len, buffer[0]), (if index < 10 { 1000 } else { 7 }, index));
     }
     assert_eq!(counts(&fabric).back, 11);
 }
 
 #[tokio::test]
-async fn routes_change_while_callers_stay() {
-    let (service, second) = (free().await, free().await);
-    let ((old, old_addr), (new, new_addr)) = (socket().await, socket().await);
-    let fabric = start(&Routes::from([(service, vec![old_addr])]), IDLE, Faults::default()).await;
+async fn route_changes_keep_existing_callers() {
+    let (service, second) = (free_address().await, free_address().await);
+    let ((old, old_addr), (new, new_addr)) = (bind_socket().await, bind_socket().await);
+    let fabric =
+        start(&Routes::from([(service, vec![old_addr])]), IDLE_TIMEOUT, Faults::default()).await;
     let admin = Client::new(fabric.admin());
-    let (caller, _) = socket().await;
+    let (caller, _) = bind_socket().await;
     let mut buffer = [0; 16];
     caller.send_to(b"1", service).await.unwrap();
-    let (_, before) = timeout(LONG, old.recv_from(&mut buffer)).await.unwrap().unwrap();
+    let (_, before) = timeout(TEST_TIMEOUT, old.recv_from(&mut buffer)).await.unwrap().unwrap();
 
     let routes = json!({ service.to_string(): [new_addr], second.to_string(): [old_addr] });
     assert_eq!(admin.put("/routes", &routes).await.unwrap().status, 200);
     assert_eq!(admin.get("/routes").await.unwrap().json(), routes);
     caller.send_to(b"2", service).await.unwrap();
-    let (_, after) = timeout(LONG, new.recv_from(&mut buffer)).await.unwrap().unwrap();
+    let (_, after) = timeout(TEST_TIMEOUT, new.recv_from(&mut buffer)).await.unwrap().unwrap();
     assert_eq!(before, after);
     caller.send_to(b"3", second).await.unwrap();
-    timeout(LONG, old.recv_from(&mut buffer)).await.unwrap().unwrap();
+    timeout(TEST_TIMEOUT, old.recv_from(&mut buffer)).await.unwrap().unwrap();
     assert_eq!(buffer[0], b'3');
 
-    let (_held, held_addr) = socket().await;
+    let (_held, held_addr) = bind_socket().await;
     let taken = json!({ held_addr.to_string(): [new_addr] });
     assert_eq!(admin.put("/routes", &taken).await.unwrap().status, 409);
     assert_eq!(admin.get("/routes").await.unwrap().json(), routes);
@@ -167,22 +171,23 @@
 }
 
 #[tokio::test]
-async fn faults_apply_both_ways() {
-    let (service, (balancer, addr)) = (free().await, socket().await);
-    let fabric = start(&Routes::from([(service, vec![addr])]), IDLE, Faults::default()).await;
+async fn faults_apply_in_both_directions() {
+    let (service, (balancer, addr)) = (free_address().await, bind_socket().await);
+    let fabric =
+        start(&Routes::from([(service, vec![addr])]), IDLE_TIMEOUT, Faults::default()).await;
     let admin = Client::new(fabric.admin());
-    let (caller, _) = socket().await;
+    let (caller, _) = bind_socket().await;
     let mut buffer = [0; 16];
     caller.send_to(b"0", service).await.unwrap();
-    let (_, relay) = timeout(LONG, balancer.recv_from(&mut buffer)).await.unwrap().unwrap();
+    let (_, relay) = timeout(TEST_TIMEOUT, balancer.recv_from(&mut buffer)).await.unwrap().unwrap();
 
     admin.put("/faults", &json!({ "duplicate": 1.0 })).await.unwrap();
     caller.send_to(b"1", service).await.unwrap();
     balancer.send_to(b"2", relay).await.unwrap();
     for _ in 0..2 {
-        timeout(LONG, balancer.recv_from(&mut buffer)).await.unwrap().unwrap();
+        timeout(TEST_TIMEOUT, balancer.recv_from(&mut buffer)).await.unwrap().unwrap();
         assert_eq!(buffer[0], b'1');
-        timeout(LONG, caller.recv_from(&mut buffer)).await.unwrap().unwrap();
+        timeout(TEST_TIMEOUT, caller.recv_from(&mut buffer)).await.unwrap().unwrap();
         assert_eq!(buffer[0], b'2');
     }
 
@@ -192,7 +197,7 @@
     admin.put("/faults", &json!({})).await.unwrap();
     caller.send_to(b"4", service).await.unwrap();
     for expected in [b'4', b'3'] {
-        timeout(LONG, balancer.recv_from(&mut buffer)).await.unwrap().unwrap();
+        timeout(TEST_TIMEOUT, balancer.recv_from(&mut buffer)).await.unwrap().unwrap();
         assert_eq!(buffer[0], expected);
     }
 
@@ -203,15 +208,16 @@
     admin.put("/faults", &json!({ "cut": [addr.ip()] })).await.unwrap();
     caller.send_to(b"7", service).await.unwrap();
     wait_for(&fabric, |it| it.cut == 1).await;
-    assert!(timeout(SHORT, balancer.recv_from(&mut buffer)).await.is_err());
+    assert!(timeout(SHORT_TIMEOUT, balancer.recv_from(&mut buffer)).await.is_err());
     assert_eq!(admin.put("/faults", &json!({ "loss": 1.5 })).await.unwrap().status, 400);
 }
 
 #[tokio::test]
-async fn silent_callers_are_forgotten() {
-    let (service, (_balancer, addr)) = (free().await, socket().await);
-    let fabric = start(&Routes::from([(service, vec![addr])]), SHORT, Faults::default()).await;
-    let (caller, _) = socket().await;
+async fn idle_callers_are_evicted() {
+    let (service, (_balancer, addr)) = (free_address().await, bind_socket().await);
+    let fabric =
+        start(&Routes::from([(service, vec![addr])]), SHORT_TIMEOUT, Faults::default()).await;
+    let (caller, _) = bind_socket().await;
     for opened in 1..=2 {
         caller.send_to(b"x", service).await.unwrap();
         wait_for(&fabric, |it| it.opened == opened && it.callers == 1).await;
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform stand-in: conditional writes, watches and faults.
+//! Platform emulator: conditional writes, watches and faults.
 
 mod client;
 
@@ -15,11 +15,11 @@
     (platform, client)
 }
 
-fn write(version: u64, spec: u64) -> Value {
+fn put_body(version: u64, spec: u64) -> Value {
     json!({ "version": version, "writer": format!("{spec:032x}"), "spec": spec })
 }
 
-async fn set(client: &Client, faults: &Faults) {
+async fn set_faults(client: &Client, faults: &Faults) {
     let answer = client.put("/admin/faults", &json!(faults)).await.unwrap();
     assert_eq!(answer.status, 200, "{answer:?}");
 }
@@ -31,13 +31,13 @@
 #[tokio::test]
 async fn writes_are_conditional() {
     let (_platform, client) = start(16, Faults::default()).await;
-    let made = client.put("/v1/objects/service/ledger", &write(0, 1)).await.unwrap();
-    assert_eq!((made.status, &made.json()["version"]), (200, &json!(1)));
-    let again = client.put("/v1/objects/service/ledger", &write(0, 2)).await.unwrap();
+    let created = client.put("/v1/objects/service/ledger", &put_body(0, 1)).await.unwrap();
+    assert_eq!((created.status, &created.json()["version"]), (200, &json!(1)));
+    let again = client.put("/v1/objects/service/ledger", &put_body(0, 2)).await.unwrap();
     assert_eq!((again.status, &again.json()["current"]["spec"]), (409, &json!(1)));
-    let next = client.put("/v1/objects/service/ledger", &write(1, 3)).await.unwrap();
+    let next = client.put("/v1/objects/service/ledger", &put_body(1, 3)).await.unwrap();
     assert_eq!((next.status, &next.json()["version"]), (200, &json!(2)));
-    let none = client.put("/v1/objects/service/intake", &write(5, 1)).await.unwrap();
+    let none = client.put("/v1/objects/service/intake", &put_body(5, 1)).await.unwrap();
     assert_eq!((none.status, &none.json()["current"]), (409, &Value::Null));
     let list = client.get("/v1/objects/service").await.unwrap().json();
     assert_eq!((&list["revision"], list["items"].as_array().unwrap().len()), (&json!(2), 1));
@@ -52,22 +52,25 @@
 }
 
 #[tokio::test]
-async fn one_of_many_racing_writers_wins() {
+async fn exactly_one_concurrent_writer_succeeds() {
     let (_platform, client) = start(16, Faults::default()).await;
-    let writes = (0..20).map(|i| {
-        let client = client.clone();
-        async move { client.put("/v1/objects/lease/seed-a-0", &write(0, i)).await.unwrap().status }
-    });
+    let writes =
+        (0..20).map(|i| {
+            let client = client.clone();
+            async move {
+                client.put("/v1/objects/lease/seed-a-0", &put_body(0, i)).await.unwrap().status
+            }
+        });
     let statuses = futures::future::join_all(writes).await;
     assert_eq!(statuses.iter().filter(|&&status| status == 200).count(), 1);
     assert_eq!(statuses.iter().filter(|&&status| status == 409).count(), 19);
 }
 
 #[tokio::test]
-async fn bad_calls_are_refused() {
+async fn invalid_calls_are_rejected() {
     let (_platform, client) = start(16, Faults::default()).await;
     for path in ["/v1/objects/service/A", "/v1/objects/service/a-", "/v1/objects/service/.a"] {
-        assert_eq!(client.put(path, &write(0, 1)).await.unwrap().status, 400, "{path}");
+        assert_eq!(client.put(path, &put_body(0, 1)).await.unwrap().status, 400, "{path}");
     }
     let path = "/v1/objects/service/a";
     let extra = json!({ "version": 0, "writer": "x", "spec": 1, "more": 1 });
@@ -77,12 +80,12 @@
     assert_eq!(client.get("/v1/watch?since=0&wait=31").await.unwrap().status, 400);
     assert_eq!(client.get("/v1/watch?wait=3").await.unwrap().status, 400);
     assert_eq!(client.get("/v2").await.unwrap().status, 404);
-    let odd = client.put("/admin/faults", &json!({ "lost": 2.0 })).await.unwrap();
-    assert_eq!(odd.status, 400);
+    let out_of_range = client.put("/admin/faults", &json!({ "lost": 2.0 })).await.unwrap();
+    assert_eq!(out_of_range.status, 400);
 }
 
 #[tokio::test]
-async fn a_watch_waits_for_its_kinds() {
+async fn a_watch_waits_for_events_of_its_kinds() {
     let (_platform, client) = start(16, Faults::default()).await;
     let waiting = tokio::spawn({
         let client = client.clone();
@@ -91,8 +94,8 @@
     while counts(&client).await.waiting == 0 {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    client.put("/v1/objects/lease/l", &write(0, 1)).await.unwrap();
-    client.put("/v1/objects/service/s", &write(0, 2)).await.unwrap();
+    client.put("/v1/objects/lease/l", &put_body(0, 1)).await.unwrap();
+    client.put("/v1/objects/service/s", &put_body(0, 2)).await.unwrap();
     let seen = waiting.await.unwrap();
     let events = seen["events"].as_array().unwrap();
     assert_eq!((events.len(), &events[0]["object"]["name"]), (1, &json!("s")));
@@ -108,10 +111,10 @@
 }
 
 #[tokio::test]
-async fn a_watch_from_before_the_history_is_gone() {
+async fn a_watch_from_outside_the_history_gets_410() {
     let (_platform, client) = start(4, Faults::default()).await;
     for version in 0..10 {
-        client.put("/v1/objects/service/s", &write(version, version)).await.unwrap();
+        client.put("/v1/objects/service/s", &put_body(version, version)).await.unwrap();
     }
     assert_eq!(client.get("/v1/watch?since=5&wait=0").await.unwrap().status, 410);
     let kept = client.get("/v1/watch?since=6&wait=0").await.unwrap().json();
@@ -120,20 +123,20 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_has_taken_effect() {
+async fn a_write_with_a_lost_response_takes_effect() {
     let (_platform, client) = start(16, Faults { lose_next: 1, ..Faults::default() }).await;
-    assert!(client.put("/v1/objects/service/s", &write(0, 5)).await.is_err());
+    assert!(client.put("/v1/objects/service/s", &put_body(0, 5)).await.is_err());
     let stored = client.get("/v1/objects/service/s").await.unwrap().json();
     assert_eq!((&stored["spec"], &stored["version"]), (&json!(5), &json!(1)));
-    assert_eq!(client.put("/v1/objects/service/s", &write(1, 6)).await.unwrap().status, 200);
-    set(&client, &Faults { lost: 1.0, ..Faults::default() }).await;
+    assert_eq!(client.put("/v1/objects/service/s", &put_body(1, 6)).await.unwrap().status, 200);
+    set_faults(&client, &Faults { lost: 1.0, ..Faults::default() }).await;
     assert!(client.delete("/v1/objects/service/s?version=2").await.is_err());
     assert_eq!(client.get("/v1/objects/service/s").await.unwrap().status, 404);
     assert_eq!(counts(&client).await.lost, 2);
 }
 
 #[tokio::test]
-async fn outages_reach_waiting_watches() {
+async fn outages_interrupt_waiting_watches() {
     let (_platform, client) = start(16, Faults::default()).await;
     for (outage, status) in [(Outage::Error, Some(503)), (Outage::Refuse, None)] {
         let waiting = tokio::spawn({
@@ -143,13 +146,13 @@
         while counts(&client).await.waiting == 0 {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        set(&client, &Faults { outage: Some(outage), ..Faults::default() }).await;
+        set_faults(&client, &Faults { outage: Some(outage), ..Faults::default() }).await;
         assert_eq!(waiting.await.unwrap().ok().map(|it| it.status), status);
         let read = client.get("/v1/objects").await;
         assert_eq!(read.ok().map(|it| it.status), status);
-        set(&client, &Faults::default()).await;
+        set_faults(&client, &Faults::default()).await;
     }
-    set(&client, &Faults { outage: Some(Outage::Hang), ..Faults::default() }).await;
+    set_faults(&client, &Faults { outage: Some(Outage::Hang), ..Faults::default() }).await;
     let hung = client.get("/v1/objects");
     assert!(tokio::time::timeout(Duration::from_millis(100), hung).await.is_err());
     client.put("/admin/faults", &json!({})).await.unwrap();
@@ -157,12 +160,13 @@
 }
 
 #[tokio::test]
-async fn limits_apply_to_reads_and_writes_apart() {
+async fn reads_and_writes_have_separate_rate_limits() {
     let faults = Faults { writes_per_s: Some(0.001), ..Faults::default() };
     let (_platform, client) = start(16, faults).await;
     let mut limited = 0;
     for version in 0..10 {
-        let answer = client.put("/v1/objects/service/s", &write(version, version)).await.unwrap();
+        let answer =
+            client.put("/v1/objects/service/s", &put_body(version, version)).await.unwrap();
         if answer.status == 429 {
             assert_eq!(answer.header("retry-after"), Some("1"));
             limited += 1;
@@ -174,15 +178,15 @@
 }
 
 #[tokio::test]
-async fn watches_skip_and_repeat() {
+async fn watch_faults_skip_repeat_and_close() {
     let (_platform, client) = start(64, Faults::default()).await;
     for version in 0..20 {
-        client.put("/v1/objects/service/s", &write(version, version)).await.unwrap();
+        client.put("/v1/objects/service/s", &put_body(version, version)).await.unwrap();
     }
-    set(&client, &Faults { watch_skip: 1.0, ..Faults::default() }).await;
+    set_faults(&client, &Faults { watch_skip: 1.0, ..Faults::default() }).await;
     let skipped = client.get("/v1/watch?since=0&wait=0").await.unwrap().json();
     assert_eq!(skipped, json!({ "revision": 20, "events": [] }));
-    set(&client, &Faults { watch_repeat: 1.0, ..Faults::default() }).await;
+    set_faults(&client, &Faults { watch_repeat: 1.0, ..Faults::default() }).await;
     let repeated = client.get("/v1/watch?since=18&wait=0").await.unwrap().json();
     let versions: Vec<_> = repeated["events"]
         .as_array()
@@ -191,17 +195,17 @@
         .map(|it| it["object"]["version"].clone())
         .collect();
     assert_eq!(versions, [18, 19, 20]);
-    set(&client, &Faults { watch_close: 1.0, ..Faults::default() }).await;
+    set_faults(&client, &Faults { watch_close: 1.0, ..Faults::default() }).await;
     assert!(client.get("/v1/watch?since=20&wait=1").await.is_err());
     let counts = counts(&client).await;
     assert_eq!((counts.skipped, counts.repeated, counts.closed), (20, 1, 1));
 }
 
 #[tokio::test]
-async fn it_comes_back_from_a_copy_in_a_later_era() {
+async fn restoring_the_backup_increments_the_era() {
     let (_platform, client) = start(16, Faults::default()).await;
     let put = async |version, spec| {
-        client.put("/v1/objects/service/s", &write(version, spec)).await.unwrap()
+        client.put("/v1/objects/service/s", &put_body(version, spec)).await.unwrap()
     };
     assert_eq!(put(0, 1).await.header("store-era"), Some("0"));
     client.put("/admin/copy", &json!(null)).await.unwrap();
@@ -214,7 +218,7 @@
     });
     tokio::time::sleep(Duration::from_millis(100)).await;
     client.put("/admin/reset", &json!(null)).await.unwrap();
-    assert!(waiting.await.unwrap().is_err(), "a call that waits ends with the store");
+    assert!(waiting.await.unwrap().is_err(), "a restore closes waiting calls");
     let list = client.get("/v1/objects/service").await.unwrap();
     assert_eq!(list.header("store-era"), Some("1"));
     assert_eq!(
--- a/crates/standin/tests/upstream.rs
+++ b/crates/standin/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream stand-in: whole answers, slots, refusals, deadlines, cancellation, feeds, faults and the record.
+//! Upstream emulator: responses, slots, rejections, deadlines, cancellation, feeds, faults, record and journal.
 
 mod client;
 
@@ -15,7 +15,7 @@
 use serde_json::json;
 use tokio::time::{sleep, timeout};
 
-const LONG: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn settings() -> Settings {
     let any = "127.0.0.1:0".parse().unwrap();
@@ -44,7 +44,7 @@
             sleep(Duration::from_millis(2)).await;
         }
     };
-    assert!(timeout(LONG, wait).await.is_ok(), "{:?}", upstream.record());
+    assert!(timeout(TEST_TIMEOUT, wait).await.is_ok(), "{:?}", upstream.record());
     upstream.record()
 }
 
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn answers_are_whole_and_say_whose_they_are() {
+async fn responses_are_complete_and_name_their_upstream() {
     let (_upstream, client, _) = start(settings()).await;
     let page = client.get("/screen?echo=t1&size=1000").await.unwrap();
     let head = answer::read(&page.body).unwrap();
@@ -81,12 +81,12 @@
 }
 
 #[test]
-fn every_cut_or_changed_answer_shows() {
+fn truncated_and_modified_responses_are_detected() {
     let head = answer::Head { echo: "t".to_owned(), ..answer::Head::default() };
     let text = answer::write(&head, 20).into_bytes();
     assert_eq!(answer::read(&text), Ok(head));
     for end in 0..text.len() {
-        assert!(answer::read(&text[..end]).is_err(), "cut at {end}");
+        assert!(answer::read(&text[..end]).is_err(), "truncated at {end}");
     }
     for at in 0..text.len() {
         let mut changed = text.clone();
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test]
-async fn a_feed_ticks_and_ends_whole() {
+async fn feeds_are_complete_and_damage_is_detected() {
     let (upstream, client, _) = start(settings()).await;
     let feed = client.get("/feed?ms=200&every=20&echo=f").await.unwrap();
     let mut reader = FeedReader::new();
@@ -105,9 +105,9 @@
     }
     assert_eq!(reader.finish().unwrap().echo, "f");
     assert!(reader.count() > 0);
-    let mut cut = FeedReader::new();
-    cut.push(&feed.body[..feed.body.len() - 1]).unwrap();
-    assert!(cut.finish().is_err());
+    let mut truncated = FeedReader::new();
+    truncated.push(&feed.body[..feed.body.len() - 1]).unwrap();
+    assert!(truncated.finish().is_err());
     let text = String::from_utf8(feed.body.to_vec()).unwrap();
     let skipped = text.replacen("tick 1 f\n", "", 1);
     assert!(FeedReader::new().push(skipped.as_bytes()).is_err());
@@ -117,7 +117,7 @@
 }
 
 #[tokio::test]
-async fn what_exceeds_slots_and_queue_is_refused_and_not_run() {
+async fn requests_beyond_slots_and_queue_are_rejected_without_running() {
     let (upstream, client, _) = start(Settings { slots: 2, queue: 1, ..settings() }).await;
     let held: Vec<_> = (0..3)
         .map(|i| {
@@ -130,11 +130,11 @@
     wait_for(&upstream, |it| it.busy.now == 2 && it.waiting.now == 1).await;
     let load = client.get("/load").await.unwrap().json();
     assert_eq!((&load["busy"], &load["state"]), (&json!(2), &json!("shedding")));
-    let refused = join_all((0..4).map(|i| {
+    let rejected = join_all((0..4).map(|i| {
         let client = client.clone();
         async move { transfer(&client, &format!("over{i}"), "work_ms=1").await.unwrap() }
     }));
-    for answer in refused.await {
+    for answer in rejected.await {
         assert_not_run(&answer);
     }
     for answer in join_all(held).await {
@@ -150,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn starting_draining_and_shedding_refuse() {
+async fn requests_are_rejected_while_starting_draining_or_shedding() {
     let (upstream, client, admin) = start(Settings { starting_ms: 3_600_000, ..settings() }).await;
     assert_not_run(&transfer(&client, "a", "").await.unwrap());
     assert_eq!(client.get("/load").await.unwrap().json()["state"], "starting");
@@ -191,13 +191,13 @@
     assert_eq!(record.keys["late"], Runs { started: 1, finished: 0 });
     assert_eq!(record.keys["held"], Runs { started: 1, finished: 0 });
     assert_eq!((record.expired, record.refused["deadline"]), (1, 1));
-    let odd = [(answer::DEADLINE, "soon")];
-    let odd = client.call(Method::POST, path, &odd, Vec::new()).await.unwrap();
-    assert_eq!(odd.status, 400);
+    let invalid = [(answer::DEADLINE, "soon")];
+    let invalid = client.call(Method::POST, path, &invalid, Vec::new()).await.unwrap();
+    assert_eq!(invalid.status, 400);
 }
 
 #[tokio::test]
-async fn lost_and_cut_answers_have_run() {
+async fn requests_with_lost_or_truncated_responses_have_run() {
     let (upstream, client, admin) = start(settings()).await;
     admin.put("/faults", &json!({ "lost": 1.0 })).await.unwrap();
     assert!(transfer(&client, "lost", "").await.is_err());
@@ -215,7 +215,7 @@
 }
 
 #[tokio::test]
-async fn load_lags_and_lies() {
+async fn load_reports_can_be_outdated_or_overridden() {
     let (upstream, client, admin) = start(Settings { lag_ms: 3_600_000, ..settings() }).await;
     let busy = async || client.get("/load").await.unwrap().json()["busy"].clone();
     assert_eq!(busy().await, 0);
@@ -235,7 +235,7 @@
 }
 
 #[tokio::test]
-async fn requests_of_other_services_are_counted() {
+async fn requests_for_disallowed_services_are_counted() {
     let settings = Settings { service: vec!["ledger".to_owned()], ..settings() };
     let (upstream, client, admin) = start(settings).await;
     transfer(&client, "a", "").await.unwrap();
@@ -247,7 +247,7 @@
 }
 
 #[tokio::test]
-async fn a_stop_cuts_nothing() {
+async fn a_graceful_stop_completes_requests_and_feeds() {
     let (upstream, client, _) = start(settings()).await;
     let long = tokio::spawn({
         let client = client.clone();
@@ -264,7 +264,7 @@
 }
 
 #[tokio::test]
-async fn the_journal_tells_starts_and_ends() {
+async fn the_journal_records_starts_and_ends() {
     let path = env::temp_dir().join(format!("camphorwinch-journal-{}", process::id()));
     let (upstream, client, _) = start(Settings { journal: Some(path.clone()), ..settings() }).await;
     transfer(&client, "k", "echo=t").await.unwrap();
@@ -273,15 +273,15 @@
         async move { transfer(&client, "held", "work_ms=60000").await }
     });
     wait_for(&upstream, |it| it.busy.now == 1).await;
-    let whole = fs::read_to_string(&path).unwrap();
-    fs::write(&path, format!("{whole}{{\"at_ms\":1")).unwrap();
+    let complete = fs::read_to_string(&path).unwrap();
+    fs::write(&path, format!("{complete}{{\"at_ms\":1")).unwrap();
     let entries = read_journal(&path).unwrap();
     fs::remove_file(&path).unwrap();
     held.abort();
-    let told = |it: &Entry| (it.event, it.key.clone(), it.request.clone());
-    let told: Vec<_> = entries.iter().map(told).collect();
+    let summary = |it: &Entry| (it.event, it.key.clone(), it.request.clone());
+    let events: Vec<_> = entries.iter().map(summary).collect();
     let line = |event, key: &str| (event, key.to_owned(), format!("request-of-{key}"));
     let expected = [line(Event::Start, "k"), line(Event::Finish, "k"), line(Event::Start, "held")];
-    assert_eq!(told, expected);
+    assert_eq!(events, expected);
     assert_eq!((entries[0].echo.as_str(), entries[0].service.as_str()), ("t", "ledger"));
 }
