--- a/crates/standin/src/capacity/fleet.rs
+++ b/crates/standin/src/capacity/fleet.rs
@@ -1,4 +1,4 @@
-//! Real processes for a measurement: platform, upstream, fabric, balancers and agents, at a size that can grow.
+//! A growable fleet of real processes for measurements: platform, upstream, fabric, balancers and agents.
 
 use std::{
     collections::BTreeMap,
@@ -29,105 +29,106 @@
 };
 
 const REGIONS: usize = 2;
-/// Upstreams behind a service at the size designed for: 5,900 behind 680.
-const POOL: usize = 9;
+/// Agents per pool, as at the design size: 5,900 agents for 680 services.
+const AGENTS_PER_POOL: usize = 9;
+/// Port offsets: platform, upstream, fabric or data, control, operator, upstream admin.
 const PORTS: [u16; 6] = [0, 1, 2, 3, 4, 5];
-const SERVICE_PORTS: u16 = 100;
-const POLL: Duration = Duration::from_millis(50);
-const DAEMON: &str = "camphorwinchd";
-const STANDIN: &str = "camphorwinch-standin";
-const LEASE: &str = "/control/lease";
-const MEMBERS: &str = "/control/members";
-const BALANCER: &str = "entry-";
-const APPLIED: &str = "/control/applied";
-const LINKS: &str = "/control/links";
-const LIMITED: [&str; 2] = [
+const FIRST_SERVICE_PORT: u16 = 100;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const DAEMON_BINARY: &str = "camphorwinchd";
+const EMULATOR_BINARY: &str = "camphorwinch-standin";
+const LEASE_POINTER: &str = "/control/lease";
+const MEMBERS_POINTER: &str = "/control/members";
+const BALANCER_PREFIX: &str = "entry-";
+const APPLIED_POINTER: &str = "/control/applied";
+const LINKS_POINTER: &str = "/control/links";
+const RATE_LIMITED_BYTES_METRICS: [&str; 2] = [
     "camphorwinch_platform_bytes_total{call=\"put timeline\"}",
     "camphorwinch_platform_bytes_total{call=\"put report\"}",
 ];
-const CONTROL_BYTES: &str = "camphorwinch_control_bytes_total";
+const CONTROL_BYTES_METRIC: &str = "camphorwinch_control_bytes_total";
 
-/// A balancer or an agent that runs.
+/// A balancer or agent process.
 #[derive(Debug)]
 pub struct Daemon {
-    /// Name.
+    /// Name of the daemon.
     pub name: String,
     /// Address of the VM.
     pub host: IpAddr,
-    /// Operator address.
+    /// Address of the operator API.
     pub operator: SocketAddr,
     launch: Launch,
     process: Option<Process>,
 }
 
-/// What a daemon has used up to a moment.
+/// Cumulative resource usage of a daemon at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Reading {
-    /// Processor time and memory.
+pub struct UsageSample {
+    /// CPU time and memory.
     pub usage: Usage,
     /// Control bytes sent and received.
     pub control: f64,
-    /// Of these, writes of timeline and whole report, whose rate is limited.
+    /// Of these, bytes of rate-limited timeline and report writes.
     pub limited: f64,
 }
 
-/// What a daemon used for each second of a window.
+/// Resource usage of a daemon per second of a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rate {
-    /// Processor time, in percent of a core.
+    /// CPU time, in percent of a core.
     pub cpu: f64,
-    /// Control bytes, without writes of timeline and whole report.
+    /// Control bytes per second, without timeline and report writes.
     pub control: f64,
-    /// Bytes of writes of timeline and whole report, which come in bursts at a limited rate.
+    /// Bytes per second of rate-limited timeline and report writes, which are bursty.
     pub limited: f64,
-    /// Memory at the end, in MiB.
+    /// Resident memory at the end, in MiB.
     pub rss: f64,
 }
 
-/// Means over the processes of each class, in a window.
+/// Mean usage of each class of processes in a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Window {
-    /// Mean balancer that holds no lease.
+    /// Mean of the balancers without a lease.
     pub plain: Rate,
-    /// Mean balancer that holds the first lease of its zone, and so reports for it.
+    /// Mean of the balancers that hold the first lease of their zone, and so report for it.
     pub seed: Rate,
-    /// Mean balancer of either class.
+    /// Mean of all balancers.
     pub balancer: Rate,
-    /// Mean agent.
+    /// Mean of all agents.
     pub agent: Rate,
-    /// Calls of the platform, for each second.
+    /// Platform calls per second.
     pub calls: f64,
-    /// Bytes that the platform answered with, for each second.
+    /// Bytes per second in responses of the platform.
     pub answers: f64,
 }
 
-/// What the mean daemon has used since a moment.
+/// Mean resource usage of the balancers since the start of a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Used {
-    /// Seconds since the moment.
+pub struct UsageSince {
+    /// Seconds since the start of the window.
     pub seconds: f64,
-    /// Processor time, in seconds.
+    /// CPU time, in seconds.
     pub cpu_s: f64,
-    /// Control bytes.
+    /// Control bytes sent and received.
     pub bytes: f64,
-    /// Memory now, in MiB.
+    /// Current resident memory, in MiB.
     pub rss_mib: f64,
 }
 
-/// Readings of all daemons at one moment.
+/// Usage samples of all daemons at one time.
 #[derive(Clone, Debug)]
-pub struct Moment {
+pub struct FleetSample {
     at: Instant,
-    balancers: Vec<Reading>,
-    agents: Vec<Reading>,
+    balancers: Vec<UsageSample>,
+    agents: Vec<UsageSample>,
     counts: Counts,
 }
 
 /// A fleet of real processes.
 pub struct Fleet {
-    /// Client for operator and admin addresses.
+    /// HTTP client for the operator and admin APIs.
     pub http: Http,
-    /// Writes objects.
+    /// Client for writing objects to the platform.
     pub objects: Objects,
     /// Balancers.
     pub balancers: Vec<Daemon>,
@@ -137,20 +138,20 @@
     pub services: Vec<Target>,
     block: Block,
     authority: Authority,
-    folder: PathBuf,
+    log_dir: PathBuf,
     bin: PathBuf,
     platform: SocketAddr,
     upstream: SocketAddr,
     fabric: SocketAddr,
     service_host: IpAddr,
-    standins: BTreeMap<&'static str, Process>,
+    emulators: BTreeMap<&'static str, Process>,
     pools: usize,
     zones: usize,
 }
 
 impl Fleet {
-    /// Starts the platform and an upstream, with keys but no services, and no daemons yet.
-    pub async fn start(bin: &Path, folder: &Path, zones: usize) -> anyhow::Result<Fleet> {
+    /// Starts the platform and one upstream, and writes the keys; there are no services and daemons yet.
+    pub async fn start(bin: &Path, log_dir: &Path, zones: usize) -> anyhow::Result<Fleet> {
         let mut block = Block::new()?;
         let platform = SocketAddr::new(block.host()?, block.port(PORTS[0]));
         let upstream = SocketAddr::new(block.host()?, block.port(PORTS[1]));
@@ -165,25 +166,25 @@
             services: Vec::new(),
             block,
             authority: Authority::new("fleet")?,
-            folder: folder.to_owned(),
+            log_dir: log_dir.to_owned(),
             bin: bin.to_owned(),
             platform,
             upstream,
             fabric,
             service_host,
-            standins: BTreeMap::new(),
+            emulators: BTreeMap::new(),
             pools: 1,
             zones,
         };
-        fleet.start_standins().await?;
+        fleet.start_emulators().await?;
         let keys = objects::keys(&mut StdRng::seed_from_u64(1));
         fleet.objects.put(Kind::Keys, KEYS_NAME, &keys).await?;
         Ok(fleet)
     }
 
-    async fn start_standins(&mut self) -> anyhow::Result<()> {
+    async fn start_emulators(&mut self) -> anyhow::Result<()> {
         let listen = self.platform.to_string();
-        self.start_standin("platform", &["--listen", &listen, "--history", "8192"])?;
+        self.start_emulator("platform", &["--listen", &listen, "--history", "8192"])?;
         let (listen, admin) = (self.upstream.to_string(), self.upstream_admin().to_string());
         let args = [
             "--name",
@@ -199,65 +200,68 @@
             "--connections",
             "1000000",
         ];
-        self.start_standin("upstream", &args)?;
-        let up = async {
+        self.start_emulator("upstream", &args)?;
+        let ready = async {
             while self.counts().await.is_err() {
-                time::sleep(POLL).await;
+                time::sleep(POLL_INTERVAL).await;
             }
         };
-        time::timeout(Duration::from_secs(10), up).await.context("wait for the platform")
+        time::timeout(Duration::from_secs(10), ready)
+            .await
+            .context("timed out waiting for the platform")
     }
 
     fn upstream_admin(&self) -> SocketAddr {
         SocketAddr::new(self.upstream.ip(), self.block.port(PORTS[5]))
     }
 
-    fn start_standin(&mut self, name: &'static str, args: &[&str]) -> anyhow::Result<()> {
-        let mut all = vec![name.to_owned()];
-        all.extend(args.iter().map(|it| (*it).to_owned()));
+    fn start_emulator(&mut self, name: &'static str, args: &[&str]) -> anyhow::Result<()> {
+        let mut all_args = vec![name.to_owned()];
+        all_args.extend(args.iter().map(|it| (*it).to_owned()));
         let launch = Launch {
             name: name.to_owned(),
-            program: self.bin.join(STANDIN),
-            args: all,
+            program: self.bin.join(EMULATOR_BINARY),
+            args: all_args,
             env: Vec::new(),
         };
-        let process = Process::start(&launch, &self.folder)?;
-        self.standins.insert(name, process);
+        let process = Process::start(&launch, &self.log_dir)?;
+        self.emulators.insert(name, process);
         Ok(())
     }
 
-    /// Starts the fabric between callers and the balancers that run now, for the first service.
+    /// Starts the fabric between callers and the current balancers, for the first service.
     pub fn start_fabric(&mut self) -> anyhow::Result<()> {
-        let service = self.services.first().context("start the fabric: there is no service")?;
+        let service = self.services.first().context("failed to start the fabric: no service")?;
         let port = service.address.port();
         let route: Vec<String> =
             self.balancers.iter().map(|it| SocketAddr::new(it.host, port).to_string()).collect();
         let route = format!("{}={}", service.address, route.join(","));
         let admin = self.fabric.to_string();
-        self.start_standin("fabric", &["--admin", &admin, "--seed", "1", "--route", &route])
+        self.start_emulator("fabric", &["--admin", &admin, "--seed", "1", "--route", &route])
     }
 
-    /// Adds services, each with a certificate of its own; `pools` of them share the agents.
+    /// Adds services until there are `count`, each with its own certificate, over `pools` pools.
     pub async fn add_services(&mut self, count: usize, pools: usize) -> anyhow::Result<()> {
         self.pools = pools.max(1);
         for i in self.services.len()..count {
             let name = format!("service-{i}");
             let leaf = self.authority.leaf(&name, &[])?;
             self.objects.put(Kind::Certificate, &name, &objects::certificate(&leaf)).await?;
-            let port = self.block.port(SERVICE_PORTS) + u16::try_from(i).context("services")?;
+            let port =
+                self.block.port(FIRST_SERVICE_PORT) + u16::try_from(i).context("services")?;
             let address = SocketAddr::new(self.service_host, port);
             let pool = format!("pool-{}", i % self.pools);
             let target = Target { name: name.clone(), address, pool };
-            self.objects.put(Kind::Service, &name, &spec(&target)).await?;
+            self.objects.put(Kind::Service, &name, &service_spec(&target)).await?;
             self.services.push(target);
         }
         Ok(())
     }
 
-    /// Writes a service again with another setting; the object's new version.
-    pub async fn touch(&self, number: usize, connections: u32) -> anyhow::Result<u64> {
+    /// Updates the connection limit of a service; returns the new version of the object.
+    pub async fn update_service(&self, number: usize, connections: u32) -> anyhow::Result<u64> {
         let target = &self.services[number % self.services.len()];
-        let mut spec = spec(target);
+        let mut spec = service_spec(target);
         spec["connections"] = json!(connections);
         Ok(self.objects.put(Kind::Service, &target.name, &spec).await?.version)
     }
@@ -265,13 +269,13 @@
     /// Starts balancers until there are `count`.
     pub fn add_balancers(&mut self, count: usize) -> anyhow::Result<()> {
         for i in self.balancers.len()..count {
-            let name = format!("{BALANCER}{i}");
+            let name = format!("{BALANCER_PREFIX}{i}");
             let host = self.block.host()?;
             let mut args = vec!["balance".to_owned()];
-            args.extend(self.common(&name, i, host));
+            args.extend(self.common_args(&name, i, host));
             args.extend(["--bind".to_owned(), "own".to_owned()]);
-            args.extend(["--data".to_owned(), self.at(host, 2)]);
-            let daemon = self.daemon(name, host, args)?;
+            args.extend(["--data".to_owned(), self.host_address(host, 2)]);
+            let daemon = self.start_daemon(name, host, args)?;
             self.balancers.push(daemon);
         }
         Ok(())
@@ -283,37 +287,43 @@
             let name = format!("agent-{i}");
             let host = self.block.host()?;
             let mut args = vec!["agent".to_owned()];
-            args.extend(self.common(&name, i, host));
-            let pool = format!("pool-{}", (i / POOL) % self.pools);
+            args.extend(self.common_args(&name, i, host));
+            let pool = format!("pool-{}", (i / AGENTS_PER_POOL) % self.pools);
             for (flag, value) in [
                 ("--pool", pool),
-                ("--data", self.at(host, 2)),
+                ("--data", self.host_address(host, 2)),
                 ("--upstream", self.upstream.to_string()),
                 ("--connections", "100000".to_owned()),
                 ("--reply", "own".to_owned()),
             ] {
                 args.extend([flag.to_owned(), value]);
             }
-            let daemon = self.daemon(name, host, args)?;
+            let daemon = self.start_daemon(name, host, args)?;
             self.agents.push(daemon);
         }
         Ok(())
     }
 
-    fn daemon(&self, name: String, host: IpAddr, args: Vec<String>) -> anyhow::Result<Daemon> {
+    fn start_daemon(
+        &self,
+        name: String,
+        host: IpAddr,
+        args: Vec<String>,
+    ) -> anyhow::Result<Daemon> {
         let Leaf { chain, key } = self.authority.leaf(&name, &[host])?;
         let env = vec![
             ("CAMPHORWINCH_FLEET_CA".to_owned(), self.authority.pem().to_owned()),
             ("CAMPHORWINCH_FLEET_CERT".to_owned(), chain),
             ("CAMPHORWINCH_FLEET_KEY".to_owned(), key),
         ];
-        let launch = Launch { name: name.clone(), program: self.bin.join(DAEMON), args, env };
-        let process = Some(Process::start(&launch, &self.folder)?);
+        let launch =
+            Launch { name: name.clone(), program: self.bin.join(DAEMON_BINARY), args, env };
+        let process = Some(Process::start(&launch, &self.log_dir)?);
         let operator = SocketAddr::new(host, self.block.port(PORTS[4]));
         Ok(Daemon { name, host, operator, launch, process })
     }
 
-    fn common(&self, name: &str, number: usize, host: IpAddr) -> Vec<String> {
+    fn common_args(&self, name: &str, number: usize, host: IpAddr) -> Vec<String> {
         let zone = number % self.zones;
         let mut args = Vec::new();
         for (flag, value) in [
@@ -322,8 +332,8 @@
             ("--zone", format!("zone-{zone}")),
             ("--region", format!("region-{}", zone % REGIONS)),
             ("--platform", format!("http://{}", self.platform)),
-            ("--control", self.at(host, 3)),
-            ("--operator", self.at(host, 4)),
+            ("--control", self.host_address(host, 3)),
+            ("--operator", self.host_address(host, 4)),
             ("--log-level", "warn".to_owned()),
         ] {
             args.extend([flag.to_owned(), value]);
@@ -331,16 +341,16 @@
         args
     }
 
-    fn at(&self, host: IpAddr, number: usize) -> String {
-        SocketAddr::new(host, self.block.port(PORTS[number])).to_string()
+    fn host_address(&self, host: IpAddr, port_index: usize) -> String {
+        SocketAddr::new(host, self.block.port(PORTS[port_index])).to_string()
     }
 
-    /// Addresses for callers to send from.
-    pub fn callers(&mut self, count: usize) -> anyhow::Result<Vec<IpAddr>> {
+    /// Allocates source addresses for callers.
+    pub fn caller_addresses(&mut self, count: usize) -> anyhow::Result<Vec<IpAddr>> {
         (0..count).map(|_| self.block.host()).collect()
     }
 
-    /// The CA that services' certificates are signed by, as PEM text.
+    /// CA of the fleet and of its services, as PEM.
     pub fn ca(&self) -> &str {
         self.authority.pem()
     }
@@ -350,93 +360,93 @@
         self.balancers.iter().chain(&self.agents)
     }
 
-    /// Waits until every daemon says that it is healthy; how long that took.
-    pub async fn settle(&self, limit: Duration) -> anyhow::Result<Duration> {
+    /// Waits until every daemon is healthy; returns the time that it took, or an error after `timeout`.
+    pub async fn wait_until_healthy(&self, timeout: Duration) -> anyhow::Result<Duration> {
         let start = Instant::now();
-        let mut waiting: Vec<&Daemon> = self.daemons().collect();
+        let mut pending: Vec<&Daemon> = self.daemons().collect();
         loop {
-            let checks = waiting.iter().map(|it| self.healthy(it.operator));
+            let checks = pending.iter().map(|it| self.is_healthy(it.operator));
             let healthy = join_all(checks).await;
             let mut healthy = healthy.into_iter();
-            waiting.retain(|_| !healthy.next().unwrap_or(false));
-            if waiting.is_empty() {
+            pending.retain(|_| !healthy.next().unwrap_or(false));
+            if pending.is_empty() {
                 return Ok(start.elapsed());
             }
-            if start.elapsed() > limit {
-                let names: Vec<&str> = waiting.iter().map(|it| it.name.as_str()).collect();
-                bail!("wait for health: not healthy after {limit:?}: {}", names.join(", "));
+            if start.elapsed() > timeout {
+                let names: Vec<&str> = pending.iter().map(|it| it.name.as_str()).collect();
+                bail!("not healthy after {timeout:?}: {}", names.join(", "));
             }
-            time::sleep(POLL).await;
+            time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    async fn healthy(&self, operator: SocketAddr) -> bool {
+    async fn is_healthy(&self, operator: SocketAddr) -> bool {
         let answer = self.http.call(Method::GET, operator, "/health", None).await;
         matches!(answer, Ok((StatusCode::OK, _)))
     }
 
-    /// The status of a daemon.
+    /// Returns the status of a daemon.
     pub async fn status(&self, operator: SocketAddr) -> anyhow::Result<Value> {
         self.http.get(operator, "/status").await
     }
 
-    /// The platform's counts.
+    /// Returns the counters of the platform.
     pub async fn counts(&self) -> anyhow::Result<Counts> {
         self.http.get(self.platform, "/admin/counts").await
     }
 
-    /// Sets the platform's faults.
+    /// Sets the faults of the platform.
     pub async fn set_faults(&self, faults: &Value) -> anyhow::Result<()> {
         self.http.put(self.platform, "/admin/faults", faults).await.map(drop)
     }
 
-    /// Readings of all daemons. At the start of a window the metrics are read before the processor time, at its end
-    /// after it, so that reading is not measured.
-    async fn moment(&self, start: bool) -> anyhow::Result<Moment> {
+    /// Samples all daemons. The metrics are read before the CPU time at the start of a window, and after it at the end,
+    /// so that the window excludes the cost of reading them.
+    async fn sample(&self, start: bool) -> anyhow::Result<FleetSample> {
         let mut usage = Vec::new();
         if !start {
             usage = self.usages()?;
         }
-        let control = join_all(self.daemons().map(|it| self.traffic(it.operator))).await;
+        let control = join_all(self.daemons().map(|it| self.control_traffic(it.operator))).await;
         let counts = self.counts().await?;
         if start {
             usage = self.usages()?;
         }
-        let mut readings = Vec::new();
+        let mut samples = Vec::new();
         for (usage, control) in usage.into_iter().zip(control) {
             let (control, limited) = control?;
-            readings.push(Reading { usage, control, limited });
+            samples.push(UsageSample { usage, control, limited });
         }
-        let agents = readings.split_off(self.balancers.len());
-        Ok(Moment { at: Instant::now(), balancers: readings, agents, counts })
+        let agents = samples.split_off(self.balancers.len());
+        Ok(FleetSample { at: Instant::now(), balancers: samples, agents, counts })
     }
 
     fn usages(&self) -> anyhow::Result<Vec<Usage>> {
         self.daemons().map(|it| Usage::read(it.pid()?)).collect()
     }
 
-    /// Control bytes of a daemon since its start.
+    /// Returns the control bytes of a daemon since its start.
     pub async fn control_bytes(&self, operator: SocketAddr) -> anyhow::Result<f64> {
-        Ok(self.traffic(operator).await?.0)
+        Ok(self.control_traffic(operator).await?.0)
     }
 
-    /// Control bytes of a daemon since its start, and how many of them are writes at a limited rate.
-    async fn traffic(&self, operator: SocketAddr) -> anyhow::Result<(f64, f64)> {
+    /// Returns the control bytes of a daemon since its start, and how many of them are rate-limited writes.
+    async fn control_traffic(&self, operator: SocketAddr) -> anyhow::Result<(f64, f64)> {
         let text = self.http.text(operator, "/metrics").await?;
-        let limited = LIMITED.iter().map(|it| metric(&text, it)).sum();
-        Ok((metric(&text, CONTROL_BYTES), limited))
+        let limited = RATE_LIMITED_BYTES_METRICS.iter().map(|it| sum_metric(&text, it)).sum();
+        Ok((sum_metric(&text, CONTROL_BYTES_METRIC), limited))
     }
 
-    /// Starts a window.
-    pub async fn open(&self) -> anyhow::Result<Moment> {
-        self.moment(true).await
+    /// Starts a measurement window.
+    pub async fn start_window(&self) -> anyhow::Result<FleetSample> {
+        self.sample(true).await
     }
 
-    /// Ends a window: what each class used on average.
-    pub async fn close(&self, start: &Moment) -> anyhow::Result<Window> {
-        let end = self.moment(false).await?;
+    /// Ends a window; returns the mean usage of each class.
+    pub async fn end_window(&self, start: &FleetSample) -> anyhow::Result<Window> {
+        let end = self.sample(false).await?;
         let seconds = (end.at - start.at).as_secs_f64();
-        let rates = |from: &[Reading], to: &[Reading]| -> Vec<Rate> {
+        let rates = |from: &[UsageSample], to: &[UsageSample]| -> Vec<Rate> {
             from.iter().zip(to).map(|(from, to)| rate(from, to, seconds)).collect()
         };
         let mut plain = Vec::new();
@@ -444,7 +454,7 @@
         let all = rates(&start.balancers, &end.balancers);
         for (it, &rate) in self.balancers.iter().zip(&all) {
             let status = self.status(it.operator).await?;
-            match status.pointer(LEASE).and_then(Value::as_u64) {
+            match status.pointer(LEASE_POINTER).and_then(Value::as_u64) {
                 None => plain.push(rate),
                 Some(0) => seeds.push(rate),
                 Some(_) => {}
@@ -460,26 +470,31 @@
         })
     }
 
-    /// What each role uses on average while nothing is asked of it.
-    pub async fn window(&self, length: Duration) -> anyhow::Result<Window> {
-        let start = self.open().await?;
-        time::sleep(length).await;
-        self.close(&start).await
+    /// Measures the mean usage of each class over a duration without load.
+    pub async fn window(&self, duration: Duration) -> anyhow::Result<Window> {
+        let start = self.start_window().await?;
+        time::sleep(duration).await;
+        self.end_window(&start).await
     }
 
-    /// Starts a window over the balancers alone, as agents come and go.
-    pub async fn open_balancers(&self) -> anyhow::Result<Moment> {
+    /// Starts a window over the balancers only, for measurements that add or restart agents.
+    pub async fn start_balancer_window(&self) -> anyhow::Result<FleetSample> {
         let control = self.balancer_bytes().await?;
         let mut balancers = Vec::new();
         for (it, control) in self.balancers.iter().zip(control) {
-            balancers.push(Reading { usage: Usage::read(it.pid()?)?, control, limited: 0.0 });
+            balancers.push(UsageSample { usage: Usage::read(it.pid()?)?, control, limited: 0.0 });
         }
-        Ok(Moment { at: Instant::now(), balancers, agents: Vec::new(), counts: Counts::default() })
+        Ok(FleetSample {
+            at: Instant::now(),
+            balancers,
+            agents: Vec::new(),
+            counts: Counts::default(),
+        })
     }
 
-    /// Ends a window over the balancers alone: what the mean one used for each second.
-    pub async fn close_balancers(&self, start: &Moment) -> anyhow::Result<Rate> {
-        let used = self.used_by_balancers(start).await?;
+    /// Ends a window over the balancers only; returns their mean usage per second.
+    pub async fn end_balancer_window(&self, start: &FleetSample) -> anyhow::Result<Rate> {
+        let used = self.balancer_usage_since(start).await?;
         let seconds = used.seconds;
         Ok(Rate {
             cpu: 100.0 * used.cpu_s / seconds,
@@ -489,9 +504,9 @@
         })
     }
 
-    /// What the mean balancer has used since the start of a window.
-    pub async fn used_by_balancers(&self, start: &Moment) -> anyhow::Result<Used> {
-        let mut used = Used::default();
+    /// Returns the mean usage of the balancers since the start of a window.
+    pub async fn balancer_usage_since(&self, start: &FleetSample) -> anyhow::Result<UsageSince> {
+        let mut used = UsageSince::default();
         let n = self.balancers.len() as f64;
         for (it, from) in self.balancers.iter().zip(&start.balancers) {
             let usage = Usage::read(it.pid()?)?;
@@ -510,28 +525,30 @@
         join_all(reads).await.into_iter().collect()
     }
 
-    /// Mean number of links to other balancers, of balancers that hold no lease.
+    /// Returns the mean number of links to balancers, over the balancers without a lease.
     pub async fn links(&self) -> anyhow::Result<f64> {
         let mut counts = Vec::new();
         for it in &self.balancers {
             let status = self.status(it.operator).await?;
-            let links = status.pointer(LINKS).and_then(Value::as_array);
-            let links = links.with_context(|| format!("status of {}: no {LINKS}", it.name))?;
-            if status.pointer(LEASE).is_some_and(Value::is_u64) {
+            let links = status.pointer(LINKS_POINTER).and_then(Value::as_array);
+            let links =
+                links.with_context(|| format!("status of {}: missing {LINKS_POINTER}", it.name))?;
+            if status.pointer(LEASE_POINTER).is_some_and(Value::is_u64) {
                 continue;
             }
-            let to_balancer = |it: &&Value| it.as_str().is_some_and(|it| it.starts_with(BALANCER));
+            let to_balancer =
+                |it: &&Value| it.as_str().is_some_and(|it| it.starts_with(BALANCER_PREFIX));
             counts.push(links.iter().filter(to_balancer).count());
         }
         Ok(counts.iter().sum::<usize>() as f64 / counts.len().max(1) as f64)
     }
 
-    /// The balancers that hold the first lease of their zone, with the number of the zone.
+    /// Returns the balancers that hold the first lease of their zone, with the zone number.
     pub async fn seeds(&self) -> anyhow::Result<Vec<(usize, &Daemon)>> {
         let mut seeds = Vec::new();
         for (number, it) in self.balancers.iter().enumerate() {
             let status = self.status(it.operator).await?;
-            if status.pointer(LEASE).and_then(Value::as_u64) == Some(0) {
+            if status.pointer(LEASE_POINTER).and_then(Value::as_u64) == Some(0) {
                 seeds.push((number % self.zones, it));
             }
         }
@@ -543,72 +560,72 @@
         self.zones
     }
 
-    /// A certificate of the fleet.
+    /// Issues a certificate of the fleet CA.
     pub fn leaf(&self, name: &str) -> anyhow::Result<Leaf> {
         self.authority.leaf(name, &[])
     }
 
-    /// Control address of a daemon.
+    /// Control-plane address of a daemon.
     pub fn control(&self, it: &Daemon) -> SocketAddr {
         SocketAddr::new(it.host, self.block.port(PORTS[3]))
     }
 
-    /// Number of members that a daemon knows.
+    /// Returns the number of members in the view of a daemon.
     pub async fn members(&self, it: &Daemon) -> anyhow::Result<u64> {
         let status = self.status(it.operator).await?;
-        let count = status.pointer(MEMBERS).and_then(Value::as_u64);
-        count.with_context(|| format!("status of {}: no {MEMBERS}", it.name))
+        let count = status.pointer(MEMBERS_POINTER).and_then(Value::as_u64);
+        count.with_context(|| format!("status of {}: missing {MEMBERS_POINTER}", it.name))
     }
 
-    /// Revision that a daemon has in force.
+    /// Returns the revision that a daemon has applied.
     pub async fn applied(&self, operator: SocketAddr) -> anyhow::Result<u64> {
         let status = self.status(operator).await?;
-        let applied = status.pointer(APPLIED).and_then(Value::as_u64);
-        applied.with_context(|| format!("status of {operator}: no {APPLIED}"))
+        let applied = status.pointer(APPLIED_POINTER).and_then(Value::as_u64);
+        applied.with_context(|| format!("status of {operator}: missing {APPLIED_POINTER}"))
     }
 
-    /// Kills some agents at once, by their numbers.
+    /// Kills agents in parallel, by index; an error if one is not running.
     pub async fn kill_agents(&mut self, numbers: &[usize]) -> anyhow::Result<()> {
         let mut kills = Vec::new();
         for &number in numbers {
             let process = self.agents[number].process.take();
-            kills.push(process.context("kill an agent: it does not run")?.kill());
+            kills.push(process.context("failed to kill an agent: not running")?.kill());
         }
         join_all(kills).await.into_iter().collect()
     }
 
-    /// Starts agents again that were killed, by their numbers.
+    /// Restarts killed agents, by index.
     pub fn restart_agents(&mut self, numbers: &[usize]) -> anyhow::Result<()> {
         for &number in numbers {
             let daemon = &mut self.agents[number];
-            daemon.process = Some(Process::start(&daemon.launch, &self.folder)?);
+            daemon.process = Some(Process::start(&daemon.launch, &self.log_dir)?);
         }
         Ok(())
     }
 
-    /// Kills everything: these fleets hold nothing that a graceful stop would save.
-    pub async fn end(mut self) -> anyhow::Result<()> {
+    /// Kills all processes; a graceful stop is not needed, as the fleet has no state to keep.
+    pub async fn kill_all(mut self) -> anyhow::Result<()> {
         let daemons = self.agents.iter_mut().chain(&mut self.balancers);
         let mut processes: Vec<Process> = daemons.filter_map(|it| it.process.take()).collect();
-        processes.extend(std::mem::take(&mut self.standins).into_values());
+        processes.extend(std::mem::take(&mut self.emulators).into_values());
         join_all(processes.into_iter().map(Process::kill)).await.into_iter().collect()
     }
 }
 
 impl Daemon {
-    /// Process id.
+    /// Process id; an error if the daemon is not running.
     pub fn pid(&self) -> anyhow::Result<u32> {
         let process = self.process.as_ref();
-        Ok(process.with_context(|| format!("{} does not run", self.name))?.pid())
+        Ok(process.with_context(|| format!("{} is not running", self.name))?.pid())
     }
 }
 
-fn spec(target: &Target) -> Value {
+fn service_spec(target: &Target) -> Value {
     let address = target.address.to_string();
     json!({ "address": address, "pool": target.pool, "certificate": target.name, "connections": 100_000 })
 }
 
-fn rate(from: &Reading, to: &Reading, seconds: f64) -> Rate {
+fn rate(from: &UsageSample, to: &UsageSample, seconds: f64) -> Rate {
     let limited = (to.limited - from.limited) / seconds;
     Rate {
         cpu: 100.0 * (to.usage.cpu_s - from.usage.cpu_s) / seconds,
@@ -629,8 +646,8 @@
     }
 }
 
-/// Sum of a metric over its labels.
-pub fn metric(text: &str, name: &str) -> f64 {
+/// Sums a metric over all its label sets.
+pub fn sum_metric(text: &str, name: &str) -> f64 {
     let mut sum = 0.0;
     for line in text.lines() {
         let Some(rest) = line.strip_prefix(name) else {
--- a/crates/standin/src/capacity/mod.rs
+++ b/crates/standin/src/capacity/mod.rs
@@ -1,4 +1,5 @@
-//! Slopes of cost against size, measured on real processes and on the decision crate, and what they add up to.
+//! Capacity benchmark: measures cost against size on real processes and on the core crate, fits lines, and
+//! extrapolates to the design size.
 
 pub mod changes;
 pub mod decisions;
@@ -18,37 +19,37 @@
 
 use self::{fleet::Fleet, series::Series};
 
-/// What is measured together, on one fleet.
+/// A group of series that are measured together on one fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// The decision crate.
+    /// Cost of the core crate alone.
     Decisions,
-    /// Number of members, most of them made up.
+    /// Cost against the number of members, most of them simulated.
     Members,
-    /// Number of agents.
+    /// Cost against the number of agents.
     Agents,
-    /// Number of balancers.
+    /// Cost against the number of balancers.
     Balancers,
-    /// Number of services.
+    /// Cost against the number of services.
     Services,
-    /// Rate of configuration changes.
+    /// Cost against the rate of configuration changes.
     Changes,
-    /// Time until a change is in force.
+    /// Time until a change is applied everywhere.
     Times,
-    /// Open flows.
+    /// Cost against the number of open flows.
     Flows,
-    /// New flows.
+    /// Cost against the rate of new flows.
     Rates,
-    /// Agents that are replaced.
+    /// Cost against the rate of agent replacements.
     Replacements,
-    /// Agents that start at once.
+    /// Cost against the number of agents that start at once.
     Storms,
-    /// Outages of the platform.
+    /// Platform calls during and after an outage of the platform.
     Outages,
 }
 
 impl Part {
-    /// All parts, in the order in which they are measured.
+    /// All parts, in the order of measurement.
     pub const ALL: [Part; 12] = [
         Part::Decisions,
         Part::Members,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Measures the part.
+    /// Runs the measurements of the part; an error if its fleet does not start or become healthy.
     pub async fn measure(self, plan: &Plan) -> anyhow::Result<Vec<Series>> {
         match self {
             Part::Decisions => decisions::measure(plan.quick),
@@ -111,46 +112,46 @@
     }
 }
 
-/// Sizes and times of a run.
+/// Sizes and durations of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Whether sizes and times are cut short.
+    /// Whether to use smaller sizes and shorter durations.
     pub quick: bool,
-    /// Folder with the programs.
+    /// Directory with the binaries.
     pub bin: PathBuf,
-    /// Folder for the logs of processes.
+    /// Directory for the logs of the processes.
     pub logs: PathBuf,
 }
 
 impl Plan {
-    /// Longest wait for a fleet to become healthy.
-    pub const LIMIT: Duration = Duration::from_secs(60);
+    /// Maximum wait for a fleet to become healthy.
+    pub const HEALTH_TIMEOUT: Duration = Duration::from_secs(60);
 
-    /// Starts a fleet whose processes log into a folder of its own.
+    /// Starts a fleet that logs into its own directory, `name`.
     pub async fn fleet(&self, name: &str, zones: usize) -> anyhow::Result<Fleet> {
-        let folder = self.logs.join(name);
-        std::fs::create_dir_all(&folder)?;
-        Fleet::start(&self.bin, &folder, zones).await
+        let log_dir = self.logs.join(name);
+        std::fs::create_dir_all(&log_dir)?;
+        Fleet::start(&self.bin, &log_dir, zones).await
     }
 
-    /// Length of a window.
+    /// Duration of a measurement window.
     pub fn window(&self) -> Duration {
         Duration::from_secs(if self.quick { 3 } else { 8 })
     }
 
-    fn members(&self) -> &'static [usize] {
+    fn member_counts(&self) -> &'static [usize] {
         if self.quick { &[100, 200, 400, 800, 1_600] } else { &[500, 1_000, 2_000, 4_000, 6_000] }
     }
 
-    fn agents(&self) -> &'static [usize] {
+    fn agent_counts(&self) -> &'static [usize] {
         if self.quick { &[5, 10, 20, 30, 40] } else { &[10, 20, 40, 80, 120, 160] }
     }
 
-    fn balancers(&self) -> &'static [usize] {
+    fn balancer_counts(&self) -> &'static [usize] {
         if self.quick { &[3, 4, 6, 9, 14] } else { &[3, 5, 8, 14, 24, 40] }
     }
 
-    fn services(&self) -> &'static [usize] {
+    fn service_counts(&self) -> &'static [usize] {
         if self.quick { &[10, 20, 40, 80, 160] } else { &[10, 40, 85, 170, 340, 680] }
     }
 
@@ -158,7 +159,7 @@
         if self.quick { &[0.0, 1.0, 2.0, 5.0, 10.0] } else { &[0.0, 1.0, 2.0, 5.0, 10.0, 20.0] }
     }
 
-    fn time_sizes(&self) -> &'static [(usize, usize)] {
+    fn fleet_sizes(&self) -> &'static [(usize, usize)] {
         if self.quick {
             &[(3, 5), (4, 8), (5, 10), (6, 14), (8, 20)]
         } else {
@@ -166,11 +167,11 @@
         }
     }
 
-    fn changes(&self) -> usize {
+    fn change_count(&self) -> usize {
         if self.quick { 10 } else { 100 }
     }
 
-    fn flows(&self) -> &'static [usize] {
+    fn flow_counts(&self) -> &'static [usize] {
         if self.quick { &[0, 50, 100, 200, 300] } else { &[0, 250, 500, 1_000, 1_500, 2_000] }
     }
 
@@ -182,11 +183,11 @@
         }
     }
 
-    fn event_rates(&self) -> &'static [f64] {
+    fn replacement_rates(&self) -> &'static [f64] {
         if self.quick { &[0.0, 0.5, 1.0, 2.0, 3.0] } else { &[0.0, 0.5, 1.0, 2.0, 4.0, 6.0] }
     }
 
-    fn storms(&self) -> &'static [usize] {
+    fn storm_sizes(&self) -> &'static [usize] {
         if self.quick { &[5, 10, 15, 20, 30] } else { &[10, 20, 40, 80, 120] }
     }
 }
--- a/crates/standin/src/capacity/output.rs
+++ b/crates/standin/src/capacity/output.rs
@@ -1,69 +1,72 @@
-//! The files of a run: measurements, lines and totals as CSV, the same as Markdown, and a plot for each series.
+//! Output files of a run: measurements, fitted lines and totals as CSV, Markdown tables, and a plot for each series.
 
 use std::{fmt::Write, fs, path::Path};
 
 use anyhow::{Context, bail};
 
 use super::{
-    fit::{Value, count, digits},
+    fit::{Estimate, format_count, format_number},
     plot,
     series::{Measured, Series, Total},
 };
 
-/// Circumstances of a run.
+/// Metadata of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Circumstances {
     /// Commit of the binaries.
     pub commit: String,
-    /// Cores of the machine.
+    /// Number of CPU cores of the machine.
     pub cores: usize,
-    /// Load average at the start and at the end.
+    /// 1-minute load average at the start and at the end.
     pub load: [f64; 2],
-    /// Whether the sizes and times were cut short.
+    /// Whether the sizes and durations were reduced.
     pub quick: bool,
-    /// Seconds that the run took.
+    /// Duration of the run in seconds.
     pub seconds: u64,
 }
 
-/// Writes all files of a run into a directory.
+/// Writes all output files into a directory; an error if a name contains a comma.
 pub fn write(
     dir: &Path,
     run: &Circumstances,
     measured: &Measured,
     totals: &[Total],
 ) -> anyhow::Result<()> {
-    if let Some(name) = commas(measured, totals) {
-        bail!("write {}: the name {name:?} holds a comma", dir.display());
+    if let Some(name) = name_with_comma(measured, totals) {
+        bail!("failed to write {}: the name {name:?} contains a comma", dir.display());
     }
-    fs::create_dir_all(dir).with_context(|| format!("create {}", dir.display()))?;
-    save(&dir.join("points.csv"), &points_csv(measured))?;
-    save(&dir.join("slopes.csv"), &slopes_csv(measured))?;
-    save(&dir.join("totals.csv"), &totals_csv(totals))?;
-    save(&dir.join("tables.md"), &tables(run, measured, totals))?;
+    fs::create_dir_all(dir).with_context(|| format!("failed to create {}", dir.display()))?;
+    write_file(&dir.join("points.csv"), &points_csv(measured))?;
+    write_file(&dir.join("slopes.csv"), &slopes_csv(measured))?;
+    write_file(&dir.join("totals.csv"), &totals_csv(totals))?;
+    write_file(&dir.join("tables.md"), &tables(run, measured, totals))?;
     for series in &measured.series {
         plot::draw(&dir.join(format!("{}.svg", series.id)), series)?;
     }
     Ok(())
 }
 
-/// Commas separate fields, and no field is quoted: names hold none.
-fn commas(measured: &Measured, totals: &[Total]) -> Option<String> {
+/// Returns a name with a comma, which the unquoted CSV fields do not allow.
+fn name_with_comma(measured: &Measured, totals: &[Total]) -> Option<String> {
     let series = measured.series.iter().flat_map(|it| [it.id, it.axis, it.unit]);
     let names = totals.iter().flat_map(|it| [it.role, it.resource, it.unit]);
     series.chain(names).find(|it| it.contains(',')).map(str::to_owned)
 }
 
-fn save(path: &Path, text: &str) -> anyhow::Result<()> {
-    fs::write(path, text).with_context(|| format!("write {}", path.display()))
+fn write_file(path: &Path, text: &str) -> anyhow::Result<()> {
+    fs::write(path, text).with_context(|| format!("failed to write {}", path.display()))
 }
 
 fn points_csv(measured: &Measured) -> String {
     let mut text = "series,ground,axis,size,value,unit\n".to_owned();
     for it in &measured.series {
         for point in &it.points {
-            let ground = it.ground.as_str();
+            let source = it.source.as_str();
             let (x, y) = (point.x, point.y);
-            line(&mut text, format_args!("{},{ground},{},{x},{y},{}", it.id, it.axis, it.unit));
+            push_line(
+                &mut text,
+                format_args!("{},{source},{},{x},{y},{}", it.id, it.axis, it.unit),
+            );
         }
     }
     text
@@ -76,20 +79,20 @@
         let Some(fit) = it.fit() else {
             continue;
         };
-        line(
+        push_line(
             &mut text,
             format_args!(
                 "{},{},{},{},{},{},{},{},{},{},{}",
                 it.id,
-                it.ground.as_str(),
+                it.source.as_str(),
                 it.axis,
                 it.unit,
-                sizes(it, " "),
+                join_sizes(it, " "),
                 fit.count,
                 fit.slope.mean,
                 fit.slope.error,
-                fit.base.mean,
-                fit.base.error,
+                fit.intercept.mean,
+                fit.intercept.error,
                 fit.r2,
             ),
         );
@@ -101,15 +104,15 @@
     let mut text = "role,resource,unit,part,value,error,budget,share\n".to_owned();
     for it in totals {
         for term in &it.terms {
-            let Value { mean, error } = term.value;
+            let Estimate { mean, error } = term.value;
             let (role, resource, unit) = (it.role, it.resource, it.unit);
-            line(
+            push_line(
                 &mut text,
                 format_args!("{role},{resource},{unit},{},{mean},{error},,", term.what),
             );
         }
-        let Value { mean, error } = it.value();
-        line(
+        let Estimate { mean, error } = it.value();
+        push_line(
             &mut text,
             format_args!(
                 "{},{},{},total,{mean},{error},{},{}",
@@ -126,27 +129,27 @@
 
 fn tables(run: &Circumstances, measured: &Measured, totals: &[Total]) -> String {
     let mut text = String::new();
-    line(&mut text, format_args!("# Figures of one run of `camphorwinch-standin capacity`\n"));
+    push_line(&mut text, format_args!("# Figures of one run of `camphorwinch-standin capacity`\n"));
     let kind = if run.quick { "quick" } else { "full" };
-    line(
+    push_line(
         &mut text,
         format_args!(
             "Commit {}, {kind} run of {} s on {} cores, load average {:.1} at the start and {:.1} at the end.\n",
             run.commit, run.seconds, run.cores, run.load[0], run.load[1]
         ),
     );
-    line(&mut text, format_args!("## Lines\n"));
-    line(
+    push_line(&mut text, format_args!("## Lines\n"));
+    push_line(
         &mut text,
         format_args!("| series | what | against | sizes | slope | at size 0 | R2 | on |"),
     );
-    line(&mut text, format_args!("| --- | --- | --- | --- | --- | --- | --- | --- |"));
+    push_line(&mut text, format_args!("| --- | --- | --- | --- | --- | --- | --- | --- |"));
     for it in &measured.series {
         slope_row(&mut text, it);
     }
-    line(&mut text, format_args!("\n## At the size designed for\n"));
-    line(&mut text, format_args!("| role | resource | value | budget | share | parts |"));
-    line(&mut text, format_args!("| --- | --- | --- | --- | --- | --- |"));
+    push_line(&mut text, format_args!("\n## At the size designed for\n"));
+    push_line(&mut text, format_args!("| role | resource | value | budget | share | parts |"));
+    push_line(&mut text, format_args!("| --- | --- | --- | --- | --- | --- |"));
     for it in totals {
         total_row(&mut text, it);
     }
@@ -154,53 +157,58 @@
 }
 
 fn slope_row(text: &mut String, it: &Series) {
-    let (slope, base, r2) = match it.fit() {
-        Some(fit) => (shown(fit.slope), shown(fit.base), format!("{:.3}", fit.r2)),
+    let (slope, intercept, r2) = match it.fit() {
+        Some(fit) => {
+            (format_estimate(fit.slope), format_estimate(fit.intercept), format!("{:.3}", fit.r2))
+        }
         None => ("no fit".to_owned(), String::new(), String::new()),
     };
-    line(
+    push_line(
         text,
         format_args!(
-            "| [{id}]({id}.svg) | {}, {} | {} | {} | {slope} | {base} | {r2} | {} |",
+            "| [{id}]({id}.svg) | {}, {} | {} | {} | {slope} | {intercept} | {r2} | {} |",
             it.what,
             it.unit,
             it.axis,
-            sizes(it, ", "),
-            it.ground.as_str(),
+            join_sizes(it, ", "),
+            it.source.as_str(),
             id = it.id,
         ),
     );
 }
 
 fn total_row(text: &mut String, it: &Total) {
-    let mut parts: Vec<String> =
-        it.terms.iter().map(|term| format!("{}: {}", term.what, shown(term.value))).collect();
-    parts.extend(it.missing.iter().map(|id| format!("{id}: not measured")));
+    let mut terms: Vec<String> = it
+        .terms
+        .iter()
+        .map(|term| format!("{}: {}", term.what, format_estimate(term.value)))
+        .collect();
+    terms.extend(it.missing.iter().map(|id| format!("{id}: not measured")));
     let note = if it.missing.is_empty() { "" } else { " (partial)" };
-    line(
+    push_line(
         text,
         format_args!(
             "| {} | {} | {} {}{note} | {} | {:.1} % | {} |",
             it.role,
             it.resource,
-            shown(it.value()),
+            format_estimate(it.value()),
             it.unit,
-            count(it.budget),
+            format_count(it.budget),
             100.0 * it.share(),
-            parts.join("; "),
+            terms.join("; "),
         ),
     );
 }
 
-fn sizes(it: &Series, between: &str) -> String {
-    it.sizes().into_iter().map(count).collect::<Vec<_>>().join(between)
+fn join_sizes(it: &Series, separator: &str) -> String {
+    it.sizes().into_iter().map(format_count).collect::<Vec<_>>().join(separator)
 }
 
-/// A value with its error, to three digits.
-pub fn shown(value: Value) -> String {
-    format!("{} ± {}", digits(value.mean), digits(value.error))
+/// Formats an estimate and its error with three significant digits.
+pub fn format_estimate(value: Estimate) -> String {
+    format!("{} ± {}", format_number(value.mean), format_number(value.error))
 }
 
-fn line(text: &mut String, args: std::fmt::Arguments<'_>) {
+fn push_line(text: &mut String, args: std::fmt::Arguments<'_>) {
     writeln!(text, "{args}").expect("writing to a string does not fail");
 }
--- a/crates/standin/src/capacity/scale.rs
+++ b/crates/standin/src/capacity/scale.rs
@@ -1,4 +1,4 @@
-//! Cost of a quiet fleet, against the numbers of members, agents, balancers and services.
+//! Cost of an idle fleet against the numbers of members, agents, balancers and services.
 
 use std::time::Duration;
 
@@ -7,56 +7,61 @@
 
 use super::{
     Plan,
-    decisions::made_up_agent,
+    decisions::simulated_agent,
     fleet::{Fleet, Window},
     inject::{self, Reporter, Zone},
-    series::{Ground, Series},
+    series::{Series, Source},
 };
 
 const BALANCERS: usize = 4;
-const CALM: Duration = Duration::from_secs(4);
-/// Windows in which several reports and renewals of a lease happen.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
+/// Multiple of the window, long enough for several reports and lease renewals.
 const REPORT_WINDOWS: u32 = 2;
-const POLL: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-pub(super) fn on_processes(
+pub(super) fn process_series(
     id: &'static str,
     what: &'static str,
     unit: &'static str,
     axis: &'static str,
 ) -> Series {
-    Series::new(id, what, unit, axis, Ground::Processes)
+    Series::new(id, what, unit, axis, Source::Processes)
 }
 
-/// Grows the number of members that real balancers know, by made-up agents, in six zones with three balancers each.
+/// Measures the cost of increasing numbers of simulated members, with three balancers in each zone.
 pub async fn members(plan: &Plan) -> anyhow::Result<Vec<Series>> {
     const AXIS: &str = "members (most made up)";
-    const EACH_ZONE: usize = 3;
+    const BALANCERS_PER_ZONE: usize = 3;
     const SERVICES: usize = 60;
     let zones = if plan.quick { 2 } else { 6 };
     let mut set = [
-        on_processes("plain-cpu-members", "quiet balancer, time", "% of a core", AXIS),
-        on_processes("plain-bytes-members", "quiet balancer, control", "bytes/s", AXIS),
-        on_processes("plain-memory-members", "quiet balancer, memory", "MiB", AXIS),
-        on_processes("seed-cpu-members", "quiet lease holder, time", "% of a core", AXIS),
-        on_processes("seed-bytes-members", "quiet lease holder, control", "bytes/s", AXIS),
-        on_processes("seed-limited-members", "lease holder, timeline and report", "bytes/s", AXIS),
-        on_processes("seed-memory-members", "quiet lease holder, memory", "MiB", AXIS),
-        on_processes("calls-members", "quiet fleet, platform", "calls/s", AXIS),
-        on_processes("answers-members", "quiet fleet, platform's answers", "bytes/s", AXIS),
+        process_series("plain-cpu-members", "quiet balancer, time", "% of a core", AXIS),
+        process_series("plain-bytes-members", "quiet balancer, control", "bytes/s", AXIS),
+        process_series("plain-memory-members", "quiet balancer, memory", "MiB", AXIS),
+        process_series("seed-cpu-members", "quiet lease holder, time", "% of a core", AXIS),
+        process_series("seed-bytes-members", "quiet lease holder, control", "bytes/s", AXIS),
+        process_series(
+            "seed-limited-members",
+            "lease holder, timeline and report",
+            "bytes/s",
+            AXIS,
+        ),
+        process_series("seed-memory-members", "quiet lease holder, memory", "MiB", AXIS),
+        process_series("calls-members", "quiet fleet, platform", "calls/s", AXIS),
+        process_series("answers-members", "quiet fleet, platform's answers", "bytes/s", AXIS),
     ];
     let mut fleet = plan.fleet("members", zones).await?;
     fleet.add_services(SERVICES, SERVICES).await?;
-    fleet.add_balancers(zones * EACH_ZONE)?;
-    fleet.settle(Plan::LIMIT).await?;
-    time::sleep(CALM).await;
+    fleet.add_balancers(zones * BALANCERS_PER_ZONE)?;
+    fleet.wait_until_healthy(Plan::HEALTH_TIMEOUT).await?;
+    time::sleep(SETTLE_TIME).await;
     let reporters = start_reporters(&fleet).await?;
-    let mut told = 0;
-    for &count in plan.members() {
-        tell(&fleet, told, count).await?;
-        told = count;
-        announce(&fleet, &reporters, count).await?;
-        let window = quiet_for(&fleet, plan.window() * REPORT_WINDOWS)
+    let mut added = 0;
+    for &count in plan.member_counts() {
+        add_simulated_agents(&fleet, added, count).await?;
+        added = count;
+        set_reported_agents(&fleet, &reporters, count).await?;
+        let window = idle_window_for(&fleet, plan.window() * REPORT_WINDOWS)
             .await
             .with_context(|| format!("with {count} members"))?;
         let x = count as f64;
@@ -76,7 +81,7 @@
     for (_, reporter) in reporters {
         reporter.end().await?;
     }
-    fleet.end().await?;
+    fleet.kill_all().await?;
     Ok(set.into())
 }
 
@@ -88,29 +93,29 @@
     Ok(reporters)
 }
 
-/// Tells the fleet of agents, each homed at a balancer of its zone, and waits until every balancer knows them.
-async fn tell(fleet: &Fleet, from: usize, to: usize) -> anyhow::Result<()> {
+/// Adds simulated agents, each homed at a balancer of its zone, and waits until every balancer has their records.
+async fn add_simulated_agents(fleet: &Fleet, from: usize, to: usize) -> anyhow::Result<()> {
     let mut members = Vec::new();
     for i in from..to {
         let zone = i % fleet.zones();
         let home = &fleet.balancers[zone];
-        members.push(made_up_agent(i, zone, &home.name));
+        members.push(simulated_agent(i, zone, &home.name));
     }
     let peer = fleet.control(&fleet.balancers[0]);
-    let _told = inject::tell(fleet, peer, &members).await?;
+    let _link = inject::announce_members(fleet, peer, &members).await?;
     let start = Instant::now();
     for balancer in &fleet.balancers {
         while fleet.members(balancer).await? < (to + fleet.balancers.len()) as u64 {
-            if start.elapsed() > Plan::LIMIT {
-                bail!("wait until {} knows {to} made-up agents: too long", balancer.name);
+            if start.elapsed() > Plan::HEALTH_TIMEOUT {
+                bail!("timed out waiting for {} to receive {to} simulated agents", balancer.name);
             }
-            time::sleep(POLL).await;
+            time::sleep(POLL_INTERVAL).await;
         }
     }
     Ok(())
 }
 
-async fn announce(
+async fn set_reported_agents(
     fleet: &Fleet,
     reporters: &[(usize, Reporter)],
     count: usize,
@@ -118,72 +123,73 @@
     let applied = fleet.applied(fleet.balancers[0].operator).await?;
     for (zone, reporter) in reporters {
         let numbers = (0..count).filter(|it| it % fleet.zones() == *zone);
-        let agents = numbers.map(|it| made_up_agent(it, *zone, "").name().to_owned()).collect();
+        let agents = numbers.map(|it| simulated_agent(it, *zone, "").name().to_owned()).collect();
         reporter.zone.send_replace(Zone { agents, applied });
     }
     Ok(())
 }
 
-/// Grows the number of agents before four balancers of one zone.
+/// Measures the cost of increasing numbers of agents, with four balancers in one zone.
 pub async fn agents(plan: &Plan) -> anyhow::Result<Vec<Series>> {
-    const EACH: &str = "agents per balancer";
-    const ALL: &str = "agents of the zone";
+    const PER_BALANCER: &str = "agents per balancer";
+    const IN_ZONE: &str = "agents of the zone";
     let mut set = [
-        on_processes("plain-cpu-agents", "quiet balancer, time", "% of a core", EACH),
-        on_processes("plain-bytes-agents", "quiet balancer, control", "bytes/s", EACH),
-        on_processes("plain-memory-agents", "quiet balancer, memory", "MiB", EACH),
-        on_processes("seed-cpu-agents", "quiet lease holder, time", "% of a core", ALL),
-        on_processes("seed-bytes-agents", "quiet lease holder, control", "bytes/s", ALL),
-        on_processes("agent-cpu-agents", "quiet agent, time", "% of a core", ALL),
-        on_processes("agent-bytes-agents", "quiet agent, control", "bytes/s", ALL),
-        on_processes("agent-memory-agents", "quiet agent, memory", "MiB", ALL),
-        on_processes("calls-agents", "quiet fleet, platform", "calls/s", ALL),
+        process_series("plain-cpu-agents", "quiet balancer, time", "% of a core", PER_BALANCER),
+        process_series("plain-bytes-agents", "quiet balancer, control", "bytes/s", PER_BALANCER),
+        process_series("plain-memory-agents", "quiet balancer, memory", "MiB", PER_BALANCER),
+        process_series("seed-cpu-agents", "quiet lease holder, time", "% of a core", IN_ZONE),
+        process_series("seed-bytes-agents", "quiet lease holder, control", "bytes/s", IN_ZONE),
+        process_series("agent-cpu-agents", "quiet agent, time", "% of a core", IN_ZONE),
+        process_series("agent-bytes-agents", "quiet agent, control", "bytes/s", IN_ZONE),
+        process_series("agent-memory-agents", "quiet agent, memory", "MiB", IN_ZONE),
+        process_series("calls-agents", "quiet fleet, platform", "calls/s", IN_ZONE),
     ];
     let mut fleet = plan.fleet("agents", 1).await?;
     fleet.add_services(20, 20).await?;
     fleet.add_balancers(BALANCERS)?;
-    for &count in plan.agents() {
+    for &count in plan.agent_counts() {
         fleet.add_agents(count)?;
-        let window = quiet(&fleet, plan).await.with_context(|| format!("with {count} agents"))?;
-        let each = count as f64 / BALANCERS as f64;
-        let all = count as f64;
+        let window =
+            idle_window(&fleet, plan).await.with_context(|| format!("with {count} agents"))?;
+        let per_balancer = count as f64 / BALANCERS as f64;
+        let in_zone = count as f64;
         let values = [
-            (each, window.plain.cpu),
-            (each, window.plain.control),
-            (each, window.plain.rss),
-            (all, window.seed.cpu),
-            (all, window.seed.control),
-            (all, window.agent.cpu),
-            (all, window.agent.control),
-            (all, window.agent.rss),
-            (all, window.calls),
+            (per_balancer, window.plain.cpu),
+            (per_balancer, window.plain.control),
+            (per_balancer, window.plain.rss),
+            (in_zone, window.seed.cpu),
+            (in_zone, window.seed.control),
+            (in_zone, window.agent.cpu),
+            (in_zone, window.agent.control),
+            (in_zone, window.agent.rss),
+            (in_zone, window.calls),
         ];
         push(&mut set, &values);
     }
-    fleet.end().await?;
+    fleet.kill_all().await?;
     Ok(set.into())
 }
 
-/// Grows the number of balancers of one zone, without agents.
+/// Measures the cost of increasing numbers of balancers in one zone, without agents.
 pub async fn balancers(plan: &Plan) -> anyhow::Result<Vec<Series>> {
-    const ALL: &str = "balancers of the zone";
+    const IN_ZONE: &str = "balancers of the zone";
     let mut set = [
-        on_processes("plain-cpu-balancers", "quiet balancer, time", "% of a core", ALL),
-        on_processes("plain-bytes-balancers", "quiet balancer, control", "bytes/s", ALL),
-        on_processes("plain-memory-balancers", "quiet balancer, memory", "MiB", ALL),
-        on_processes("plain-links-balancers", "links between balancers", "links", ALL),
-        on_processes("seed-cpu-balancers", "quiet lease holder, time", "% of a core", ALL),
-        on_processes("seed-bytes-balancers", "quiet lease holder, control", "bytes/s", ALL),
-        on_processes("seed-memory-balancers", "quiet lease holder, memory", "MiB", ALL),
-        on_processes("calls-balancers", "quiet fleet, platform", "calls/s", ALL),
-        on_processes("answers-balancers", "quiet fleet, platform's answers", "bytes/s", ALL),
+        process_series("plain-cpu-balancers", "quiet balancer, time", "% of a core", IN_ZONE),
+        process_series("plain-bytes-balancers", "quiet balancer, control", "bytes/s", IN_ZONE),
+        process_series("plain-memory-balancers", "quiet balancer, memory", "MiB", IN_ZONE),
+        process_series("plain-links-balancers", "links between balancers", "links", IN_ZONE),
+        process_series("seed-cpu-balancers", "quiet lease holder, time", "% of a core", IN_ZONE),
+        process_series("seed-bytes-balancers", "quiet lease holder, control", "bytes/s", IN_ZONE),
+        process_series("seed-memory-balancers", "quiet lease holder, memory", "MiB", IN_ZONE),
+        process_series("calls-balancers", "quiet fleet, platform", "calls/s", IN_ZONE),
+        process_series("answers-balancers", "quiet fleet, platform's answers", "bytes/s", IN_ZONE),
     ];
     let mut fleet = plan.fleet("balancers", 1).await?;
     fleet.add_services(20, 20).await?;
-    for &count in plan.balancers() {
+    for &count in plan.balancer_counts() {
         fleet.add_balancers(count)?;
         let window =
-            quiet(&fleet, plan).await.with_context(|| format!("with {count} balancers"))?;
+            idle_window(&fleet, plan).await.with_context(|| format!("with {count} balancers"))?;
         let x = count as f64;
         let values = [
             (x, window.plain.cpu),
@@ -198,30 +204,31 @@
         ];
         push(&mut set, &values);
     }
-    fleet.end().await?;
+    fleet.kill_all().await?;
     Ok(set.into())
 }
 
-/// Grows the number of services before four balancers and ten agents of one zone.
+/// Measures the cost of increasing numbers of services, with four balancers and ten agents in one zone.
 pub async fn services(plan: &Plan) -> anyhow::Result<Vec<Series>> {
     const AXIS: &str = "services";
     const AGENTS: usize = 10;
     let mut set = [
-        on_processes("plain-cpu-services", "quiet balancer, time", "% of a core", AXIS),
-        on_processes("plain-bytes-services", "quiet balancer, control", "bytes/s", AXIS),
-        on_processes("plain-memory-services", "quiet balancer, memory", "MiB", AXIS),
-        on_processes("agent-cpu-services", "quiet agent, time", "% of a core", AXIS),
-        on_processes("agent-bytes-services", "quiet agent, control", "bytes/s", AXIS),
-        on_processes("agent-memory-services", "quiet agent, memory", "MiB", AXIS),
-        on_processes("agent-start-bytes", "an agent that starts, until healthy", "bytes", AXIS),
+        process_series("plain-cpu-services", "quiet balancer, time", "% of a core", AXIS),
+        process_series("plain-bytes-services", "quiet balancer, control", "bytes/s", AXIS),
+        process_series("plain-memory-services", "quiet balancer, memory", "MiB", AXIS),
+        process_series("agent-cpu-services", "quiet agent, time", "% of a core", AXIS),
+        process_series("agent-bytes-services", "quiet agent, control", "bytes/s", AXIS),
+        process_series("agent-memory-services", "quiet agent, memory", "MiB", AXIS),
+        process_series("agent-start-bytes", "an agent that starts, until healthy", "bytes", AXIS),
     ];
     let mut fleet = plan.fleet("services", 1).await?;
     fleet.add_balancers(BALANCERS)?;
-    for &count in plan.services() {
+    for &count in plan.service_counts() {
         fleet.add_services(count, count).await?;
         fleet.add_agents(AGENTS)?;
-        let window = quiet(&fleet, plan).await.with_context(|| format!("with {count} services"))?;
-        let start = first_bytes(&mut fleet).await?;
+        let window =
+            idle_window(&fleet, plan).await.with_context(|| format!("with {count} services"))?;
+        let start = startup_bytes(&mut fleet).await?;
         let x = count as f64;
         let values = [
             (x, window.plain.cpu),
@@ -234,30 +241,30 @@
         ];
         push(&mut set, &values);
     }
-    fleet.end().await?;
+    fleet.kill_all().await?;
     Ok(set.into())
 }
 
-/// Control bytes that an agent has used when it becomes healthy.
-async fn first_bytes(fleet: &mut Fleet) -> anyhow::Result<f64> {
+/// Control bytes that an agent sends and receives from its start until it is healthy.
+async fn startup_bytes(fleet: &mut Fleet) -> anyhow::Result<f64> {
     let number = fleet.agents.len() - 1;
     fleet.kill_agents(&[number]).await?;
     fleet.restart_agents(&[number])?;
-    fleet.settle(Plan::LIMIT).await?;
+    fleet.wait_until_healthy(Plan::HEALTH_TIMEOUT).await?;
     fleet.control_bytes(fleet.agents[number].operator).await
 }
 
-async fn quiet(fleet: &Fleet, plan: &Plan) -> anyhow::Result<Window> {
-    quiet_for(fleet, plan.window()).await
+async fn idle_window(fleet: &Fleet, plan: &Plan) -> anyhow::Result<Window> {
+    idle_window_for(fleet, plan.window()).await
 }
 
-async fn quiet_for(fleet: &Fleet, length: Duration) -> anyhow::Result<Window> {
-    fleet.settle(Plan::LIMIT).await?;
-    time::sleep(CALM).await;
-    fleet.window(length).await
+async fn idle_window_for(fleet: &Fleet, duration: Duration) -> anyhow::Result<Window> {
+    fleet.wait_until_healthy(Plan::HEALTH_TIMEOUT).await?;
+    time::sleep(SETTLE_TIME).await;
+    fleet.window(duration).await
 }
 
-/// Adds one measurement to each series.
+/// Adds one measurement to each series, in order.
 pub fn push(set: &mut [Series], values: &[(f64, f64)]) {
     for (series, &(x, y)) in set.iter_mut().zip(values) {
         series.push(x, y);
--- a/crates/standin/src/capacity/series.rs
+++ b/crates/standin/src/capacity/series.rs
@@ -1,56 +1,56 @@
-//! What was measured against what, and what follows for the size designed for.
+//! Series of measurements, and totals extrapolated from them.
 
 use serde::Serialize;
 
-use super::fit::{self, Fit, Point, Value};
+use super::fit::{self, Estimate, Fit, Point};
 
-/// What a series was measured on.
+/// Source of the measurements of a series.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Ground {
-    /// Real processes.
+pub enum Source {
+    /// A fleet of real processes.
     Processes,
-    /// The decision crate alone.
+    /// The core crate alone.
     Decisions,
 }
 
-impl Ground {
-    /// Name in tables.
+impl Source {
+    /// Name in tables and plots.
     pub fn as_str(self) -> &'static str {
         match self {
-            Ground::Processes => "processes",
-            Ground::Decisions => "decisions",
+            Source::Processes => "processes",
+            Source::Decisions => "decisions",
         }
     }
 }
 
-/// A cost measured at several sizes.
+/// Measurements of one cost at several sizes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Series {
-    /// Short name, also of the plot's file.
+    /// Unique name, also the file name of the plot.
     pub id: &'static str,
-    /// What was measured.
+    /// Description of the cost.
     pub what: &'static str,
     /// Unit of the measurements.
     pub unit: &'static str,
-    /// What the sizes count.
+    /// Description of the size axis.
     pub axis: &'static str,
-    /// What it was measured on.
-    pub ground: Ground,
-    /// The measurements.
+    /// Source of the measurements.
+    pub source: Source,
+    /// Measurements.
     pub points: Vec<Point>,
 }
 
 impl Series {
-    /// A series without measurements.
+    /// Creates an empty series.
     pub fn new(
         id: &'static str,
         what: &'static str,
         unit: &'static str,
         axis: &'static str,
-        ground: Ground,
+        source: Source,
     ) -> Series {
-        Series { id, what, unit, axis, ground, points: Vec::new() }
+        Series { id, what, unit, axis, source, points: Vec::new() }
     }
 
     /// Adds a measurement.
@@ -58,12 +58,12 @@
         self.points.push(Point { x, y });
     }
 
-    /// The line through the measurements.
+    /// Fits a line; see [`Fit::new`].
     pub fn fit(&self) -> Option<Fit> {
         Fit::new(&self.points)
     }
 
-    /// The sizes, each once, in order.
+    /// Distinct sizes in ascending order.
     pub fn sizes(&self) -> Vec<f64> {
         let mut sizes: Vec<f64> = self.points.iter().map(|it| it.x).collect();
         sizes.sort_by(f64::total_cmp);
@@ -72,25 +72,25 @@
     }
 }
 
-/// Series that belong to one run, by name.
+/// All series of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Measured {
-    /// The series, in the order in which they were measured.
+    /// Series in the order of measurement.
     pub series: Vec<Series>,
 }
 
 impl Measured {
-    /// The series with this name.
+    /// Returns the series with this name.
     pub fn get(&self, id: &str) -> Option<&Series> {
         self.series.iter().find(|it| it.id == id)
     }
 
-    /// The line through the series with this name.
+    /// Fits a line to the series with this name.
     pub fn fit(&self, id: &str) -> Option<Fit> {
         self.get(id)?.fit()
     }
 
-    /// Adds series, in place of those with the same names.
+    /// Adds series, replacing those with the same name.
     pub fn extend<I>(&mut self, series: I)
     where
         I: IntoIterator<Item = Series>,
@@ -102,34 +102,34 @@
     }
 }
 
-/// Part of a total: a line's value at a count, or a value on its own.
+/// Term of a total.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Term {
-    /// What it stands for.
+    /// Description.
     pub what: String,
-    /// The part.
-    pub value: Value,
+    /// Contribution to the total, in its unit.
+    pub value: Estimate,
 }
 
-/// A resource of a role at the size designed for, summed from its parts.
+/// Usage of one resource by one role at the design size, as a sum of terms.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Total {
-    /// The role.
+    /// Role: balancer, lease holder, agent, platform or fleet.
     pub role: &'static str,
-    /// The resource.
+    /// Resource.
     pub resource: &'static str,
-    /// Unit.
+    /// Unit of the total and of its budget.
     pub unit: &'static str,
-    /// What may be used, in the same unit.
+    /// Maximum allowed usage.
     pub budget: f64,
-    /// Its parts.
+    /// Terms of the sum.
     pub terms: Vec<Term>,
-    /// Series that were not measured, so that the sum lacks them.
+    /// Series without a fit, whose terms are missing from the sum.
     pub missing: Vec<String>,
 }
 
 impl Total {
-    /// A total without parts.
+    /// Creates an empty total.
     pub fn new(
         role: &'static str,
         resource: &'static str,
@@ -139,59 +139,63 @@
         Total { role, resource, unit, budget, terms: Vec::new(), missing: Vec::new() }
     }
 
-    /// Adds the base of a series: what a process uses at size 0.
-    pub fn base(mut self, measured: &Measured, id: &str) -> Total {
+    /// Adds the intercept of a series, that is its cost at size 0.
+    pub fn intercept(mut self, measured: &Measured, id: &str) -> Total {
         match measured.fit(id) {
-            Some(fit) => self.push(format!("base of {id}"), fit.base),
+            Some(fit) => self.push(format!("base of {id}"), fit.intercept),
             None => self.missing.push(id.to_owned()),
         }
         self
     }
 
-    /// Adds the slope of a series times a count.
+    /// Adds the slope of a series multiplied by a count.
     pub fn slope(mut self, measured: &Measured, id: &str, count: f64) -> Total {
         match measured.fit(id) {
-            Some(fit) => {
-                self.push(format!("{} x slope of {id}", fit::count(count)), fit.slope.times(count))
-            }
+            Some(fit) => self.push(
+                format!("{} x slope of {id}", fit::format_count(count)),
+                fit.slope.times(count),
+            ),
             None => self.missing.push(id.to_owned()),
         }
         self
     }
 
-    /// Adds the value of a series' line at a size, times how often it is spent.
+    /// Adds the fitted cost of a series at a size, multiplied by `times`.
     pub fn at(mut self, measured: &Measured, id: &str, size: f64, times: f64) -> Total {
         match measured.fit(id) {
             Some(fit) => {
                 let value = fit.at(size).times(times);
-                let times =
-                    if times == 1.0 { String::new() } else { format!("{} x ", fit::count(times)) };
-                self.push(format!("{times}{id} at {}", fit::count(size)), value);
+                let times = if times == 1.0 {
+                    String::new()
+                } else {
+                    format!("{} x ", fit::format_count(times))
+                };
+                self.push(format!("{times}{id} at {}", fit::format_count(size)), value);
             }
             None => self.missing.push(id.to_owned()),
         }
         self
     }
 
-    /// Adds a part that follows from a count alone.
-    pub fn counted<S>(mut self, what: S, mean: f64) -> Total
+    /// Adds a value that is known without a measurement.
+    pub fn constant<S>(mut self, what: S, mean: f64) -> Total
     where
         S: Into<String>,
     {
-        self.push(what.into(), Value::exact(mean));
+        self.push(what.into(), Estimate::exact(mean));
         self
     }
 
-    fn push(&mut self, what: String, value: Value) {
+    fn push(&mut self, what: String, value: Estimate) {
         self.terms.push(Term { what, value });
     }
 
-    /// The sum.
-    pub fn value(&self) -> Value {
-        self.terms.iter().fold(Value::default(), |sum, it| sum.plus(it.value))
+    /// Sum of the terms.
+    pub fn value(&self) -> Estimate {
+        self.terms.iter().fold(Estimate::default(), |sum, it| sum.plus(it.value))
     }
 
-    /// Share of the budget.
+    /// Used share of the budget.
     pub fn share(&self) -> f64 {
         self.value().mean / self.budget
     }
--- a/crates/standin/src/fabric/admin.rs
+++ b/crates/standin/src/fabric/admin.rs
@@ -21,7 +21,7 @@
 
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// Data addresses of the balancers by service address.
+/// Balancer addresses by service address.
 pub type Routes = BTreeMap<SocketAddr, Vec<SocketAddr>>;
 
 /// A running fabric; dropping it stops it.
--- a/crates/standin/src/upstream/feed.rs
+++ b/crates/standin/src/upstream/feed.rs
@@ -1,5 +1,5 @@
-//! Feed responses: a stream of numbered lines that ends after its duration, at a deadline, when the upstream stops, or when
-//! the connection is closed.
+//! Feed responses: a stream of numbered lines that ends after its duration, at a deadline, when the upstream stops, or
+//! when the connection is closed.
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/standin/src/upstream/journal.rs
+++ b/crates/standin/src/upstream/journal.rs
@@ -57,21 +57,22 @@
 impl Journal {
     pub(super) fn new(path: &Path) -> anyhow::Result<Journal> {
         let file = OpenOptions::new().create(true).append(true).open(path);
-        let file = file.with_context(|| format!("open the journal {}", path.display()))?;
+        let file =
+            file.with_context(|| format!("failed to open the journal {}", path.display()))?;
         Ok(Journal { file: Mutex::new(file) })
     }
 
     /// Appends a line with one unbuffered write, so that it survives a kill of the process.
     pub(super) fn append(&self, entry: &Entry) -> anyhow::Result<()> {
-        let mut line = serde_json::to_vec(entry).context("write the journal")?;
+        let mut line = serde_json::to_vec(entry).context("failed to write the journal")?;
         line.push(b'\n');
-        self.file.lock().write_all(&line).context("write the journal")
+        self.file.lock().write_all(&line).context("failed to write the journal")
     }
 }
 
 /// Reads a journal, skipping an incomplete last line.
 pub fn read_journal(path: &Path) -> anyhow::Result<Vec<Entry>> {
-    let step = || format!("read the journal {}", path.display());
+    let step = || format!("failed to read the journal {}", path.display());
     let text = fs::read_to_string(path).with_context(step)?;
     let complete = text.rfind('\n').map_or("", |end| &text[..end]);
     let entries = complete.lines().map(serde_json::from_str);
--- a/crates/standin/src/upstream/mod.rs
+++ b/crates/standin/src/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! Emulated upstream over HTTP/1.1: concurrency slots, a queue, cold start, load shedding, drain, deadlines, cancellation
-//! and fault injection, with a record of the requests that it ran.
+//! Emulated upstream over HTTP/1.1: concurrency slots, a queue, cold start, load shedding, drain, deadlines,
+//! cancellation and fault injection, with a record of the requests that it ran.
 
 mod admin;
 mod admission;
