--- a/crates/core/benches/opaque.rs
+++ b/crates/core/benches/opaque.rs
@@ -8,12 +8,12 @@
 };
 
 use camphorwinch_core::opaque::{
-    FlowKey, Head, Kind, PoolId,
+    FlowKey, PacketHeader, PacketKind, PoolId,
     balancer::Balancer,
     effect::Answer,
-    fleet::{Plan, Report, Upstream, ZoneId},
+    fleet::{AgentPlan, Report, UpstreamState, ZoneId},
     revision::Revision,
-    route::{Route, Routes, Share},
+    route::{Route, Routes, WeightedPool},
 };
 use criterion::{BenchmarkId, Criterion};
 
@@ -29,36 +29,38 @@
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 443)
 }
 
-fn head(number: u32, kind: Kind) -> Head {
+fn head(number: u32, kind: PacketKind) -> PacketHeader {
     let caller = SocketAddrV4::new(
         Ipv4Addr::from_bits(0x6440_0000 + number / 60_000),
         (number % 60_000) as u16,
     );
     let key = FlowKey { caller, service: service() };
-    Head { key, kind, bounced: false, seq: 1, ack: 0, len: 0 }
+    PacketHeader { key, kind, bounced: false, seq: 1, ack: 0, len: 0 }
 }
 
 fn balancer(agents: u32, pool_size: u32) -> Balancer {
     let mut balancer = Balancer::new(address(0), ZoneId(0));
     let mut routes = Routes { revision: Revision::new(0, 1), version: 1, ..Routes::default() };
-    routes.by_address.insert(service(), Route::new(vec![Share { pool: PoolId(0), weight: 1 }]));
-    balancer.put_routes(routes);
-    balancer.list(&[], 0);
+    routes
+        .by_address
+        .insert(service(), Route::new(vec![WeightedPool { pool: PoolId(0), weight: 1 }]));
+    balancer.update_routes(routes);
+    balancer.sync_members(&[], 0);
     for number in 0..agents {
         let report = Report {
             incarnation: 1,
             seq: 1,
             pool: PoolId(u64::from(number / pool_size)),
             zone: ZoneId(u64::from(number % ZONES)),
-            upstream: Upstream::Ready,
-            plan: Plan::Stay,
+            upstream: UpstreamState::Ready,
+            plan: AgentPlan::Stay,
             slots: 4,
             load: 100,
             service_ms: None,
             full: false,
-            every_ms: 1_000,
+            interval_ms: 1_000,
         };
-        balancer.report(address(number + 1), report, 0, &mut Vec::new());
+        balancer.handle_report(address(number + 1), report, 0, &mut Vec::new());
     }
     balancer
 }
@@ -76,7 +78,7 @@
             b.iter(|| {
                 number = (number + 1) % 50_000;
                 out.clear();
-                it.packet(black_box(&head(number, Kind::Open)), b"", 10, &mut out);
+                it.handle_packet(black_box(&head(number, PacketKind::Open)), b"", 10, &mut out);
             });
         });
     }
@@ -89,8 +91,15 @@
         let mut it = balancer(5_900, POOL_SIZE);
         let mut out = Vec::new();
         for number in 0..flows {
-            it.packet(&head(number, Kind::Open), b"", 10, &mut out);
-            it.answer(address(1), head(number, Kind::Open).key, Answer::Here, None, 10, &mut out);
+            it.handle_packet(&head(number, PacketKind::Open), b"", 10, &mut out);
+            it.handle_answer(
+                address(1),
+                head(number, PacketKind::Open).key,
+                Answer::Here,
+                None,
+                10,
+                &mut out,
+            );
             out.clear();
         }
         let mut number = 0;
@@ -98,7 +107,7 @@
             b.iter(|| {
                 number = (number + 7_919) % flows;
                 out.clear();
-                it.packet(black_box(&head(number, Kind::Data)), b"", 10, &mut out);
+                it.handle_packet(black_box(&head(number, PacketKind::Data)), b"", 10, &mut out);
             });
         });
     }
--- a/crates/core/src/opaque.rs
+++ b/crates/core/src/opaque.rs
@@ -12,19 +12,19 @@
 mod agents;
 pub mod balancer;
 mod breaker;
+pub mod candidate_list;
 pub mod effect;
 pub mod fleet;
 pub mod flow;
-pub mod hold;
-pub mod listing;
 pub mod load;
-pub mod presence;
+pub mod member_list;
+pub mod packet_buffer;
 pub mod route;
-pub mod walk;
+pub mod upstream_tracker;
 mod warmup;
 pub mod zone;
 
-pub use flow::{FlowKey, Head, Kind};
+pub use flow::{FlowKey, PacketHeader, PacketKind};
 pub use route::PoolId;
 
 pub use crate::revision;
--- a/crates/core/src/opaque/admission.rs
+++ b/crates/core/src/opaque/admission.rs
@@ -1,7 +1,7 @@
 //! Deadline-aware admission of requests to an upstream (compare Breakwater, OSDI 2020).
 //!
 //! Upstreams serve first come, first served, which makes every request late during overload. So while the pool is full
-//! the agent holds requests that its upstream can't start, and releases them earliest deadline first. Requests that
+//! the agent buffers requests that its upstream can't start, and releases them earliest deadline first. Requests that
 //! will miss their latency objective come last. No request waits longer than a share of its remaining timeout: then the
 //! upstream answers or refuses it.
 
@@ -9,7 +9,7 @@
 
 use rustc_hash::FxHashMap;
 
-use super::{FlowKey, route::Objective, walk::PoolLoad};
+use super::{FlowKey, candidate_list::PoolLoad, route::Objective};
 
 /// Requests sent to an upstream beyond its slots, so that no slot idles until the agent releases the next request.
 const EXTRA_REQUESTS: u32 = 1;
--- a/crates/core/src/opaque/agent.rs
+++ b/crates/core/src/opaque/agent.rs
@@ -10,17 +10,17 @@
 use rustc_hash::FxHashMap;
 
 use self::flows::{Flow, Phase};
-pub use super::presence::{Heartbeat, Life};
+pub use super::upstream_tracker::{Heartbeat, UpstreamInstance};
 use super::{
-    FlowKey, Head, Kind, PoolId,
+    FlowKey, PacketHeader, PacketKind, PoolId,
     admission::Admission,
     breaker::Breaker,
-    effect::{Answer, Ask, Effect, Payload, Relay, Verdict},
-    fleet::{Plan, REPORT_MS, Report, Upstream, ZoneId},
-    hold::Hold,
+    candidate_list::LastResort,
+    effect::{Answer, Effect, FlowStatus, Payload, RelayAction, RelayHeader},
+    fleet::{AgentPlan, REPORT_INTERVAL_MS, Report, UpstreamState, ZoneId},
     load::{FlowUsageTracker, Load},
-    presence::{Presence, Sender},
-    walk::Last,
+    packet_buffer::PacketBuffer,
+    upstream_tracker::{HeartbeatSource, UpstreamTracker},
     warmup::WarmupLimiter,
 };
 
@@ -35,17 +35,17 @@
 
 /// Result of processing a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum HeartbeatResult {
     /// The state is unchanged.
-    Same,
+    Unchanged,
     /// The state changed.
     Changed,
     /// It is older than the last accepted heartbeat and was ignored.
-    Late,
+    Outdated,
     /// It may be from a former upstream process or a new one. It was ignored and must not be acknowledged.
-    Unclear,
+    Ambiguous,
     /// It lacks the start time that the upstream here sends, so it is from another process.
-    Foreign,
+    MissingStartTime,
 }
 
 /// Identity of an agent.
@@ -69,8 +69,8 @@
     report_interval_ms: u32,
     started_ms: u64,
     learning: bool,
-    plan: Plan,
-    presence: Presence,
+    plan: AgentPlan,
+    upstream_tracker: UpstreamTracker,
     load: Load,
     flow_usage: FlowUsageTracker,
     admission: Admission,
@@ -80,7 +80,7 @@
     full_report_pending: bool,
     full_reported_ms: Option<u64>,
     /// Packets of waiting requests.
-    hold: Hold,
+    buffer: PacketBuffer,
     flows: FxHashMap<FlowKey, Flow>,
     probing_flows: usize,
     last_prune_ms: u64,
@@ -93,11 +93,11 @@
         Agent {
             identity,
             report_seq: 0,
-            report_interval_ms: REPORT_MS,
+            report_interval_ms: REPORT_INTERVAL_MS,
             started_ms: now_ms,
             learning,
-            plan: Plan::Stay,
-            presence: Presence::new(beat_ms),
+            plan: AgentPlan::Stay,
+            upstream_tracker: UpstreamTracker::new(beat_ms),
             load: Load::default(),
             flow_usage: FlowUsageTracker::default(),
             admission: Admission::default(),
@@ -105,7 +105,7 @@
             warmup: WarmupLimiter::default(),
             full_report_pending: false,
             full_reported_ms: None,
-            hold: Hold::default(),
+            buffer: PacketBuffer::default(),
             flows: FxHashMap::default(),
             probing_flows: 0,
             last_prune_ms: now_ms,
@@ -113,7 +113,7 @@
     }
 
     /// Requests in progress, including those that wait at the agent.
-    pub fn busy(&self) -> u32 {
+    pub fn active_requests(&self) -> u32 {
         self.load.busy()
     }
 
@@ -128,28 +128,29 @@
     }
 
     /// Whether the agent has or had an upstream. If not, it need not be listed.
-    pub fn has_served(&self) -> bool {
-        self.learning || self.presence.was_known()
+    pub fn had_upstream(&self) -> bool {
+        self.learning || self.upstream_tracker.was_known()
     }
 
     /// Planned stop or restart of the agent.
-    pub fn plan(&self) -> Plan {
+    pub fn plan(&self) -> AgentPlan {
         self.plan
     }
 
     /// Sets the plan and reports it. Releases all waiting requests if the agent stops.
-    pub fn set_plan(&mut self, plan: Plan, now_ms: u64, out: &mut Vec<Effect>) {
+    pub fn set_plan(&mut self, plan: AgentPlan, now_ms: u64, out: &mut Vec<Effect>) {
         self.plan = plan;
-        if matches!(plan, Plan::Restart | Plan::Leave) {
+        if matches!(plan, AgentPlan::Restart | AgentPlan::Leave) {
             self.admit_all(now_ms, out);
         }
         out.push(Effect::Report);
     }
 
     /// State of the upstream.
-    pub fn upstream(&self, now_ms: u64) -> Upstream {
-        let default_state = if self.learning { Upstream::Unknown } else { Upstream::Ended };
-        self.presence.state(now_ms).unwrap_or(default_state)
+    pub fn upstream(&self, now_ms: u64) -> UpstreamState {
+        let default_state =
+            if self.learning { UpstreamState::Unknown } else { UpstreamState::Ended };
+        self.upstream_tracker.state(now_ms).unwrap_or(default_state)
     }
 
     /// Builds the next report to balancers. An agent that never had an upstream reports that it leaves, so that
@@ -162,47 +163,52 @@
             pool: self.identity.pool,
             zone: self.identity.zone,
             upstream: self.upstream(now_ms),
-            plan: if self.has_served() { self.plan } else { Plan::Leave },
-            slots: self.presence.capacity(now_ms).0,
+            plan: if self.had_upstream() { self.plan } else { AgentPlan::Leave },
+            slots: self.upstream_tracker.capacity(now_ms).0,
             load: self.average_load(now_ms),
             service_ms: self.admission.mean_ms().map(|it| it.max(1.0) as u32),
-            full: self.admission.is_full() || self.presence.capacity(now_ms).1,
-            every_ms: self.report_interval_ms,
+            full: self.admission.is_full() || self.upstream_tracker.capacity(now_ms).1,
+            interval_ms: self.report_interval_ms,
         }
     }
 
     /// Sets the report interval, in milliseconds.
-    pub fn set_report_pause(&mut self, pause_ms: u32) {
-        self.report_interval_ms = pause_ms;
+    pub fn set_report_interval(&mut self, interval_ms: u32) {
+        self.report_interval_ms = interval_ms;
     }
 
     /// Processes a heartbeat of the upstream.
-    pub fn heartbeat(&mut self, beat: &Heartbeat, now_ms: u64, out: &mut Vec<Effect>) -> Heard {
+    pub fn heartbeat(
+        &mut self,
+        beat: &Heartbeat,
+        now_ms: u64,
+        out: &mut Vec<Effect>,
+    ) -> HeartbeatResult {
         let before = self.upstream(now_ms);
-        match self.presence.hear(beat, now_ms) {
-            Sender::Late => return Heard::Late,
-            Sender::Unclear => return Heard::Unclear,
-            Sender::Foreign => return Heard::Foreign,
-            Sender::Known => {}
-            Sender::Newborn => self.learning = false,
-            Sender::Successor { until_ms } => {
+        match self.upstream_tracker.handle_heartbeat(beat, now_ms) {
+            HeartbeatSource::Outdated => return HeartbeatResult::Outdated,
+            HeartbeatSource::Ambiguous => return HeartbeatResult::Ambiguous,
+            HeartbeatSource::MissingStartTime => return HeartbeatResult::MissingStartTime,
+            HeartbeatSource::Current => {}
+            HeartbeatSource::New => self.learning = false,
+            HeartbeatSource::Replacement { until_ms } => {
                 self.learning = false;
                 // Flows opened after the former upstream's last heartbeat may already be with the new one.
                 self.discard_upstream_state(until_ms, now_ms, out);
                 out.push(Effect::Report);
-                return Heard::Changed;
+                return HeartbeatResult::Changed;
             }
         }
         if self.upstream(now_ms) == before {
-            return Heard::Same;
+            return HeartbeatResult::Unchanged;
         }
         out.push(Effect::Report);
-        Heard::Changed
+        HeartbeatResult::Changed
     }
 
     /// Processes the upstream's deregistration. Returns whether it came from the current upstream process.
-    pub fn deregister(&mut self, life: &Life, out: &mut Vec<Effect>) -> bool {
-        let current = self.presence.deregister(life);
+    pub fn deregister(&mut self, instance: &UpstreamInstance, out: &mut Vec<Effect>) -> bool {
+        let current = self.upstream_tracker.deregister(instance);
         if current {
             out.push(Effect::Report);
         }
@@ -211,7 +217,7 @@
 
     /// Resets the flows of an upstream whose process is known to have ended.
     pub fn upstream_ended(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
-        self.presence.end();
+        self.upstream_tracker.mark_ended();
         self.learning = false;
         self.discard_upstream_state(now_ms, now_ms, out);
     }
@@ -226,10 +232,10 @@
     }
 
     /// Processes a caller's packet forwarded by another process.
-    pub fn relayed(
+    pub fn handle_relayed_packet(
         &mut self,
-        relay: &Relay,
-        head: &Head,
+        relay: &RelayHeader,
+        head: &PacketHeader,
         bytes: &[u8],
         now_ms: u64,
         out: &mut Vec<Effect>,
@@ -237,26 +243,32 @@
         if relay.pool != self.identity.pool {
             return self.reject_wrong_pool(relay, head, out);
         }
-        match relay.ask {
-            Ask::Open(walk) => self.open(relay, head, walk, Last::No, now_ms, out),
-            Ask::Settle(walk) => self.open(relay, head, walk, Last::Yes, now_ms, out),
-            Ask::Deliver | Ask::Locate => self.process_packet(relay, head, bytes, now_ms, out),
+        match relay.action {
+            RelayAction::Open(candidates) => {
+                self.open(relay, head, candidates, LastResort::No, now_ms, out)
+            }
+            RelayAction::Assign(candidates) => {
+                self.open(relay, head, candidates, LastResort::Yes, now_ms, out)
+            }
+            RelayAction::Deliver | RelayAction::Locate => {
+                self.process_packet(relay, head, bytes, now_ms, out)
+            }
         }
     }
 
     /// Forwards a packet to the listed agents, any of which may hold its flow, and processes it here if listed.
-    pub fn spread(
+    pub fn fan_out(
         &mut self,
-        relay: &Relay,
+        relay: &RelayHeader,
         agents: &[SocketAddrV4],
-        head: &Head,
+        head: &PacketHeader,
         bytes: &[u8],
         now_ms: u64,
         out: &mut Vec<Effect>,
     ) {
         for &to in agents {
             if to == self.identity.address {
-                self.relayed(relay, head, bytes, now_ms, out);
+                self.handle_relayed_packet(relay, head, bytes, now_ms, out);
             } else {
                 out.push(Effect::Relay { to, relay: *relay, payload: Payload::Current });
             }
@@ -265,17 +277,17 @@
 
     /// Answers a balancer's query for flows.
     pub fn query(&self, balancer: SocketAddrV4, keys: &[FlowKey], out: &mut Vec<Effect>) {
-        let verdicts = keys.iter().map(|&it| (it, self.verdict(&it))).collect();
-        out.push(Effect::Verdicts { to: balancer, verdicts });
+        let statuses = keys.iter().map(|&it| (it, self.flow_status(&it))).collect();
+        out.push(Effect::QueryResponse { to: balancer, statuses });
     }
 
-    fn verdict(&self, key: &FlowKey) -> Verdict {
+    fn flow_status(&self, key: &FlowKey) -> FlowStatus {
         match self.flows.get(key).map(|it| it.phase) {
-            Some(Phase::Open | Phase::Opening { .. }) => Verdict::Here,
-            Some(Phase::Ended | Phase::Absent) => Verdict::Absent,
-            Some(Phase::Probing { .. }) => Verdict::Unsure,
-            None if self.learning => Verdict::Unsure,
-            None => Verdict::Absent,
+            Some(Phase::Open | Phase::Opening { .. }) => FlowStatus::Here,
+            Some(Phase::Ended | Phase::Absent) => FlowStatus::Absent,
+            Some(Phase::Probing { .. }) => FlowStatus::Unknown,
+            None if self.learning => FlowStatus::Unknown,
+            None => FlowStatus::Absent,
         }
     }
 
@@ -298,7 +310,7 @@
 
     /// Reports a change of the full state, at a limited rate.
     fn report_full(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
-        self.full_report_pending |= self.admission.update_full(self.presence.slots());
+        self.full_report_pending |= self.admission.update_full(self.upstream_tracker.slots());
         let pause_ms = u64::from(self.report_interval_ms / MAX_FULL_REPORTS);
         let recently_reported =
             self.full_reported_ms.is_some_and(|it| now_ms.saturating_sub(it) < pause_ms);
@@ -312,8 +324,8 @@
 
     fn process_packet(
         &mut self,
-        relay: &Relay,
-        head: &Head,
+        relay: &RelayHeader,
+        head: &PacketHeader,
         bytes: &[u8],
         now_ms: u64,
         out: &mut Vec<Effect>,
@@ -327,12 +339,12 @@
             return answer_absent(relay, head.key, out);
         }
         if let Phase::Opening { upstream_seq: Some(_), .. } = flow.phase
-            && head.kind != Kind::Open
+            && head.kind != PacketKind::Open
         {
             flow.phase = Phase::Open;
             flow.confirmed = true;
         }
-        if relay.ask == Ask::Locate && !matches!(flow.phase, Phase::Probing { .. }) {
+        if relay.action == RelayAction::Locate && !matches!(flow.phase, Phase::Probing { .. }) {
             answer(relay.balancer, head.key, Answer::Here, false, out);
         }
         self.deliver(head, bytes, now_ms, out);
@@ -340,16 +352,16 @@
 
     fn process_unknown_flow(
         &mut self,
-        relay: &Relay,
-        head: &Head,
+        relay: &RelayHeader,
+        head: &PacketHeader,
         bytes: &[u8],
         now_ms: u64,
         out: &mut Vec<Effect>,
     ) {
-        if !self.learning || head.kind == Kind::Open {
+        if !self.learning || head.kind == PacketKind::Open {
             return answer_absent(relay, head.key, out);
         }
-        let phase = Phase::Probing { since_ms: now_ms, ask: relay.ask };
+        let phase = Phase::Probing { since_ms: now_ms, action: relay.action };
         self.insert(head.key, phase, Some(relay.balancer), now_ms);
         self.probing_flows += 1;
         self.deliver(head, bytes, now_ms, out);
@@ -357,17 +369,19 @@
 }
 
 /// Whether the caller acknowledges another upstream's reply to its opening packet.
-fn acks_other_upstream(phase: Phase, head: &Head) -> bool {
+fn acks_other_upstream(phase: Phase, head: &PacketHeader) -> bool {
     match phase {
-        Phase::Opening { upstream_seq: Some(upstream_seq), .. } if head.kind != Kind::Open => {
+        Phase::Opening { upstream_seq: Some(upstream_seq), .. }
+            if head.kind != PacketKind::Open =>
+        {
             head.ack.wrapping_sub(upstream_seq) > ACK_WINDOW_BYTES
         }
         _ => false,
     }
 }
 
-fn answer_absent(relay: &Relay, key: FlowKey, out: &mut Vec<Effect>) {
-    let returned = relay.ask == Ask::Deliver;
+fn answer_absent(relay: &RelayHeader, key: FlowKey, out: &mut Vec<Effect>) {
+    let returned = relay.action == RelayAction::Deliver;
     answer(relay.balancer, key, Answer::Absent, returned, out);
 }
 
--- a/crates/core/src/opaque/agent/flows.rs
+++ b/crates/core/src/opaque/agent/flows.rs
@@ -4,9 +4,9 @@
 
 use super::{
     super::{
-        FlowKey, Head, Kind,
-        effect::{Answer, Ask, Effect, Why, reset},
-        walk::Walk,
+        FlowKey, PacketHeader, PacketKind,
+        candidate_list::CandidateList,
+        effect::{Answer, Effect, RelayAction, ResetReason, push_reset},
     },
     Agent, answer,
     requests::{End, Request},
@@ -23,11 +23,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// The opening packet was delivered. `upstream_seq` is set once the upstream has answered it.
-    Opening { walk: Option<Walk>, upstream_seq: Option<u32> },
+    Opening { candidates: Option<CandidateList>, upstream_seq: Option<u32> },
     /// The flow is established.
     Open,
     /// A packet of an unknown flow was delivered to the upstream, which may bounce it.
-    Probing { since_ms: u64, ask: Ask },
+    Probing { since_ms: u64, action: RelayAction },
     /// The upstream does not hold the flow.
     Absent,
     /// Both ends have closed the flow, or one has reset it.
@@ -60,7 +60,7 @@
 impl Flow {
     /// Whether the opening packet is a retransmission of the one that opened this flow. A caller that reuses its port
     /// picks a new sequence number.
-    pub(super) fn is_retransmission(&self, head: &Head) -> bool {
+    pub(super) fn is_retransmission(&self, head: &PacketHeader) -> bool {
         self.opening_seq.is_none_or(|it| it == head.seq)
     }
 }
@@ -72,7 +72,7 @@
 }
 
 impl Agent {
-    pub(super) fn insert_learned(&mut self, head: &Head, now_ms: u64) {
+    pub(super) fn insert_learned(&mut self, head: &PacketHeader, now_ms: u64) {
         self.insert(head.key, Phase::Open, None, now_ms);
     }
 
@@ -150,9 +150,9 @@
             _ => false,
         });
         let due: Vec<_> = due.map(|(&key, it)| (key, it.balancer)).collect();
-        let heard = self.presence.is_known();
+        let is_known = self.upstream_tracker.is_known();
         for (key, balancer) in due {
-            if heard {
+            if is_known {
                 self.confirm_probe(key);
                 answer(balancer, key, Answer::Here, false, out);
             } else {
@@ -161,14 +161,14 @@
         }
     }
 
-    pub(super) fn track_close(&mut self, head: &Head, side: Side, now_ms: u64) {
+    pub(super) fn track_close(&mut self, head: &PacketHeader, side: Side, now_ms: u64) {
         let Some(flow) = self.flows.get_mut(&head.key) else {
             return;
         };
         match (head.kind, side) {
-            (Kind::Finish, Side::Caller) => flow.caller_closed = true,
-            (Kind::Finish, Side::Upstream) => flow.upstream_closed = true,
-            (Kind::Reset, _) => {
+            (PacketKind::Finish, Side::Caller) => flow.caller_closed = true,
+            (PacketKind::Finish, Side::Upstream) => flow.upstream_closed = true,
+            (PacketKind::Reset, _) => {
                 flow.caller_closed = true;
                 flow.upstream_closed = true;
             }
@@ -188,7 +188,7 @@
         let due: Vec<_> = due.map(|(&key, it)| (key, it.caller_ack)).collect();
         for (key, seq) in due {
             self.end_flow(key, Phase::Ended, now_ms);
-            reset(key, seq, Why::UpstreamEnded, out);
+            push_reset(key, seq, ResetReason::UpstreamEnded, out);
         }
     }
 
--- a/crates/core/src/opaque/agent/opening.rs
+++ b/crates/core/src/opaque/agent/opening.rs
@@ -2,11 +2,14 @@
 
 use super::{
     super::{
-        FlowKey, Head,
-        effect::{Answer, Ask, Decision, Drop, Effect, Payload, Relay, Why, drop, note, reset},
-        fleet::{Plan, Upstream},
+        FlowKey, PacketHeader,
+        candidate_list::{CandidateList, LOAD_CLOSED, LOAD_UNKNOWN, LastResort},
+        effect::{
+            Answer, Decision, DropReason, Effect, Payload, RelayAction, RelayHeader, ResetReason,
+            note, note_drop, push_reset,
+        },
+        fleet::{AgentPlan, UpstreamState},
         load::{FlowUsage, effective_slots},
-        walk::{LOAD_CLOSED, LOAD_UNKNOWN, Last, Walk},
     },
     Agent, answer,
     flows::Phase,
@@ -17,10 +20,10 @@
 impl Agent {
     pub(super) fn open(
         &mut self,
-        relay: &Relay,
-        head: &Head,
-        mut walk: Walk,
-        last: Last,
+        relay: &RelayHeader,
+        head: &PacketHeader,
+        mut candidates: CandidateList,
+        last: LastResort,
         now_ms: u64,
         out: &mut Vec<Effect>,
     ) {
@@ -32,137 +35,148 @@
             }
             // A delayed retransmission, for example from a stalled process: the upstream could open a second flow.
             Some(flow) if flow.phase == Phase::Open && flow.is_retransmission(head) => {
-                return drop(head.key, Drop::LateCopy, out);
+                return note_drop(head.key, DropReason::LateCopy, out);
             }
             _ => {}
         }
-        self.admission.set_pool_load(walk.pool, now_ms);
-        self.warmup.set_rate(walk.cold_rate);
-        let idempotent = walk.objective.is_some_and(|it| it.idempotent);
+        self.admission.set_pool_load(candidates.pool, now_ms);
+        self.warmup.set_rate(candidates.cold_rate);
+        let idempotent = candidates.objective.is_some_and(|it| it.idempotent);
         let state = match self.upstream(now_ms) {
-            _ if self.plan != Plan::Stay => Upstream::Draining,
+            _ if self.plan != AgentPlan::Stay => UpstreamState::Draining,
             // Closed even as the last resort: above its rate limit, a cold upstream misses every deadline.
-            Upstream::Ready | Upstream::Unknown if self.is_cold_and_full(now_ms) => {
-                Upstream::Draining
+            UpstreamState::Ready | UpstreamState::Unknown if self.is_cold_and_full(now_ms) => {
+                UpstreamState::Draining
             }
             // With the breaker open, the upstream is still the last resort.
-            Upstream::Ready if !self.breaker.allows(idempotent, now_ms) => Upstream::Unknown,
+            UpstreamState::Ready if !self.breaker.allows(idempotent, now_ms) => {
+                UpstreamState::Unknown
+            }
             known => known,
         };
         let load = match state {
-            Upstream::Ready => self.placement_load(&head.key, now_ms),
-            Upstream::Unknown => LOAD_UNKNOWN,
-            Upstream::Draining | Upstream::Ended => LOAD_CLOSED,
+            UpstreamState::Ready => self.placement_load(&head.key, now_ms),
+            UpstreamState::Unknown => LOAD_UNKNOWN,
+            UpstreamState::Draining | UpstreamState::Ended => LOAD_CLOSED,
         };
         let accepts = match last {
-            Last::No => {
-                state == Upstream::Ready && self.has_room(&head.key, load, walk.limit, now_ms)
+            LastResort::No => {
+                state == UpstreamState::Ready
+                    && self.has_room(&head.key, load, candidates.limit, now_ms)
             }
-            Last::Yes => load != LOAD_CLOSED,
+            LastResort::Yes => load != LOAD_CLOSED,
         };
         if accepts {
-            return self.accept(relay, head, walk, load, last, now_ms, out);
+            return self.accept(relay, head, candidates, load, last, now_ms, out);
         }
-        if last == Last::Yes {
-            walk.record_load(LOAD_CLOSED);
-            return self.assign_least_loaded(relay, head, walk, now_ms, out);
+        if last == LastResort::Yes {
+            candidates.record_load(LOAD_CLOSED);
+            return self.assign_least_loaded(relay, head, candidates, now_ms, out);
         }
-        self.forward(relay, head, walk, load, now_ms, out);
+        self.forward(relay, head, candidates, load, now_ms, out);
     }
 
     fn accept(
         &mut self,
-        relay: &Relay,
-        head: &Head,
-        walk: Walk,
+        relay: &RelayHeader,
+        head: &PacketHeader,
+        candidates: CandidateList,
         load: u16,
-        last: Last,
+        last: LastResort,
         now_ms: u64,
         out: &mut Vec<Effect>,
     ) {
-        let closed = matches!(self.upstream(now_ms), Upstream::Draining | Upstream::Ended);
+        let closed =
+            matches!(self.upstream(now_ms), UpstreamState::Draining | UpstreamState::Ended);
         if !invariant::check(Invariant::DrainHolds, !closed) {
-            return drop(head.key, Drop::NoUpstream, out);
+            return note_drop(head.key, DropReason::NoUpstream, out);
         }
-        let phase = Phase::Opening { walk: Some(walk), upstream_seq: None };
+        let phase = Phase::Opening { candidates: Some(candidates), upstream_seq: None };
         self.insert(head.key, phase, Some(relay.balancer), now_ms);
         if let Some(flow) = self.flows.get_mut(&head.key) {
             flow.opening_seq = Some(head.seq);
             flow.opening_age_ms = opening_age_ms(head.ack);
         }
-        if let Some(objective) = walk.objective {
+        if let Some(objective) = candidates.objective {
             self.admission.set_objective(head.key.service, objective);
         }
         self.breaker.record_accepted(now_ms);
         self.warmup.record_accepted(now_ms);
-        note(head.key, Decision::Accepted { load, last, walk }, out);
+        note(head.key, Decision::Accepted { load, last, candidates }, out);
         out.push(Effect::Deliver);
     }
 
     pub(super) fn forward(
         &mut self,
-        relay: &Relay,
-        head: &Head,
-        mut walk: Walk,
+        relay: &RelayHeader,
+        head: &PacketHeader,
+        mut candidates: CandidateList,
         load: u16,
         now_ms: u64,
         out: &mut Vec<Effect>,
     ) {
-        let Some(to) = walk.pass(load) else {
-            return self.assign_least_loaded(relay, head, walk, now_ms, out);
+        let Some(to) = candidates.advance(load) else {
+            return self.assign_least_loaded(relay, head, candidates, now_ms, out);
         };
-        let limit = walk.limit;
-        note(head.key, Decision::PassedOn { to, load, limit }, out);
-        let relay = Relay { ask: Ask::Open(walk), ..*relay };
+        let limit = candidates.limit;
+        note(head.key, Decision::Forwarded { to, load, limit }, out);
+        let relay = RelayHeader { action: RelayAction::Open(candidates), ..*relay };
         out.push(Effect::Relay { to, relay, payload: Payload::Current });
     }
 
     /// Sends the flow to the least loaded candidate, after all of them have recorded their load.
     fn assign_least_loaded(
         &mut self,
-        relay: &Relay,
-        head: &Head,
-        mut walk: Walk,
+        relay: &RelayHeader,
+        head: &PacketHeader,
+        mut candidates: CandidateList,
         now_ms: u64,
         out: &mut Vec<Effect>,
     ) {
-        let Some(best) = walk.select_least_loaded() else {
-            note(head.key, Decision::NobodyAccepted { walk }, out);
-            return reset(head.key, 0, Why::AllRefused, out);
+        let Some(best) = candidates.select_least_loaded() else {
+            note(head.key, Decision::NoCandidate { candidates }, out);
+            return push_reset(head.key, 0, ResetReason::AllRefused, out);
         };
         if best == self.identity.address {
             let load = self.placement_load(&head.key, now_ms);
-            return self.accept(relay, head, walk, load, Last::Yes, now_ms, out);
+            return self.accept(relay, head, candidates, load, LastResort::Yes, now_ms, out);
         }
-        let relay = Relay { ask: Ask::Settle(walk), ..*relay };
+        let relay = RelayHeader { action: RelayAction::Assign(candidates), ..*relay };
         out.push(Effect::Relay { to: best, relay, payload: Payload::Current });
     }
 
     /// Rejects a packet for another pool: reports this agent's pool to the balancer and forwards an opening packet to
     /// the next candidate.
-    pub(super) fn reject_wrong_pool(&self, relay: &Relay, head: &Head, out: &mut Vec<Effect>) {
-        let returned = relay.ask == Ask::Deliver;
+    pub(super) fn reject_wrong_pool(
+        &self,
+        relay: &RelayHeader,
+        head: &PacketHeader,
+        out: &mut Vec<Effect>,
+    ) {
+        let returned = relay.action == RelayAction::Deliver;
         answer(relay.balancer, head.key, Answer::WrongPool(self.identity.pool), returned, out);
-        let next = match relay.ask {
-            Ask::Open(mut walk) => walk.pass(LOAD_CLOSED).map(|to| (to, Ask::Open(walk))),
-            Ask::Settle(_) | Ask::Deliver | Ask::Locate => None,
+        let next = match relay.action {
+            RelayAction::Open(mut candidates) => {
+                candidates.advance(LOAD_CLOSED).map(|to| (to, RelayAction::Open(candidates)))
+            }
+            RelayAction::Assign(_) | RelayAction::Deliver | RelayAction::Locate => None,
         };
-        let Some((to, ask)) = next else {
-            return drop(head.key, Drop::WrongPool, out);
+        let Some((to, action)) = next else {
+            return note_drop(head.key, DropReason::WrongPool, out);
         };
-        let relay = Relay { ask, ..*relay };
+        let relay = RelayHeader { action, ..*relay };
         out.push(Effect::Relay { to, relay, payload: Payload::Current });
     }
 
     /// Whether the upstream is cold, or in an unknown state, and has reached its rate limit for new flows.
     fn is_cold_and_full(&self, now_ms: u64) -> bool {
-        let known = self.presence.state(now_ms) == Some(Upstream::Ready);
-        let cold = !known || self.presence.capacity(now_ms).1;
+        let known = self.upstream_tracker.state(now_ms) == Some(UpstreamState::Ready);
+        let cold = !known || self.upstream_tracker.capacity(now_ms).1;
         cold && !self.warmup.has_room(now_ms)
     }
 
     fn effective_slots(&self, now_ms: u64) -> f64 {
-        let (slots, cold) = self.presence.capacity(now_ms);
+        let (slots, cold) = self.upstream_tracker.capacity(now_ms);
         effective_slots(slots, cold, self.admission.mean_ms(), self.admission.pool_ms())
     }
 
--- a/crates/core/src/opaque/agent/requests.rs
+++ b/crates/core/src/opaque/agent/requests.rs
@@ -1,9 +1,9 @@
-//! Request tracking of an agent: detects requests on flows and holds them until the upstream has a free slot.
+//! Request tracking of an agent: detects requests on flows and buffers them until the upstream has a free slot.
 
 use super::{
     super::{
-        FlowKey, Head, Kind,
-        effect::{Cause, Decision, Drop, Effect, drop, note},
+        FlowKey, PacketHeader, PacketKind,
+        effect::{Decision, DropReason, Effect, ReleaseReason, note, note_drop},
         flow::seq_after,
     },
     Agent,
@@ -48,10 +48,10 @@
 }
 
 impl Agent {
-    /// Delivers a caller's packet of a known or probed flow, or holds it while its request waits.
+    /// Delivers a caller's packet of a known or probed flow, or buffers it while its request waits.
     pub(super) fn deliver(
         &mut self,
-        head: &Head,
+        head: &PacketHeader,
         bytes: &[u8],
         now_ms: u64,
         out: &mut Vec<Effect>,
@@ -60,9 +60,10 @@
             return out.push(Effect::Deliver);
         };
         flow.caller_ack = head.ack;
-        let new = head.len > 0 && flow.caller_next_seq.is_none_or(|it| seq_after(head.end(), it));
+        let new =
+            head.len > 0 && flow.caller_next_seq.is_none_or(|it| seq_after(head.end_seq(), it));
         if new {
-            flow.caller_next_seq = Some(head.end());
+            flow.caller_next_seq = Some(head.end_seq());
         }
         match flow.request {
             Request::None if new && flow.counted => self.begin_request(head, bytes, now_ms, out),
@@ -78,7 +79,13 @@
         self.track_close(head, Side::Caller, now_ms);
     }
 
-    fn begin_request(&mut self, head: &Head, bytes: &[u8], now_ms: u64, out: &mut Vec<Effect>) {
+    fn begin_request(
+        &mut self,
+        head: &PacketHeader,
+        bytes: &[u8],
+        now_ms: u64,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(flow) = self.flows.get_mut(&head.key) else {
             return;
         };
@@ -90,33 +97,39 @@
             flow.request = Request::Uncounted;
             return out.push(Effect::Deliver);
         }
-        if !self.admission.admits(self.presence.slots(), now_ms) {
+        if !self.admission.admits(self.upstream_tracker.slots(), now_ms) {
             let until_ms = self.admission.wait(head.key, issued_ms, now_ms);
-            if self.hold.push(head.key, bytes, until_ms) {
+            if self.buffer.push(head.key, bytes, until_ms) {
                 flow.request = Request::Waiting { since_ms: now_ms };
                 return self.release_excess(now_ms, out);
             }
             self.admission.remove(head.key);
         }
-        let had_free_slot = self.admission.start(self.presence.slots());
+        let had_free_slot = self.admission.start(self.upstream_tracker.slots());
         flow.request = Request::Running { since_ms: now_ms, had_free_slot };
         out.push(Effect::Deliver);
     }
 
-    /// Processes a packet of a flow whose request waits: holds what belongs to the request.
-    fn deliver_to_waiting(&mut self, head: &Head, bytes: &[u8], new: bool, out: &mut Vec<Effect>) {
-        if head.kind == Kind::Reset {
+    /// Processes a packet of a flow whose request waits: buffers what belongs to the request.
+    fn deliver_to_waiting(
+        &mut self,
+        head: &PacketHeader,
+        bytes: &[u8],
+        new: bool,
+        out: &mut Vec<Effect>,
+    ) {
+        if head.kind == PacketKind::Reset {
             // The caller has reset the flow and will not read the answer.
-            self.hold.take(&head.key);
+            self.buffer.take(&head.key);
             self.admission.remove(head.key);
             return out.push(Effect::Deliver);
         }
-        if !new && head.len == 0 && head.kind == Kind::Data {
+        if !new && head.len == 0 && head.kind == PacketKind::Data {
             return out.push(Effect::Deliver);
         }
-        let keeps = new || head.kind == Kind::Finish;
-        if keeps && !self.hold.push(head.key, bytes, u64::MAX) {
-            drop(head.key, Drop::HoldFull, out);
+        let keeps = new || head.kind == PacketKind::Finish;
+        if keeps && !self.buffer.push(head.key, bytes, u64::MAX) {
+            note_drop(head.key, DropReason::BufferFull, out);
         }
     }
 
@@ -130,7 +143,7 @@
             Request::None => return,
             Request::Running { since_ms, had_free_slot } if how == End::Answered => {
                 let took_ms = had_free_slot.then(|| now_ms.saturating_sub(since_ms));
-                self.admission.answered(took_ms, self.presence.slots(), now_ms);
+                self.admission.answered(took_ms, self.upstream_tracker.slots(), now_ms);
             }
             Request::Running { .. } => self.admission.end(),
             Request::Waiting { .. } => self.remove_waiting(key),
@@ -141,7 +154,7 @@
 
     fn remove_waiting(&mut self, key: FlowKey) {
         self.admission.remove(key);
-        self.hold.take(&key);
+        self.buffer.take(&key);
     }
 
     /// Releases waiting requests for which the upstream has a free slot, and those whose wait has expired.
@@ -149,30 +162,30 @@
         if self.admission.waiting() == 0 {
             return;
         }
-        for key in self.hold.expired(now_ms) {
-            self.release(key, Cause::Overdue, now_ms, out);
+        for key in self.buffer.expired(now_ms) {
+            self.release(key, ReleaseReason::Overdue, now_ms, out);
         }
-        while let Some(key) = self.admission.next(self.presence.slots(), now_ms) {
-            self.release(key, Cause::Slot, now_ms, out);
+        while let Some(key) = self.admission.next(self.upstream_tracker.slots(), now_ms) {
+            self.release(key, ReleaseReason::Slot, now_ms, out);
         }
     }
 
     fn release_excess(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
-        if let Some(key) = self.admission.excess(self.presence.slots(), now_ms) {
-            self.release(key, Cause::Backlog, now_ms, out);
+        if let Some(key) = self.admission.excess(self.upstream_tracker.slots(), now_ms) {
+            self.release(key, ReleaseReason::Backlog, now_ms, out);
         }
     }
 
     /// Releases all waiting requests to the upstream.
     pub(super) fn admit_all(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
-        for key in self.hold.keys() {
-            self.release(key, Cause::Stop, now_ms, out);
+        for key in self.buffer.keys() {
+            self.release(key, ReleaseReason::Stop, now_ms, out);
         }
     }
 
-    fn release(&mut self, key: FlowKey, cause: Cause, now_ms: u64, out: &mut Vec<Effect>) {
+    fn release(&mut self, key: FlowKey, reason: ReleaseReason, now_ms: u64, out: &mut Vec<Effect>) {
         self.admission.remove(key);
-        let packets = self.hold.take(&key);
+        let packets = self.buffer.take(&key);
         let Some(flow) = self.flows.get_mut(&key) else {
             return;
         };
@@ -182,12 +195,12 @@
         if packets.len() > 1 {
             flow.request = Request::Uncounted;
         } else {
-            let had_free_slot = self.admission.start(self.presence.slots());
+            let had_free_slot = self.admission.start(self.upstream_tracker.slots());
             flow.request = Request::Running { since_ms: now_ms, had_free_slot };
         }
         out.extend(packets.into_iter().map(|packet| Effect::Release { packet }));
         let (waited_ms, waiting) = (now_ms.saturating_sub(since_ms), self.admission.waiting());
-        note(key, Decision::Admitted { waited_ms, cause, waiting }, out);
+        note(key, Decision::Admitted { waited_ms, reason, waiting }, out);
     }
 
     /// Cancels the requests on flows opened at `until_ms` or before, whose upstream has ended.
--- a/crates/core/src/opaque/agent/upstream.rs
+++ b/crates/core/src/opaque/agent/upstream.rs
@@ -2,10 +2,10 @@
 
 use super::{
     super::{
-        Head, Kind,
+        PacketHeader, PacketKind,
         breaker::Transition,
-        effect::{Answer, Ask, Decision, Drop, Effect, Relay, drop, note},
-        walk::LOAD_CLOSED,
+        candidate_list::LOAD_CLOSED,
+        effect::{Answer, Decision, DropReason, Effect, RelayAction, RelayHeader, note, note_drop},
     },
     Agent, answer,
     flows::{Phase, Side},
@@ -14,31 +14,36 @@
 
 impl Agent {
     /// Processes a packet from the upstream.
-    pub fn sent(&mut self, head: &Head, now_ms: u64, out: &mut Vec<Effect>) {
+    pub fn handle_upstream_packet(
+        &mut self,
+        head: &PacketHeader,
+        now_ms: u64,
+        out: &mut Vec<Effect>,
+    ) {
         if head.bounced {
             return self.bounced(head, now_ms, out);
         }
-        if head.kind == Kind::Reset && !self.process_reset(head, now_ms, out) {
+        if head.kind == PacketKind::Reset && !self.process_reset(head, now_ms, out) {
             return;
         }
         out.push(Effect::Reply);
         let Some(flow) = self.flows.get_mut(&head.key) else {
             // A flow from before the agent's start.
-            if head.kind != Kind::Reset {
+            if head.kind != PacketKind::Reset {
                 self.insert_learned(head, now_ms);
             }
             return;
         };
         flow.seen_ms = now_ms;
-        if head.kind != Kind::Open {
+        if head.kind != PacketKind::Open {
             flow.confirmed = true;
         }
         match flow.phase {
-            Phase::Opening { walk, upstream_seq } if head.kind == Kind::Open => {
+            Phase::Opening { candidates, upstream_seq } if head.kind == PacketKind::Open => {
                 if upstream_seq.is_none() {
                     answer(flow.balancer, head.key, Answer::Here, false, out);
                 }
-                flow.phase = Phase::Opening { walk, upstream_seq: Some(head.seq) };
+                flow.phase = Phase::Opening { candidates, upstream_seq: Some(head.seq) };
             }
             Phase::Probing { .. } => {
                 answer(flow.balancer, head.key, Answer::Here, false, out);
@@ -56,7 +61,7 @@
 
     /// Reports the outcome of the flow's request, answered or reset, to the breaker. Ignores a reset after the upstream
     /// has closed the flow: the request crossed the close.
-    fn record_outcome(&mut self, head: &Head, now_ms: u64, out: &mut Vec<Effect>) {
+    fn record_outcome(&mut self, head: &PacketHeader, now_ms: u64, out: &mut Vec<Effect>) {
         let Some(flow) = self.flows.get(&head.key) else {
             return;
         };
@@ -64,8 +69,10 @@
             return;
         }
         let transition = match head.kind {
-            Kind::Reset if !flow.upstream_closed => self.breaker.record_reset(now_ms),
-            Kind::Data | Kind::Finish if head.len > 0 => self.breaker.record_answer(now_ms),
+            PacketKind::Reset if !flow.upstream_closed => self.breaker.record_reset(now_ms),
+            PacketKind::Data | PacketKind::Finish if head.len > 0 => {
+                self.breaker.record_answer(now_ms)
+            }
             _ => return,
         };
         note_transition(transition, out);
@@ -73,7 +80,7 @@
 
     /// Processes a reset from the upstream. Returns whether to forward it to the caller: a reset in reply to a probe is
     /// not forwarded, as another upstream may hold the flow.
-    fn process_reset(&mut self, head: &Head, now_ms: u64, out: &mut Vec<Effect>) -> bool {
+    fn process_reset(&mut self, head: &PacketHeader, now_ms: u64, out: &mut Vec<Effect>) -> bool {
         let phase = self.flows.get(&head.key).map(|it| it.phase);
         let passed = matches!(phase, Some(Phase::Opening { .. } | Phase::Open | Phase::Ended));
         note(head.key, Decision::UpstreamReset { passed }, out);
@@ -87,26 +94,28 @@
         passed
     }
 
-    pub(super) fn bounced(&mut self, head: &Head, now_ms: u64, out: &mut Vec<Effect>) {
+    pub(super) fn bounced(&mut self, head: &PacketHeader, now_ms: u64, out: &mut Vec<Effect>) {
         let Some(flow) = self.flows.get(&head.key) else {
-            return drop(head.key, Drop::StrayBounce, out);
+            return note_drop(head.key, DropReason::StrayBounce, out);
         };
         let balancer = flow.balancer;
         match flow.phase {
-            Phase::Opening { walk: Some(walk), .. } if head.kind == Kind::Open => {
+            Phase::Opening { candidates: Some(candidates), .. }
+                if head.kind == PacketKind::Open =>
+            {
                 self.remove(head.key, now_ms);
                 note(head.key, Decision::Refused, out);
                 let pool = self.identity.pool;
                 let Some(balancer) = balancer else {
-                    return drop(head.key, Drop::StrayBounce, out);
+                    return note_drop(head.key, DropReason::StrayBounce, out);
                 };
-                let relay = Relay { ask: Ask::Open(walk), pool, balancer };
-                self.forward(&relay, head, walk, LOAD_CLOSED, now_ms, out);
+                let relay = RelayHeader { action: RelayAction::Open(candidates), pool, balancer };
+                self.forward(&relay, head, candidates, LOAD_CLOSED, now_ms, out);
             }
-            Phase::Probing { ask, .. } => {
+            Phase::Probing { action, .. } => {
                 self.probing_flows -= 1;
                 self.end_flow(head.key, Phase::Absent, now_ms);
-                answer(balancer, head.key, Answer::Absent, ask != Ask::Locate, out);
+                answer(balancer, head.key, Answer::Absent, action != RelayAction::Locate, out);
             }
             Phase::Ended => {}
             _ => {
@@ -121,8 +130,8 @@
 fn note_transition(transition: Transition, out: &mut Vec<Effect>) {
     let decision = match transition {
         Transition::None => return,
-        Transition::Opened => Decision::SetAside,
-        Transition::Closed => Decision::TakenBack,
+        Transition::Opened => Decision::BreakerOpened,
+        Transition::Closed => Decision::BreakerClosed,
     };
-    out.push(Effect::Note { key: None, decision });
+    out.push(Effect::LogDecision { key: None, decision });
 }
--- a/crates/core/src/opaque/balancer.rs
+++ b/crates/core/src/opaque/balancer.rs
@@ -17,17 +17,20 @@
     search::{SEARCH_TIMEOUT_MS, Search},
 };
 use super::{
-    FlowKey, Head, Kind, PoolId,
-    effect::{Answer, Ask, Decision, Drop, Effect, Payload, Relay, Why, drop, note, reset},
-    fleet::{Change, Fleet, Listed, Plan, Report, ZoneId},
-    hold::Hold,
-    route::{Lookup, RouteTable, Routes, Stamp},
-    walk::Walk,
-    zone::{Regions, ZoneNews, ZonesOut},
+    FlowKey, PacketHeader, PacketKind, PoolId,
+    candidate_list::CandidateList,
+    effect::{
+        Answer, Decision, DropReason, Effect, Payload, RelayAction, RelayHeader, ResetReason, note,
+        note_drop, push_reset,
+    },
+    fleet::{AgentPlan, Fleet, MemberEntry, Report, ReportChange, ZoneId},
+    packet_buffer::PacketBuffer,
+    route::{ConfigVersion, Lookup, RouteTable, Routes},
+    zone::{Regions, ZoneUpdateResult, ZonesOut},
 };
 
-/// How long packets are held for a restarting agent.
-const RESTART_HOLD_MS: u64 = 3_000;
+/// How long packets are buffered for a restarting agent.
+const RESTART_BUFFER_MS: u64 = 3_000;
 /// Idle time after which a flow is dropped from the table; its next packet starts a search.
 const FLOW_IDLE_TIMEOUT_MS: u64 = 20_000;
 /// Interval between removals of idle flows.
@@ -35,8 +38,8 @@
 /// Time from the first member list until the membership counts as complete: a few round trips between regions, so
 /// that agents that joined after the list was read have reported.
 const MEMBERSHIP_SETTLE_MS: u64 = 100;
-/// Interval between scans of all agents for those due a greeting.
-const GREET_CHECK_INTERVAL_MS: u64 = 60;
+/// Interval between scans of all agents for those due a hello.
+const HELLO_CHECK_INTERVAL_MS: u64 = 60;
 /// Gap between events that means that the process was stalled; ticks come every 20 ms.
 const STALL_THRESHOLD_MS: u64 = 1_000;
 /// Delay after the first member list until it is read again if some listed agents have not reported; they may have
@@ -66,19 +69,19 @@
     routes: RouteTable,
     fleet: Fleet,
     flows: FxHashMap<FlowKey, Flow>,
-    hold: Hold,
+    buffer: PacketBuffer,
     pending_queries: BTreeMap<SocketAddrV4, Vec<FlowKey>>,
-    /// Agents whose entries this balancer removed from the store.
+    /// Agents whose entries this balancer withdrew from the store.
     withdrawn: BTreeSet<SocketAddrV4>,
-    /// Agents that announced that they leave, with the time. They can't remove their own entries during a store
+    /// Agents that announced that they leave, with the time. They can't withdraw their own entries during a store
     /// outage.
     left_agents: BTreeMap<SocketAddrV4, u64>,
     /// The last configuration requested from a peer, with the time of the request.
-    requested_config: Option<(Stamp, u64)>,
+    requested_config: Option<(ConfigVersion, u64)>,
     member_list_ms: Option<u64>,
     list_refreshed: bool,
     last_event_ms: u64,
-    last_greet_check_ms: u64,
+    last_hello_check_ms: u64,
     last_prune_ms: u64,
 }
 
@@ -91,7 +94,7 @@
             routes: RouteTable::default(),
             fleet: Fleet::default(),
             flows: FxHashMap::default(),
-            hold: Hold::default(),
+            buffer: PacketBuffer::default(),
             pending_queries: BTreeMap::new(),
             withdrawn: BTreeSet::new(),
             left_agents: BTreeMap::new(),
@@ -99,7 +102,7 @@
             member_list_ms: None,
             list_refreshed: false,
             last_event_ms: 0,
-            last_greet_check_ms: 0,
+            last_hello_check_ms: 0,
             last_prune_ms: 0,
         }
     }
@@ -129,59 +132,59 @@
         self.flows.len()
     }
 
-    /// Bytes of held packets.
-    pub fn held_bytes(&self) -> usize {
-        self.hold.bytes()
+    /// Bytes of buffered packets.
+    pub fn buffered_bytes(&self) -> usize {
+        self.buffer.bytes()
     }
 
     /// Applies a configuration; false if one that is as new or newer is already in force.
-    pub fn put_routes(&mut self, routes: Routes) -> bool {
-        self.routes.put(routes)
+    pub fn update_routes(&mut self, routes: Routes) -> bool {
+        self.routes.update(routes)
     }
 
     /// Applies an update of the zones out of service.
-    pub fn put_zones(&mut self, update: ZonesOut, now_ms: u64) -> ZoneNews {
-        self.fleet.put_zones(update, now_ms)
+    pub fn update_zones(&mut self, update: ZonesOut, now_ms: u64) -> ZoneUpdateResult {
+        self.fleet.update_zones(update, now_ms)
     }
 
     /// Merges zones that a peer keeps out of service after the store lost their entries; true if this adds any.
-    pub fn learn_lost_zones(&mut self, names: Vec<String>, now_ms: u64) -> bool {
-        self.fleet.learn_lost_zones(names, now_ms)
+    pub fn merge_lost_zones(&mut self, names: Vec<String>, now_ms: u64) -> bool {
+        self.fleet.merge_lost_zones(names, now_ms)
     }
 
     /// Returns zones to service whose lost entries were not written again in time; true if there were any.
-    pub fn release_zones(&mut self, now_ms: u64) -> bool {
-        self.fleet.release_zones(now_ms)
+    pub fn expire_lost_zones(&mut self, now_ms: u64) -> bool {
+        self.fleet.expire_lost_zones(now_ms)
     }
 
     /// Syncs the agents with the member list read from the store.
-    pub fn list(&mut self, members: &[Listed], now_ms: u64) {
+    pub fn sync_members(&mut self, members: &[MemberEntry], now_ms: u64) {
         self.member_list_ms.get_or_insert(now_ms);
         self.fleet.sync_members(members, now_ms);
     }
 
     /// Adds members received from a peer, whose list may be partial.
-    pub fn learn(&mut self, members: &[Listed], now_ms: u64) {
+    pub fn merge_members(&mut self, members: &[MemberEntry], now_ms: u64) {
         self.fleet.merge_members(members, now_ms);
     }
 
     /// Applies an agent's report.
-    pub fn report(
+    pub fn handle_report(
         &mut self,
         from: SocketAddrV4,
         report: Report,
         now_ms: u64,
         out: &mut Vec<Effect>,
-    ) -> Change {
+    ) -> ReportChange {
         self.record_event_time(now_ms);
         let change = self.fleet.apply_report(from, report, now_ms);
-        if change == Change::Restarted {
-            self.flush_held_packets(from, out);
+        if change == ReportChange::Restarted {
+            self.flush_buffered_packets(from, out);
         }
-        if change == Change::Left && self.left_agents.len() < MAX_WITHDRAWN {
+        if change == ReportChange::Left && self.left_agents.len() < MAX_WITHDRAWN {
             self.left_agents.insert(from, now_ms);
         }
-        if change == Change::Old || report.plan == Plan::Leave {
+        if change == ReportChange::Old || report.plan == AgentPlan::Leave {
             return change;
         }
         self.left_agents.remove(&from);
@@ -192,23 +195,29 @@
     }
 
     /// Handles a packet from a caller.
-    pub fn packet(&mut self, head: &Head, bytes: &[u8], now_ms: u64, out: &mut Vec<Effect>) {
+    pub fn handle_packet(
+        &mut self,
+        head: &PacketHeader,
+        bytes: &[u8],
+        now_ms: u64,
+        out: &mut Vec<Effect>,
+    ) {
         self.record_event_time(now_ms);
         match head.kind {
-            Kind::Open => self.handle_open(head, now_ms, out),
-            Kind::Data | Kind::Finish | Kind::Reset => {
+            PacketKind::Open => self.handle_open(head, now_ms, out),
+            PacketKind::Data | PacketKind::Finish | PacketKind::Reset => {
                 self.handle_flow_packet(head, bytes, now_ms, out)
             }
         }
     }
 
     /// Handles an agent's answer; `returned` is the packet sent back with it.
-    pub fn answer(
+    pub fn handle_answer(
         &mut self,
         from: SocketAddrV4,
         key: FlowKey,
         answer: Answer,
-        returned: Option<(&Head, &[u8])>,
+        returned: Option<(&PacketHeader, &[u8])>,
         now_ms: u64,
         out: &mut Vec<Effect>,
     ) {
@@ -222,14 +231,14 @@
         }
     }
 
-    /// Runs the periodic work: greetings, searches, expiry of held packets and removal of idle flows.
+    /// Runs the periodic work: hellos, searches, expiry of buffered packets and removal of idle flows.
     pub fn tick(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
         self.record_event_time(now_ms);
-        self.greet_agents(now_ms, out);
+        self.send_hellos(now_ms, out);
         self.refresh_member_list(now_ms, out);
         self.continue_searches(now_ms, out);
-        for key in self.hold.expired(now_ms) {
-            self.handle_hold_expiry(key, now_ms, out);
+        for key in self.buffer.expired(now_ms) {
+            self.handle_buffer_expiry(key, now_ms, out);
         }
         if now_ms.saturating_sub(self.last_prune_ms) >= PRUNE_INTERVAL_MS {
             self.last_prune_ms = now_ms;
@@ -238,13 +247,13 @@
         }
     }
 
-    fn greet_agents(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
-        if now_ms.saturating_sub(self.last_greet_check_ms) < GREET_CHECK_INTERVAL_MS {
+    fn send_hellos(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
+        if now_ms.saturating_sub(self.last_hello_check_ms) < HELLO_CHECK_INTERVAL_MS {
             return;
         }
-        self.last_greet_check_ms = now_ms;
-        for to in self.fleet.agents_to_greet(now_ms) {
-            out.push(Effect::Greet { to });
+        self.last_hello_check_ms = now_ms;
+        for to in self.fleet.hello_recipients(now_ms) {
+            out.push(Effect::Hello { to });
         }
     }
 
@@ -269,27 +278,27 @@
         }
         self.list_refreshed = true;
         if self.fleet.unreported_count() > 0 {
-            out.push(Effect::List);
+            out.push(Effect::ReloadMembers);
         }
     }
 
-    fn handle_open(&mut self, head: &Head, now_ms: u64, out: &mut Vec<Effect>) {
+    fn handle_open(&mut self, head: &PacketHeader, now_ms: u64, out: &mut Vec<Effect>) {
         let key = head.key;
         let copies = head.ack;
         let route = match self.routes.lookup(key.service) {
-            Lookup::NoConfig => return drop(key, Drop::NoConfig, out),
-            Lookup::Dropped | Lookup::None => return reset(key, 0, Why::NoRoute, out),
+            Lookup::NoConfig => return note_drop(key, DropReason::NoConfig, out),
+            Lookup::Dropped | Lookup::None => return push_reset(key, 0, ResetReason::NoRoute, out),
             Lookup::Route(route) => route,
         };
         let (objective, allowed) = (route.objective(), route.regions());
-        let Some(pool) = route.pick(key.hash()) else {
-            return reset(key, 0, Why::NoUpstream, out);
+        let Some(pool) = route.select_pool(key.hash()) else {
+            return push_reset(key, 0, ResetReason::NoUpstream, out);
         };
         if !self.fleet.has_region(allowed) {
-            return reset(key, 0, Why::NoRegion, out);
+            return push_reset(key, 0, ResetReason::NoRegion, out);
         }
         if self.fleet.zones_out().is_none() {
-            return drop(key, Drop::NoConfig, out);
+            return note_drop(key, DropReason::NoConfig, out);
         }
         let known = self.flows.get(&key).filter(|_| copies > 0);
         if let Some(flow) = known.filter(|it| it.confirmed && copies == 1) {
@@ -299,7 +308,7 @@
             };
             if let Some(agent) = flow.agent.filter(is_usable) {
                 let pool = flow.pool.unwrap_or(pool);
-                return self.relay(agent, Ask::Deliver, pool, Payload::Current, out);
+                return self.relay(agent, RelayAction::Deliver, pool, Payload::Current, out);
             }
         }
         let avoid = known.and_then(|it| it.agent);
@@ -311,50 +320,50 @@
             Flow { agent: Some(first), pool: Some(pool), last_used_ms: now_ms, ..Flow::default() };
         self.flows.insert(key, flow);
         note(key, Decision::Placed { first, copies }, out);
-        let walk = Walk::new(found.agents, found.limit).with_objective(objective);
+        let candidates = CandidateList::new(found.agents, found.limit).with_objective(objective);
         let cold_rate = self.routes.cold_rate(pool);
-        let walk = walk.with_pool(found.pool).with_cold_rate(cold_rate);
-        self.relay(first, Ask::Open(walk), pool, Payload::Current, out);
+        let candidates = candidates.with_pool(found.pool).with_cold_rate(cold_rate);
+        self.relay(first, RelayAction::Open(candidates), pool, Payload::Current, out);
     }
 
     fn reject_open(&self, key: FlowKey, pool: PoolId, now_ms: u64, out: &mut Vec<Effect>) {
         let complete =
             self.is_membership_settled(now_ms) && self.fleet.is_complete(|it| it == pool, now_ms);
         if complete {
-            let why = if self.fleet.has_agents_out_of_service(pool) {
-                Why::ZonesOut
+            let reason = if self.fleet.has_agents_out_of_service(pool) {
+                ResetReason::ZonesOut
             } else {
-                Why::NoUpstream
+                ResetReason::NoUpstream
             };
-            reset(key, 0, why, out)
+            push_reset(key, 0, reason, out)
         } else {
-            drop(key, Drop::NoUpstream, out)
+            note_drop(key, DropReason::NoUpstream, out)
         }
     }
 
     fn handle_flow_packet(
         &mut self,
-        head: &Head,
+        head: &PacketHeader,
         bytes: &[u8],
         now_ms: u64,
         out: &mut Vec<Effect>,
     ) {
         let key = head.key;
         let (pool, dropped) = match self.routes.lookup(key.service) {
-            Lookup::NoConfig => return drop(key, Drop::NoConfig, out),
-            Lookup::None => return drop(key, Drop::NoRoute, out),
+            Lookup::NoConfig => return note_drop(key, DropReason::NoConfig, out),
+            Lookup::None => return note_drop(key, DropReason::NoRoute, out),
             Lookup::Dropped => (None, true),
-            Lookup::Route(route) => (route.pick(key.hash()), false),
+            Lookup::Route(route) => (route.select_pool(key.hash()), false),
         };
         if dropped {
             self.flows.remove(&key);
-            if head.kind != Kind::Reset {
-                reset(key, head.ack, Why::RouteDropped, out);
+            if head.kind != PacketKind::Reset {
+                push_reset(key, head.ack, ResetReason::RouteDropped, out);
             }
             return;
         }
         let Some(pool) = pool else {
-            return drop(key, Drop::NoRoute, out);
+            return note_drop(key, DropReason::NoRoute, out);
         };
         let flow = self.flows.entry(key).or_default();
         let pool = flow.pool.unwrap_or(pool);
@@ -362,7 +371,7 @@
         flow.last_packet_ms = now_ms;
         flow.ack = head.ack;
         if flow.search.is_some() {
-            self.hold_packet(key, bytes, now_ms + SEARCH_TIMEOUT_MS, out);
+            self.buffer_packet(key, bytes, now_ms + SEARCH_TIMEOUT_MS, out);
             return;
         }
         let Some(agent) = flow.agent else {
@@ -370,13 +379,13 @@
         };
         if self.fleet.is_restarting(agent) {
             note(key, Decision::Held { agent }, out);
-            self.hold_packet(key, bytes, now_ms + RESTART_HOLD_MS, out);
+            self.buffer_packet(key, bytes, now_ms + RESTART_BUFFER_MS, out);
             return;
         }
         if self.fleet.is_gone(agent, now_ms) {
             return self.start_search(key, bytes, None, now_ms, out);
         }
-        self.relay(agent, Ask::Deliver, pool, Payload::Current, out);
+        self.relay(agent, RelayAction::Deliver, pool, Payload::Current, out);
     }
 
     fn is_membership_settled(&self, now_ms: u64) -> bool {
@@ -386,12 +395,12 @@
     fn relay(
         &self,
         to: SocketAddrV4,
-        ask: Ask,
+        action: RelayAction,
         pool: PoolId,
         payload: Payload,
         out: &mut Vec<Effect>,
     ) {
-        let relay = Relay { ask, pool, balancer: self.address };
+        let relay = RelayHeader { action, pool, balancer: self.address };
         out.push(Effect::Relay { to, relay, payload });
     }
 }
--- a/crates/core/src/opaque/balancer/duties.rs
+++ b/crates/core/src/opaque/balancer/duties.rs
@@ -1,4 +1,4 @@
-//! Fleet-wide duties and the balancers that perform each: removal of stale entries from the store, watches for
+//! Fleet-wide duties and the balancers that perform each: withdrawal of stale entries from the store, watches for
 //! configuration changes, and distribution of configurations.
 
 use std::net::SocketAddrV4;
@@ -6,18 +6,18 @@
 use super::{
     super::{
         effect::Effect,
-        flow::{number, rank},
-        route::Stamp,
+        flow::{address_number, rendezvous_weight},
+        route::ConfigVersion,
     },
     Balancer,
 };
 
-/// Silence after which an agent's entry is removed from the store: longer than a restart on a slow VM.
+/// Silence after which an agent's entry is withdrawn from the store: longer than a restart on a slow VM.
 const WITHDRAW_AFTER_MS: u64 = 11_000;
-/// Time that a leaving agent has to remove its own entry; shorter than the time until its address may be reused.
+/// Time that a leaving agent has to withdraw its own entry; shorter than the time until its address may be reused.
 const LEFT_WITHDRAW_DELAY_MS: u64 = 1_500;
-/// Balancers that remove an agent's entry at first; each one costs a call to the store.
-const INITIAL_REMOVERS: usize = 3;
+/// Balancers that withdraw an agent's entry at first; each one costs a call to the store.
+const INITIAL_WITHDRAW_COUNT: usize = 3;
 /// Balancers that watch the store for configuration changes; the others receive them from peers.
 const CONFIG_WATCHERS: usize = 8;
 /// Balancers that watch the store for changes of the zones out of service, at most half of all. The others poll every
@@ -35,16 +35,16 @@
 const CONFIG_REPLICAS: usize = 8;
 /// Rendezvous hashing seed for these agents.
 const CONFIG_REPLICA_SEED: u64 = 0xc09f;
-/// Time after which further balancers try to remove an entry; longer than the interval between two reads of the
+/// Time after which further balancers try to withdraw an entry; longer than the interval between two reads of the
 /// member list.
-const REMOVAL_ESCALATION_MS: u64 = 50_000;
+const WITHDRAW_ESCALATION_MS: u64 = 50_000;
 /// Bounds the sets of withdrawn and of leaving agents.
 pub(super) const MAX_WITHDRAWN: usize = 10_000;
 
 impl Balancer {
-    /// Agents whose entries should be removed from the store, as they left or have been gone for long. A restarting
+    /// Agents whose entries should be withdrawn from the store, as they left or have been gone for long. A restarting
     /// fleet would otherwise wait for them.
-    pub fn to_withdraw(&self, now_ms: u64) -> Vec<SocketAddrV4> {
+    pub fn agents_to_withdraw(&self, now_ms: u64) -> Vec<SocketAddrV4> {
         let mut agents = self.fleet.listed_but_gone(WITHDRAW_AFTER_MS, now_ms);
         let left = self
             .left_agents
@@ -54,24 +54,24 @@
         agents
     }
 
-    /// Whether this balancer should remove an agent's entry that has been due for removal for `since_ms`. Each agent
-    /// has its own order of the balancers, and the first few remove the entry; more of them join in if it stays.
-    pub fn is_remover<'a, I>(&self, agent: SocketAddrV4, others: I, since_ms: u64) -> bool
+    /// Whether this balancer should withdraw an agent's entry that has been due for `since_ms`. Each agent
+    /// has its own order of the balancers, and the first few withdraw the entry; more of them join in if it stays.
+    pub fn should_withdraw<'a, I>(&self, agent: SocketAddrV4, others: I, since_ms: u64) -> bool
     where
         I: IntoIterator<Item = &'a SocketAddrV4>,
     {
-        let removers = INITIAL_REMOVERS * (1 + (since_ms / REMOVAL_ESCALATION_MS) as usize);
-        self.ranks_within(removers, number(agent), others)
+        let count = INITIAL_WITHDRAW_COUNT * (1 + (since_ms / WITHDRAW_ESCALATION_MS) as usize);
+        self.ranks_within(count, address_number(agent), others)
     }
 
     /// Whether a member list was read from the store. Until then too few balancers are known to choose the watchers
     /// among them.
-    pub fn knows_members(&self) -> bool {
+    pub fn has_member_list(&self) -> bool {
         self.member_list_ms.is_some()
     }
 
     /// Whether this balancer watches the store for configuration changes.
-    pub fn is_watcher<'a, I>(&self, others: I) -> bool
+    pub fn is_config_watcher<'a, I>(&self, others: I) -> bool
     where
         I: IntoIterator<Item = &'a SocketAddrV4>,
     {
@@ -90,12 +90,12 @@
 
     /// Balancers to which this one announces a new configuration. All balancers form one order, the watchers first;
     /// each announces it to the next ones that no earlier balancer covers.
-    pub fn to_tell<'a, I>(&self, others: I) -> Vec<SocketAddrV4>
+    pub fn config_recipients<'a, I>(&self, others: I) -> Vec<SocketAddrV4>
     where
         I: IntoIterator<Item = &'a SocketAddrV4>,
     {
         let mut order: Vec<_> = others.into_iter().copied().chain([self.address]).collect();
-        order.sort_unstable_by_key(|&it| rank(it, CONFIG_WATCH_SEED));
+        order.sort_unstable_by_key(|&it| rendezvous_weight(it, CONFIG_WATCH_SEED));
         let own = order.iter().position(|&it| it == self.address).unwrap_or(0);
         order
             .into_iter()
@@ -109,30 +109,30 @@
     where
         I: IntoIterator<Item = &'a SocketAddrV4>,
     {
-        let own = rank(self.address, seed);
-        others.into_iter().filter(|&&it| rank(it, seed) < own).count() < count
+        let own = rendezvous_weight(self.address, seed);
+        others.into_iter().filter(|&&it| rendezvous_weight(it, seed) < own).count() < count
     }
 
     /// Whether to request a configuration from a peer that has it in force; a request is not repeated within the retry
     /// interval.
-    pub fn wants(&mut self, stamp: Stamp, now_ms: u64) -> bool {
-        if Some(stamp) <= self.routes.stamp() {
+    pub fn should_request_config(&mut self, config_version: ConfigVersion, now_ms: u64) -> bool {
+        if Some(config_version) <= self.routes.config_version() {
             return false;
         }
         let pending = self.requested_config.is_some_and(|(requested, at_ms)| {
-            requested >= stamp && now_ms.saturating_sub(at_ms) < CONFIG_RETRY_MS
+            requested >= config_version && now_ms.saturating_sub(at_ms) < CONFIG_RETRY_MS
         });
         if !pending {
-            self.requested_config = Some((stamp, now_ms));
+            self.requested_config = Some((config_version, now_ms));
         }
         !pending
     }
 
     /// Agents that should store a copy of the configuration: the first live ones by rendezvous hashing, so that
     /// balancers with the same view choose the same ones.
-    pub fn keepers(&self, now_ms: u64) -> Vec<SocketAddrV4> {
+    pub fn config_replicas(&self, now_ms: u64) -> Vec<SocketAddrV4> {
         let mut agents = self.fleet.stable_agents(now_ms);
-        agents.sort_unstable_by_key(|&it| rank(it, CONFIG_REPLICA_SEED));
+        agents.sort_unstable_by_key(|&it| rendezvous_weight(it, CONFIG_REPLICA_SEED));
         agents.truncate(CONFIG_REPLICAS);
         agents
     }
@@ -140,20 +140,20 @@
     /// Notifies live agents that are missing from the store, as it was reset to an older copy, to register again.
     /// Only the first few balancers of an agent's order do so, as each notification makes the agent read the member
     /// list.
-    pub fn tell_unlisted<'a, I>(&self, others: I, now_ms: u64, out: &mut Vec<Effect>)
+    pub fn notify_unlisted<'a, I>(&self, others: I, now_ms: u64, out: &mut Vec<Effect>)
     where
         I: IntoIterator<Item = &'a SocketAddrV4, IntoIter: Clone>,
     {
         let others = others.into_iter();
         for to in self.fleet.unlisted_agents(now_ms) {
-            if self.is_remover(to, others.clone(), 0) {
+            if self.should_withdraw(to, others.clone(), 0) {
                 out.push(Effect::Unlisted { to });
             }
         }
     }
 
-    /// Records that an agent's entry was removed from the store. The agent is notified if it reports again.
-    pub fn withdraw(&mut self, agent: SocketAddrV4) {
+    /// Records that an agent's entry was withdrawn from the store. The agent is notified if it reports again.
+    pub fn mark_withdrawn(&mut self, agent: SocketAddrV4) {
         self.left_agents.remove(&agent);
         if self.withdrawn.len() < MAX_WITHDRAWN {
             self.withdrawn.insert(agent);
--- a/crates/core/src/opaque/balancer/search.rs
+++ b/crates/core/src/opaque/balancer/search.rs
@@ -1,13 +1,16 @@
 //! The search for the agent that holds a flow. The first few agents are sent the packet and all others a query
-//! without it. Agents that are unsure then get the packet through one of them. A search without a certain result is
+//! without it. Agents with status unknown then get the packet through one of them. A search without a certain result is
 //! repeated.
 
 use std::{collections::BTreeMap, net::SocketAddrV4};
 
 use super::{
     super::{
-        FlowKey, Head, PoolId,
-        effect::{Ask, Decision, Drop, Effect, Payload, Relay, Verdict, Why, drop, note, reset},
+        FlowKey, PacketHeader, PoolId,
+        effect::{
+            Decision, DropReason, Effect, FlowStatus, Payload, RelayAction, RelayHeader,
+            ResetReason, note, note_drop, push_reset,
+        },
         route::Lookup,
     },
     Balancer, Flow,
@@ -19,7 +22,7 @@
 /// Flows in one query; their keys fill two thirds of a packet.
 const MAX_KEYS_PER_QUERY: usize = 64;
 /// Agents to which one of them forwards a packet; their addresses and the packet fit into an Ethernet frame.
-const MAX_AGENTS_PER_SPREAD: usize = 28;
+const MAX_AGENTS_PER_FAN_OUT: usize = 28;
 /// Time until the remaining agents are queried: several round trips to the farthest agent.
 const INITIAL_QUERY_TIMEOUT_MS: u64 = 20;
 /// Duration of a search.
@@ -36,12 +39,12 @@
 #[derive(Clone, Debug)]
 pub(super) struct Search {
     started_ms: u64,
-    /// Agents that were asked and have not answered.
+    /// Agents that were queried and have not answered.
     pending: Vec<SocketAddrV4>,
     /// Agents that are queried only if none of the first ones holds the flow.
     remaining: Vec<SocketAddrV4>,
     /// Agents that only their upstream can answer for, by a packet of the flow.
-    unsure: Vec<SocketAddrV4>,
+    unknown: Vec<SocketAddrV4>,
     /// Agents that do not hold the flow.
     absent: Vec<SocketAddrV4>,
     queried_count: usize,
@@ -49,15 +52,15 @@
 
 impl Search {
     fn new(remaining: Vec<SocketAddrV4>, now_ms: u64) -> Search {
-        let (pending, unsure, absent) = (Vec::new(), Vec::new(), Vec::new());
-        Search { started_ms: now_ms, pending, remaining, unsure, absent, queried_count: 0 }
+        let (pending, unknown, absent) = (Vec::new(), Vec::new(), Vec::new());
+        Search { started_ms: now_ms, pending, remaining, unknown, absent, queried_count: 0 }
     }
 
-    /// Whether all agents were asked and only unsure ones are pending.
-    fn only_unsure_pending(&self) -> bool {
-        !self.unsure.is_empty()
+    /// Whether all agents were queried and only those with status unknown are pending.
+    fn only_unknown_pending(&self) -> bool {
+        !self.unknown.is_empty()
             && self.remaining.is_empty()
-            && self.pending.len() == self.unsure.len()
+            && self.pending.len() == self.unknown.len()
     }
 }
 
@@ -78,7 +81,7 @@
         out: &mut Vec<Effect>,
     ) {
         let Lookup::Route(route) = self.routes.lookup(key.service) else {
-            return drop(key, Drop::NoRoute, out);
+            return note_drop(key, DropReason::NoRoute, out);
         };
         let flow = self.flows.entry(key).or_default();
         flow.agent = None;
@@ -90,9 +93,9 @@
         {
             // The next search sends this packet.
             let due_ms = now_ms + flow.retry_delay_ms();
-            return self.hold_packet(key, bytes, due_ms, out);
+            return self.buffer_packet(key, bytes, due_ms, out);
         }
-        let allows = |it| route.allows(it);
+        let allows = |it| route.includes(it);
         let mut first = self.fleet.possible_holders(allows, key.hash(), self.zone, now_ms);
         first.retain(|&it| Some(it) != except);
         // The packet goes to allowed regions only. Other regions get a query without it, as the flow may be older
@@ -110,13 +113,19 @@
         search.queried_count = asked;
         search.absent.extend(except);
         self.flows.entry(key).or_default().search = Some(search);
-        self.hold_packet(key, bytes, now_ms + SEARCH_TIMEOUT_MS, out);
+        self.buffer_packet(key, bytes, now_ms + SEARCH_TIMEOUT_MS, out);
     }
 
     fn send_locate(&self, agents: &[SocketAddrV4], bytes: &[u8], out: &mut Vec<Effect>) {
         for &agent in agents {
             if let Some(pool) = self.fleet.pool_of(agent) {
-                self.relay(agent, Ask::Locate, pool, Payload::Held(bytes.to_vec()), out);
+                self.relay(
+                    agent,
+                    RelayAction::Locate,
+                    pool,
+                    Payload::Buffered(bytes.to_vec()),
+                    out,
+                );
             }
         }
     }
@@ -139,13 +148,13 @@
 
     /// Extends searches whose first agents did not answer in time, and sends the queued queries.
     pub(super) fn continue_searches(&mut self, now_ms: u64, out: &mut Vec<Effect>) {
-        for key in self.hold.keys() {
+        for key in self.buffer.keys() {
             let search = self.flows.get(&key).and_then(|it| it.search.as_ref());
             if search
                 .is_some_and(|it| now_ms.saturating_sub(it.started_ms) >= INITIAL_QUERY_TIMEOUT_MS)
             {
                 self.query_remaining(key, out);
-                self.probe_unsure(key, out);
+                self.probe_unknown(key, out);
             }
         }
         for (to, keys) in std::mem::take(&mut self.pending_queries) {
@@ -156,56 +165,56 @@
     }
 
     /// Handles an agent's answer to a query.
-    pub fn verdict(
+    pub fn handle_query_result(
         &mut self,
         from: SocketAddrV4,
         key: FlowKey,
-        verdict: Verdict,
+        status: FlowStatus,
         now_ms: u64,
         out: &mut Vec<Effect>,
     ) {
-        match verdict {
-            Verdict::Here => self.handle_here(from, key, now_ms, out),
-            Verdict::Absent => self.handle_absent(from, key, None, now_ms, out),
-            Verdict::Unsure => self.handle_unsure(from, key, out),
+        match status {
+            FlowStatus::Here => self.handle_here(from, key, now_ms, out),
+            FlowStatus::Absent => self.handle_absent(from, key, None, now_ms, out),
+            FlowStatus::Unknown => self.handle_unknown(from, key, out),
         }
     }
 
-    fn handle_unsure(&mut self, from: SocketAddrV4, key: FlowKey, out: &mut Vec<Effect>) {
+    fn handle_unknown(&mut self, from: SocketAddrV4, key: FlowKey, out: &mut Vec<Effect>) {
         let search = self.flows.get_mut(&key).and_then(|it| it.search.as_mut());
         let Some(search) = search.filter(|it| it.pending.contains(&from)) else {
             return;
         };
-        if !search.unsure.contains(&from) {
-            search.unsure.push(from);
+        if !search.unknown.contains(&from) {
+            search.unknown.push(from);
         }
-        if search.only_unsure_pending() {
-            self.probe_unsure(key, out);
+        if search.only_unknown_pending() {
+            self.probe_unknown(key, out);
         }
     }
 
-    /// Sends a packet of the flow to the upstreams of unsure agents. After a power loss all agents are unsure and a
-    /// copy for each would fill the balancer's link, so one agent forwards the packet to others of its pool.
-    fn probe_unsure(&mut self, key: FlowKey, out: &mut Vec<Effect>) {
+    /// Sends a packet of the flow to the upstreams of agents with status unknown. After a power loss these are all, and
+    /// a copy for each would fill the balancer's link, so one agent forwards the packet to others of its pool.
+    fn probe_unknown(&mut self, key: FlowKey, out: &mut Vec<Effect>) {
         let search = self.flows.get_mut(&key).and_then(|it| it.search.as_mut());
-        let Some(search) = search.filter(|it| !it.unsure.is_empty()) else {
+        let Some(search) = search.filter(|it| !it.unknown.is_empty()) else {
             return;
         };
-        let mut unsure = std::mem::take(&mut search.unsure);
+        let mut unknown = std::mem::take(&mut search.unknown);
         if let Lookup::Route(route) = self.routes.lookup(key.service) {
-            unsure.retain(|&it| self.fleet.is_region_allowed(it, route.regions()));
+            unknown.retain(|&it| self.fleet.is_region_allowed(it, route.regions()));
         }
-        let Some(packet) = self.hold.first(&key).map(<[u8]>::to_vec) else {
+        let Some(packet) = self.buffer.first(&key).map(<[u8]>::to_vec) else {
             return;
         };
         let mut pools: BTreeMap<PoolId, Vec<SocketAddrV4>> = BTreeMap::new();
-        for agent in unsure {
+        for agent in unknown {
             if let Some(pool) = self.fleet.pool_of(agent) {
                 pools.entry(pool).or_default().push(agent);
             }
         }
         for (pool, agents) in pools {
-            for agents in agents.chunks(MAX_AGENTS_PER_SPREAD) {
+            for agents in agents.chunks(MAX_AGENTS_PER_FAN_OUT) {
                 self.probe_pool(pool, agents, &packet, out);
             }
         }
@@ -219,10 +228,10 @@
         out: &mut Vec<Effect>,
     ) {
         let (packet, agents) = (packet.to_vec(), agents.to_vec());
-        let relay = Relay { ask: Ask::Locate, pool, balancer: self.address };
+        let relay = RelayHeader { action: RelayAction::Locate, pool, balancer: self.address };
         out.push(match agents[..] {
-            [to] => Effect::Relay { to, relay, payload: Payload::Held(packet) },
-            _ => Effect::Spread { to: agents[0], relay, agents, packet },
+            [to] => Effect::Relay { to, relay, payload: Payload::Buffered(packet) },
+            _ => Effect::FanOut { to: agents[0], relay, agents, packet },
         });
     }
 
@@ -249,14 +258,14 @@
             let after_ms = now_ms.saturating_sub(search.started_ms);
             note(key, Decision::Found { agent: from, after_ms }, out);
         }
-        self.send_held_packets(from, key, out);
+        self.send_buffered_packets(from, key, out);
     }
 
     pub(super) fn handle_absent(
         &mut self,
         from: SocketAddrV4,
         key: FlowKey,
-        returned: Option<(&Head, &[u8])>,
+        returned: Option<(&PacketHeader, &[u8])>,
         now_ms: u64,
         out: &mut Vec<Effect>,
     ) {
@@ -268,7 +277,7 @@
             search.absent.push(from);
             let all_answered = search.pending.is_empty();
             if let Some((_, bytes)) = returned {
-                self.hold_packet(key, bytes, now_ms + SEARCH_TIMEOUT_MS, out);
+                self.buffer_packet(key, bytes, now_ms + SEARCH_TIMEOUT_MS, out);
             }
             if all_answered && !self.query_remaining(key, out) {
                 self.finish_search(key, now_ms, out);
@@ -279,7 +288,13 @@
             // Another agent was found meanwhile.
             if let (Some(agent), Some((_, bytes))) = (flow.agent, returned) {
                 let pool = self.fleet.pool_of(agent).unwrap_or(PoolId(0));
-                self.relay(agent, Ask::Deliver, pool, Payload::Held(bytes.to_vec()), out);
+                self.relay(
+                    agent,
+                    RelayAction::Deliver,
+                    pool,
+                    Payload::Buffered(bytes.to_vec()),
+                    out,
+                );
             }
             return;
         }
@@ -293,20 +308,25 @@
     fn finish_search(&mut self, key: FlowKey, now_ms: u64, out: &mut Vec<Effect>) {
         let certain = self.is_certainly_absent(&key, now_ms);
         let Some(flow) = self.record_failed_search(key, now_ms, out) else {
-            self.hold.take(&key);
+            self.buffer.take(&key);
             return;
         };
         let (ack, due_ms) = (flow.ack, now_ms + flow.retry_delay_ms());
         if certain {
-            self.hold.take(&key);
-            reset(key, ack, Why::NotHeld, out);
+            self.buffer.take(&key);
+            push_reset(key, ack, ResetReason::NotHeld, out);
         } else {
-            self.hold.extend(&key, due_ms);
+            self.buffer.extend(&key, due_ms);
         }
     }
 
-    /// Handles a flow whose hold time expired: ends its search, retries it, or drops the held packets.
-    pub(super) fn handle_hold_expiry(&mut self, key: FlowKey, now_ms: u64, out: &mut Vec<Effect>) {
+    /// Handles a flow whose buffer deadline passed: ends its search, retries it, or drops its packets.
+    pub(super) fn handle_buffer_expiry(
+        &mut self,
+        key: FlowKey,
+        now_ms: u64,
+        out: &mut Vec<Effect>,
+    ) {
         let flow = self.flows.get(&key);
         let awaits_retry =
             flow.is_some_and(|it| it.search.is_none() && it.last_failed_search_ms.is_some());
@@ -318,29 +338,29 @@
         if flow.is_some_and(is_caller_active) {
             self.retry_search(key, now_ms, out);
         } else {
-            self.hold.take(&key);
+            self.buffer.take(&key);
         }
     }
 
     /// Repeats a search with queries only, as many flows may be searched for at once.
     fn retry_search(&mut self, key: FlowKey, now_ms: u64, out: &mut Vec<Effect>) {
         let Lookup::Route(route) = self.routes.lookup(key.service) else {
-            self.hold.take(&key);
-            return drop(key, Drop::NoRoute, out);
+            self.buffer.take(&key);
+            return note_drop(key, DropReason::NoRoute, out);
         };
         let remaining =
-            self.fleet.possible_holders(|it| route.allows(it), key.hash(), self.zone, now_ms);
+            self.fleet.possible_holders(|it| route.includes(it), key.hash(), self.zone, now_ms);
         if let Some(flow) = self.flows.get_mut(&key) {
             flow.search = Some(Search::new(remaining, now_ms));
         }
-        self.hold.extend(&key, now_ms + SEARCH_TIMEOUT_MS);
+        self.buffer.extend(&key, now_ms + SEARCH_TIMEOUT_MS);
         if !self.query_remaining(key, out) {
             self.finish_search(key, now_ms, out);
         }
     }
 
     /// Whether each agent that could hold the flow either answered that it does not or has been gone for too long for
-    /// the flow to be of use to its caller. Agents first seen after the search began have not been asked.
+    /// the flow to be of use to its caller. Agents first seen after the search began have not been queried.
     fn is_certainly_absent(&self, key: &FlowKey, now_ms: u64) -> bool {
         let Some(search) = self.flows.get(key).and_then(|it| it.search.as_ref()) else {
             return false;
@@ -349,9 +369,9 @@
             return false;
         };
         let holders =
-            self.fleet.possible_holders(|it| route.allows(it), key.hash(), self.zone, now_ms);
+            self.fleet.possible_holders(|it| route.includes(it), key.hash(), self.zone, now_ms);
         let absent = holders.iter().all(|it| search.absent.contains(it));
-        let complete = self.fleet.is_complete(|it| route.allows(it), now_ms);
+        let complete = self.fleet.is_complete(|it| route.includes(it), now_ms);
         absent && complete && self.is_membership_settled(now_ms)
     }
 
@@ -372,32 +392,32 @@
         Some(flow)
     }
 
-    /// Sends the held packets of all flows of an agent that has restarted.
-    pub(super) fn flush_held_packets(&mut self, agent: SocketAddrV4, out: &mut Vec<Effect>) {
-        for key in self.hold.keys() {
+    /// Sends the buffered packets of all flows of an agent that has restarted.
+    pub(super) fn flush_buffered_packets(&mut self, agent: SocketAddrV4, out: &mut Vec<Effect>) {
+        for key in self.buffer.keys() {
             let flow = self.flows.get(&key);
             if flow.is_some_and(|it| it.agent == Some(agent) && it.search.is_none()) {
-                self.send_held_packets(agent, key, out);
+                self.send_buffered_packets(agent, key, out);
             }
         }
     }
 
-    fn send_held_packets(&mut self, agent: SocketAddrV4, key: FlowKey, out: &mut Vec<Effect>) {
+    fn send_buffered_packets(&mut self, agent: SocketAddrV4, key: FlowKey, out: &mut Vec<Effect>) {
         let pool = self.fleet.pool_of(agent).unwrap_or(PoolId(0));
-        for packet in self.hold.take(&key) {
-            self.relay(agent, Ask::Deliver, pool, Payload::Held(packet), out);
+        for packet in self.buffer.take(&key) {
+            self.relay(agent, RelayAction::Deliver, pool, Payload::Buffered(packet), out);
         }
     }
 
-    pub(super) fn hold_packet(
+    pub(super) fn buffer_packet(
         &mut self,
         key: FlowKey,
         bytes: &[u8],
         until_ms: u64,
         out: &mut Vec<Effect>,
     ) {
-        if !self.hold.push(key, bytes, until_ms) {
-            drop(key, Drop::HoldFull, out);
+        if !self.buffer.push(key, bytes, until_ms) {
+            note_drop(key, DropReason::BufferFull, out);
         }
     }
 }
--- a/crates/core/src/opaque/walk.rs
+++ b/crates/core/src/opaque/candidate_list.rs
@@ -1,4 +1,4 @@
-//! Walk: the list of candidates that an opening packet visits.
+//! Candidate list: the agents that an opening packet visits.
 //!
 //! This is consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam, SODA 2018): the first candidate
 //! whose load is within the limit accepts the flow. Balancers set the order and the limit from reports that are up to a
@@ -12,8 +12,8 @@
 
 use super::route::Objective;
 
-/// Most candidates of a walk; with 8 the packet fits in an Ethernet frame.
-pub const MAX_SEATS: usize = 8;
+/// Most candidates of an opening packet; with 8 the packet fits in an Ethernet frame.
+pub const MAX_CANDIDATES: usize = 8;
 /// Load of a candidate that must not get the flow.
 pub const LOAD_CLOSED: u16 = u16::MAX;
 /// Load of a candidate that gets the flow only as the last resort: its state is unknown or its breaker is open.
@@ -23,15 +23,15 @@
 
 /// A candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seat {
+pub struct Candidate {
     /// The agent.
     pub agent: SocketAddrV4,
     /// Its load in thousandths of its slots, once visited.
     pub load: u16,
 }
 
-const EMPTY_SEAT: Seat =
-    Seat { agent: SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0), load: LOAD_UNVISITED };
+const EMPTY_CANDIDATE: Candidate =
+    Candidate { agent: SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0), load: LOAD_UNVISITED };
 
 /// Load of a pool, aggregated from its agents' reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -44,7 +44,7 @@
 
 /// Whether an agent accepts a flow as the last resort.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Last {
+pub enum LastResort {
     /// The agent's load is within the limit.
     No,
     /// All candidates are above the limit, and the agent is the least loaded.
@@ -53,10 +53,10 @@
 
 /// The candidates of an opening packet, its position among them, and the load limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Walk {
-    seats: [Seat; MAX_SEATS],
+pub struct CandidateList {
+    candidates: [Candidate; MAX_CANDIDATES],
     len: u8,
-    at: u8,
+    position: u8,
     /// Load up to which a candidate accepts the flow, in thousandths of its slots.
     pub limit: u16,
     /// Objective of the route's requests, if configured.
@@ -67,106 +67,118 @@
     pub cold_rate: Option<u32>,
 }
 
-impl Walk {
-    /// Creates a walk over the first [`MAX_SEATS`] of the agents.
-    pub fn new<I>(agents: I, limit: u16) -> Walk
+impl CandidateList {
+    /// Creates a list of the first [`MAX_CANDIDATES`] of the agents.
+    pub fn new<I>(agents: I, limit: u16) -> CandidateList
     where
         I: IntoIterator<Item = SocketAddrV4>,
     {
-        let mut walk = Walk {
-            seats: [EMPTY_SEAT; MAX_SEATS],
+        let mut list = CandidateList {
+            candidates: [EMPTY_CANDIDATE; MAX_CANDIDATES],
             len: 0,
-            at: 0,
+            position: 0,
             limit,
             objective: None,
             pool: PoolLoad::default(),
             cold_rate: None,
         };
-        for agent in agents.into_iter().take(MAX_SEATS) {
-            walk.seats[usize::from(walk.len)] = Seat { agent, load: LOAD_UNVISITED };
-            walk.len += 1;
+        for agent in agents.into_iter().take(MAX_CANDIDATES) {
+            list.candidates[usize::from(list.len)] = Candidate { agent, load: LOAD_UNVISITED };
+            list.len += 1;
         }
-        walk
+        list
     }
 
-    /// Creates a walk from its decoded parts; none if the number of candidates or the position is invalid.
-    pub fn from_parts(seats: &[Seat], at: u8, limit: u16) -> Option<Walk> {
-        if seats.is_empty() || seats.len() > MAX_SEATS || usize::from(at) >= seats.len() {
+    /// Creates a list from its decoded parts; none if the number of candidates or the position is invalid.
+    pub fn from_parts(candidates: &[Candidate], position: u8, limit: u16) -> Option<CandidateList> {
+        if candidates.is_empty()
+            || candidates.len() > MAX_CANDIDATES
+            || usize::from(position) >= candidates.len()
+        {
             return None;
         }
-        let len = seats.len() as u8;
-        let seat = [EMPTY_SEAT; MAX_SEATS];
+        let len = candidates.len() as u8;
         let pool = PoolLoad::default();
-        let mut walk = Walk { seats: seat, len, at, limit, objective: None, pool, cold_rate: None };
-        walk.seats[..seats.len()].copy_from_slice(seats);
-        Some(walk)
+        let mut list = CandidateList {
+            candidates: [EMPTY_CANDIDATE; MAX_CANDIDATES],
+            len,
+            position,
+            limit,
+            objective: None,
+            pool,
+            cold_rate: None,
+        };
+        list.candidates[..candidates.len()].copy_from_slice(candidates);
+        Some(list)
     }
 
     /// Sets the objective of the route's requests.
-    pub fn with_objective(self, objective: Option<Objective>) -> Walk {
-        Walk { objective, ..self }
+    pub fn with_objective(self, objective: Option<Objective>) -> CandidateList {
+        CandidateList { objective, ..self }
     }
 
     /// Sets the pool load.
-    pub fn with_pool(self, pool: PoolLoad) -> Walk {
-        Walk { pool, ..self }
+    pub fn with_pool(self, pool: PoolLoad) -> CandidateList {
+        CandidateList { pool, ..self }
     }
 
     /// Sets the rate limit of cold upstreams, in new flows per second.
-    pub fn with_cold_rate(self, cold_rate: Option<u32>) -> Walk {
-        Walk { cold_rate, ..self }
+    pub fn with_cold_rate(self, cold_rate: Option<u32>) -> CandidateList {
+        CandidateList { cold_rate, ..self }
     }
 
-    /// The candidates, in the order of the walk.
-    pub fn seats(&self) -> &[Seat] {
-        &self.seats[..usize::from(self.len)]
+    /// The candidates, in the order of visits.
+    pub fn candidates(&self) -> &[Candidate] {
+        &self.candidates[..usize::from(self.len)]
     }
 
     /// Index of the current candidate.
-    pub fn at(&self) -> u8 {
-        self.at
+    pub fn position(&self) -> u8 {
+        self.position
     }
 
     /// Address of the current candidate.
     pub fn current(&self) -> Option<SocketAddrV4> {
-        self.seats().get(usize::from(self.at)).map(|it| it.agent)
+        self.candidates().get(usize::from(self.position)).map(|it| it.agent)
     }
 
     /// Records the load of the current candidate and moves to the next one. Returns it, or none at the end.
-    pub fn pass(&mut self, load: u16) -> Option<SocketAddrV4> {
+    pub fn advance(&mut self, load: u16) -> Option<SocketAddrV4> {
         self.record_load(load);
-        if self.at + 1 >= self.len {
+        if self.position + 1 >= self.len {
             return None;
         }
-        self.at += 1;
+        self.position += 1;
         self.current()
     }
 
     /// Records the load of the current candidate.
     pub fn record_load(&mut self, load: u16) {
-        if let Some(seat) = self.seats[..usize::from(self.len)].get_mut(usize::from(self.at)) {
-            seat.load = load;
+        if let Some(candidate) =
+            self.candidates[..usize::from(self.len)].get_mut(usize::from(self.position))
+        {
+            candidate.load = load;
         }
     }
 
     /// Moves to the least loaded candidate that may get the flow. Returns it, or none if all are closed.
     pub fn select_least_loaded(&mut self) -> Option<SocketAddrV4> {
-        let open = self.seats().iter().enumerate().filter(|(_, it)| it.load != LOAD_CLOSED);
-        let (at, _) = open.min_by_key(|(_, it)| it.load)?;
-        self.at = at as u8;
+        let open = self.candidates().iter().enumerate().filter(|(_, it)| it.load != LOAD_CLOSED);
+        let (position, _) = open.min_by_key(|(_, it)| it.load)?;
+        self.position = position as u8;
         self.current()
     }
 }
 
 /// The candidates with their recorded loads; `-` is one that is closed or was not visited.
-impl fmt::Display for Walk {
+impl fmt::Display for CandidateList {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, seat) in self.seats().iter().enumerate() {
+        for (at, candidate) in self.candidates().iter().enumerate() {
             let gap = if at == 0 { "" } else { " " };
-            match seat.load {
-                LOAD_CLOSED => write!(f, "{gap}{}=-", seat.agent)?,
-                LOAD_UNKNOWN => write!(f, "{gap}{}=unsure", seat.agent)?,
-                load => write!(f, "{gap}{}={load}", seat.agent)?,
+            match candidate.load {
+                LOAD_CLOSED => write!(f, "{gap}{}=-", candidate.agent)?,
+                LOAD_UNKNOWN => write!(f, "{gap}{}=unsure", candidate.agent)?,
+                load => write!(f, "{gap}{}={load}", candidate.agent)?,
             }
         }
         Ok(())
--- a/crates/core/src/opaque/effect.rs
+++ b/crates/core/src/opaque/effect.rs
@@ -4,7 +4,7 @@
 
 use super::{
     FlowKey, PoolId,
-    walk::{Last, Walk},
+    candidate_list::{CandidateList, LastResort},
 };
 
 /// Bytes of the packet that an effect refers to.
@@ -13,16 +13,16 @@
     /// The packet that is being processed.
     Current,
     /// A packet that was buffered.
-    Held(Vec<u8>),
+    Buffered(Vec<u8>),
 }
 
 /// Action that a balancer requests of an agent with a caller's packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
-    /// Accept the flow, or forward the packet to the next candidate of the walk.
-    Open(Walk),
-    /// Accept the flow as the least loaded candidate of the walk.
-    Settle(Walk),
+pub enum RelayAction {
+    /// Accept the flow, or forward the packet to the next candidate.
+    Open(CandidateList),
+    /// Accept the flow as the least loaded candidate.
+    Assign(CandidateList),
     /// Deliver the packet to the upstream, or return it if the flow is not here.
     Deliver,
     /// Report whether the flow is here, and deliver the packet if it is or may be.
@@ -31,9 +31,9 @@
 
 /// Header of a caller's packet that is forwarded between processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Relay {
+pub struct RelayHeader {
     /// Requested action.
-    pub ask: Ask,
+    pub action: RelayAction,
     /// Pool of the flow; an agent of another pool never delivers the packet.
     pub pool: PoolId,
     /// Balancer that received the packet from the caller.
@@ -53,18 +53,18 @@
 
 /// An agent's result for a flow in a balancer's query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum FlowStatus {
     /// The flow is here.
     Here,
     /// The flow is not here.
     Absent,
     /// Not known; a packet of the flow is needed to probe the upstream.
-    Unsure,
+    Unknown,
 }
 
 /// Why a flow was reset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Why {
+pub enum ResetReason {
     /// No route has the service address.
     NoRoute,
     /// The flow's route was removed from the configuration.
@@ -83,37 +83,37 @@
     NotHeld,
 }
 
-impl Why {
+impl ResetReason {
     /// All reasons.
-    pub const ALL: [Why; 8] = [
-        Why::NoRoute,
-        Why::RouteDropped,
-        Why::NoUpstream,
-        Why::ZonesOut,
-        Why::NoRegion,
-        Why::AllRefused,
-        Why::UpstreamEnded,
-        Why::NotHeld,
+    pub const ALL: [ResetReason; 8] = [
+        ResetReason::NoRoute,
+        ResetReason::RouteDropped,
+        ResetReason::NoUpstream,
+        ResetReason::ZonesOut,
+        ResetReason::NoRegion,
+        ResetReason::AllRefused,
+        ResetReason::UpstreamEnded,
+        ResetReason::NotHeld,
     ];
 
     /// Name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Why::NoRoute => "no-route",
-            Why::RouteDropped => "route-dropped",
-            Why::NoUpstream => "no-upstream",
-            Why::ZonesOut => "zones-out",
-            Why::NoRegion => "no-region",
-            Why::AllRefused => "all-refused",
-            Why::UpstreamEnded => "upstream-ended",
-            Why::NotHeld => "not-held",
+            ResetReason::NoRoute => "no-route",
+            ResetReason::RouteDropped => "route-dropped",
+            ResetReason::NoUpstream => "no-upstream",
+            ResetReason::ZonesOut => "zones-out",
+            ResetReason::NoRegion => "no-region",
+            ResetReason::AllRefused => "all-refused",
+            ResetReason::UpstreamEnded => "upstream-ended",
+            ResetReason::NotHeld => "not-held",
         }
     }
 }
 
 /// Why a waiting request was released to its upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Cause {
+pub enum ReleaseReason {
     /// A slot was free.
     Slot,
     /// The request reached its longest wait.
@@ -124,14 +124,14 @@
     Stop,
 }
 
-impl Cause {
+impl ReleaseReason {
     /// Name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Cause::Slot => "slot",
-            Cause::Overdue => "overdue",
-            Cause::Backlog => "backlog",
-            Cause::Stop => "stop",
+            ReleaseReason::Slot => "slot",
+            ReleaseReason::Overdue => "overdue",
+            ReleaseReason::Backlog => "backlog",
+            ReleaseReason::Stop => "stop",
         }
     }
 }
@@ -151,12 +151,12 @@
         /// Load in thousandths of the slots.
         load: u16,
         /// Whether the agent accepted as the last resort.
-        last: Last,
+        last: LastResort,
         /// The candidates, with the loads of those visited before.
-        walk: Walk,
+        candidates: CandidateList,
     },
     /// An agent forwarded an opening packet, as its load is above the limit or it accepts no flows.
-    PassedOn {
+    Forwarded {
         /// The next candidate.
         to: SocketAddrV4,
         /// Load in thousandths of the slots.
@@ -165,9 +165,9 @@
         limit: u16,
     },
     /// No candidate may accept the flow.
-    NobodyAccepted {
+    NoCandidate {
         /// The candidates and their loads.
-        walk: Walk,
+        candidates: CandidateList,
     },
     /// The upstream bounced an opening packet.
     Refused,
@@ -197,7 +197,7 @@
         /// Time that it waited, in milliseconds.
         waited_ms: u64,
         /// Reason for the release.
-        cause: Cause,
+        reason: ReleaseReason,
         /// Requests that still wait.
         waiting: usize,
     },
@@ -214,18 +214,18 @@
         passed: bool,
     },
     /// The circuit breaker opened: the upstream gets new flows only as a trial or the last resort.
-    SetAside,
+    BreakerOpened,
     /// The circuit breaker closed.
-    TakenBack,
+    BreakerClosed,
     /// The flow was reset.
-    Reset(Why),
+    Reset(ResetReason),
     /// A packet was dropped.
-    Dropped(Drop),
+    Dropped(DropReason),
 }
 
 /// Why a packet was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Drop {
+pub enum DropReason {
     /// No configuration has been received yet.
     NoConfig,
     /// A packet of an existing flow has a service address without a route.
@@ -233,7 +233,7 @@
     /// No upstream can accept the flow now, but one may soon.
     NoUpstream,
     /// The packet buffer is full.
-    HoldFull,
+    BufferFull,
     /// The packet is for another pool.
     WrongPool,
     /// The upstream bounced a packet of an unknown flow.
@@ -242,28 +242,28 @@
     LateCopy,
 }
 
-impl Drop {
+impl DropReason {
     /// All reasons.
-    pub const ALL: [Drop; 7] = [
-        Drop::NoConfig,
-        Drop::NoRoute,
-        Drop::NoUpstream,
-        Drop::HoldFull,
-        Drop::WrongPool,
-        Drop::StrayBounce,
-        Drop::LateCopy,
+    pub const ALL: [DropReason; 7] = [
+        DropReason::NoConfig,
+        DropReason::NoRoute,
+        DropReason::NoUpstream,
+        DropReason::BufferFull,
+        DropReason::WrongPool,
+        DropReason::StrayBounce,
+        DropReason::LateCopy,
     ];
 
     /// Name used in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Drop::NoConfig => "no-config",
-            Drop::NoRoute => "no-route",
-            Drop::NoUpstream => "no-upstream",
-            Drop::HoldFull => "hold-full",
-            Drop::WrongPool => "wrong-pool",
-            Drop::StrayBounce => "stray-bounce",
-            Drop::LateCopy => "late-copy",
+            DropReason::NoConfig => "no-config",
+            DropReason::NoRoute => "no-route",
+            DropReason::NoUpstream => "no-upstream",
+            DropReason::BufferFull => "hold-full",
+            DropReason::WrongPool => "wrong-pool",
+            DropReason::StrayBounce => "stray-bounce",
+            DropReason::LateCopy => "late-copy",
         }
     }
 }
@@ -276,7 +276,7 @@
         /// The process.
         to: SocketAddrV4,
         /// The header.
-        relay: Relay,
+        relay: RelayHeader,
         /// The packet.
         payload: Payload,
     },
@@ -299,22 +299,22 @@
         keys: Vec<FlowKey>,
     },
     /// Have an agent forward a packet to several agents to locate its flow. The balancer sends a single copy.
-    Spread {
+    FanOut {
         /// The agent that forwards the packet.
         to: SocketAddrV4,
         /// The header for the receivers.
-        relay: Relay,
+        relay: RelayHeader,
         /// The receivers.
         agents: Vec<SocketAddrV4>,
         /// The packet.
         packet: Vec<u8>,
     },
     /// Answer a balancer's query.
-    Verdicts {
+    QueryResponse {
         /// The balancer.
         to: SocketAddrV4,
         /// The result for each flow.
-        verdicts: Vec<(FlowKey, Verdict)>,
+        statuses: Vec<(FlowKey, FlowStatus)>,
     },
     /// Deliver the current packet to the agent's upstream.
     Deliver,
@@ -332,14 +332,14 @@
         /// A sequence number that the caller accepts.
         seq: u32,
     },
-    /// Subscribe to the state reports of a member.
-    Greet {
+    /// Send a hello to a member, which then reports its state.
+    Hello {
         /// The member.
         to: SocketAddrV4,
     },
     /// Reload the list of members from the store.
-    List,
-    /// Notify an agent that its object was removed from the store, so that it registers again.
+    ReloadMembers,
+    /// Notify an agent that its entry was withdrawn from the store, so that it registers again.
     Unlisted {
         /// The agent.
         to: SocketAddrV4,
@@ -347,7 +347,7 @@
     /// Report the agent's state to all known balancers.
     Report,
     /// Log and count a decision.
-    Note {
+    LogDecision {
         /// The flow concerned, if any.
         key: Option<FlowKey>,
         /// The decision.
@@ -355,18 +355,18 @@
     },
 }
 
-/// Appends a note of a decision on a flow.
+/// Appends a decision on a flow to be logged.
 pub(super) fn note(key: FlowKey, decision: Decision, out: &mut Vec<Effect>) {
-    out.push(Effect::Note { key: Some(key), decision });
+    out.push(Effect::LogDecision { key: Some(key), decision });
 }
 
-/// Appends a note of a dropped packet.
-pub(super) fn drop(key: FlowKey, why: Drop, out: &mut Vec<Effect>) {
-    note(key, Decision::Dropped(why), out);
+/// Appends the decision to drop a packet, to be logged.
+pub(super) fn note_drop(key: FlowKey, reason: DropReason, out: &mut Vec<Effect>) {
+    note(key, Decision::Dropped(reason), out);
 }
 
-/// Appends a reset of a flow and its note.
-pub(super) fn reset(key: FlowKey, seq: u32, why: Why, out: &mut Vec<Effect>) {
+/// Appends a reset of a flow and its decision to be logged.
+pub(super) fn push_reset(key: FlowKey, seq: u32, reason: ResetReason, out: &mut Vec<Effect>) {
     out.push(Effect::Reset { key, seq });
-    note(key, Decision::Reset(why), out);
+    note(key, Decision::Reset(reason), out);
 }
--- a/crates/core/src/opaque/fleet.rs
+++ b/crates/core/src/opaque/fleet.rs
@@ -15,7 +15,7 @@
 
 /// Default interval between two reports of an agent to a balancer, in milliseconds; longer in a fleet of many
 /// balancers.
-pub const REPORT_MS: u32 = 1_000;
+pub const REPORT_INTERVAL_MS: u32 = 1_000;
 /// Report intervals after which a silent agent gets no new flows; one report may be lost.
 const MAX_MISSED_REPORTS: u64 = 2;
 /// Allowance for late reports, in addition.
@@ -24,16 +24,16 @@
 const GONE_AFTER_MS: u64 = 4_500;
 /// The same for an agent that announced a restart, which may take long on a slow VM.
 const RESTART_GONE_AFTER_MS: u64 = 10_000;
-/// Silence after which an agent is greeted, so that one that has restarted learns this balancer's address.
-const GREET_AFTER_MS: u64 = 1_500;
-/// Interval between two greetings of the same agent.
-const GREET_INTERVAL_MS: u64 = 1_000;
+/// Silence after which an agent is sent a hello, so that one that has restarted receives this balancer's address.
+const HELLO_AFTER_MS: u64 = 1_500;
+/// Interval between two hellos to the same agent.
+const HELLO_INTERVAL_MS: u64 = 1_000;
 /// Silence after which an agent that the store does not list is forgotten.
 const FORGET_AFTER_MS: u64 = 120_000;
 
 /// State of the upstream beside an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Upstream {
+pub enum UpstreamState {
     /// No heartbeat since the agent started, or none for some time.
     Unknown,
     /// Accepts new flows.
@@ -44,21 +44,21 @@
     Ended,
 }
 
-impl Upstream {
+impl UpstreamState {
     /// Name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Upstream::Unknown => "unknown",
-            Upstream::Ready => "ready",
-            Upstream::Draining => "draining",
-            Upstream::Ended => "ended",
+            UpstreamState::Unknown => "unknown",
+            UpstreamState::Ready => "ready",
+            UpstreamState::Draining => "draining",
+            UpstreamState::Ended => "ended",
         }
     }
 }
 
 /// What the agent itself is about to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plan {
+pub enum AgentPlan {
     /// Keeps running.
     Stay,
     /// Will restart soon; its upstream keeps running.
@@ -81,9 +81,9 @@
     /// Zone of the agent.
     pub zone: ZoneId,
     /// State of the upstream.
-    pub upstream: Upstream,
+    pub upstream: UpstreamState,
     /// What the agent is about to do.
-    pub plan: Plan,
+    pub plan: AgentPlan,
     /// Requests that the upstream serves concurrently.
     pub slots: u32,
     /// Load in thousandths of the slots.
@@ -93,12 +93,12 @@
     /// Whether the upstream has no free capacity, or is still cold.
     pub full: bool,
     /// Interval between two reports in milliseconds.
-    pub every_ms: u32,
+    pub interval_ms: u32,
 }
 
 /// A member, an agent or a balancer, as listed in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct MemberEntry {
     /// Address for packets between processes.
     pub address: SocketAddrV4,
     /// Pool of an agent; none for a balancer.
@@ -109,7 +109,7 @@
 
 /// What a report changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum ReportChange {
     /// Nothing that affects flows.
     None,
     /// The agent is new, or its pool, its upstream's state or its plan changed.
@@ -133,7 +133,7 @@
     /// at first.
     draining: bool,
     last_seen_ms: u64,
-    last_greeted_ms: u64,
+    last_hello_ms: u64,
 }
 
 impl AgentEntry {
@@ -144,7 +144,7 @@
             report: None,
             draining: false,
             last_seen_ms: now_ms,
-            last_greeted_ms: 0,
+            last_hello_ms: 0,
         }
     }
 
@@ -152,33 +152,34 @@
         let Some(report) = &self.report else {
             return true;
         };
-        let allowed = u64::from(report.every_ms) * MAX_MISSED_REPORTS + REPORT_GRACE_MS;
+        let allowed = u64::from(report.interval_ms) * MAX_MISSED_REPORTS + REPORT_GRACE_MS;
         now_ms.saturating_sub(self.last_seen_ms) > allowed
     }
 
     fn is_gone(&self, now_ms: u64) -> bool {
-        if self.report.is_some_and(|it| it.upstream == Upstream::Ended) {
+        if self.report.is_some_and(|it| it.upstream == UpstreamState::Ended) {
             // An agent without an upstream holds no flows worth waiting for.
             return self.is_silent(now_ms);
         }
         let allowed =
-            if self.plan() == Plan::Restart { RESTART_GONE_AFTER_MS } else { GONE_AFTER_MS };
-        let every_ms = self.report.map_or(0, |it| u64::from(it.every_ms));
+            if self.plan() == AgentPlan::Restart { RESTART_GONE_AFTER_MS } else { GONE_AFTER_MS };
+        let interval_ms = self.report.map_or(0, |it| u64::from(it.interval_ms));
         self.is_silent(now_ms)
-            && now_ms.saturating_sub(self.last_seen_ms) > allowed.max(every_ms * 3)
+            && now_ms.saturating_sub(self.last_seen_ms) > allowed.max(interval_ms * 3)
     }
 
-    fn plan(&self) -> Plan {
-        self.report.map_or(Plan::Stay, |it| it.plan)
+    fn plan(&self) -> AgentPlan {
+        self.report.map_or(AgentPlan::Stay, |it| it.plan)
     }
 
     fn is_ready(&self) -> bool {
-        self.report.is_some_and(|it| it.upstream == Upstream::Ready)
+        self.report.is_some_and(|it| it.upstream == UpstreamState::Ready)
     }
 
     fn accepts_flows(&self, now_ms: u64) -> bool {
         let accepting = self.report.is_some_and(|it| {
-            matches!(it.upstream, Upstream::Ready | Upstream::Unknown) && it.plan == Plan::Stay
+            matches!(it.upstream, UpstreamState::Ready | UpstreamState::Unknown)
+                && it.plan == AgentPlan::Stay
         });
         accepting && !self.draining && !self.is_silent(now_ms)
     }
@@ -194,7 +195,7 @@
 
 impl Fleet {
     /// Applies a member list read from the store. Agents missing from it are removed once they are silent.
-    pub fn sync_members(&mut self, members: &[Listed], now_ms: u64) {
+    pub fn sync_members(&mut self, members: &[MemberEntry], now_ms: u64) {
         for (_, entry) in self.agents.iter_mut() {
             entry.listed = false;
         }
@@ -208,7 +209,7 @@
     }
 
     /// Adds members received from a peer.
-    pub fn merge_members(&mut self, members: &[Listed], now_ms: u64) {
+    pub fn merge_members(&mut self, members: &[MemberEntry], now_ms: u64) {
         for member in members {
             let Some(pool) = member.pool else {
                 continue;
@@ -219,8 +220,8 @@
     }
 
     /// All known agents, as sent to peers.
-    pub fn members(&self) -> Vec<Listed> {
-        let listed = |(address, it): (SocketAddrV4, &AgentEntry)| Listed {
+    pub fn members(&self) -> Vec<MemberEntry> {
+        let listed = |(address, it): (SocketAddrV4, &AgentEntry)| MemberEntry {
             address,
             pool: self.agents.pool_of(address),
             zone: it.zone,
@@ -229,22 +230,31 @@
     }
 
     /// Applies an agent's report.
-    pub fn apply_report(&mut self, from: SocketAddrV4, report: Report, now_ms: u64) -> Change {
-        if report.plan == Plan::Leave {
-            return if self.agents.remove(from).is_some() { Change::Left } else { Change::None };
+    pub fn apply_report(
+        &mut self,
+        from: SocketAddrV4,
+        report: Report,
+        now_ms: u64,
+    ) -> ReportChange {
+        if report.plan == AgentPlan::Leave {
+            return if self.agents.remove(from).is_some() {
+                ReportChange::Left
+            } else {
+                ReportChange::None
+            };
         }
         let new = || AgentEntry::new(report.zone, now_ms);
         let entry = self.agents.get_or_insert(from, report.pool, new);
         let change = match &entry.report {
             Some(old) => classify_report(old, &report),
-            None => Change::State,
+            None => ReportChange::State,
         };
-        if change == Change::Old {
+        if change == ReportChange::Old {
             return change;
         }
         entry.zone = report.zone;
-        if report.upstream != Upstream::Unknown {
-            entry.draining = report.upstream == Upstream::Draining;
+        if report.upstream != UpstreamState::Unknown {
+            entry.draining = report.upstream == UpstreamState::Draining;
         }
         entry.report = Some(report);
         entry.last_seen_ms = now_ms;
@@ -263,13 +273,13 @@
         };
         entry.report = None;
         entry.draining = false;
-        entry.last_greeted_ms = 0;
+        entry.last_hello_ms = 0;
         self.agents.set_pool(agent, pool);
     }
 
     /// Whether the agent announced a restart and has not reported since.
     pub fn is_restarting(&self, agent: SocketAddrV4) -> bool {
-        self.agents.get(agent).is_some_and(|it| it.plan() == Plan::Restart)
+        self.agents.get(agent).is_some_and(|it| it.plan() == AgentPlan::Restart)
     }
 
     /// Whether the agent is unknown, or silent for too long for its flows to be of use to their callers.
@@ -305,13 +315,13 @@
     }
 
     /// Number of agents that are not silent.
-    pub fn heard(&self, now_ms: u64) -> usize {
+    pub fn live_count(&self, now_ms: u64) -> usize {
         self.agents.iter().filter(|(_, it)| !it.is_silent(now_ms)).count()
     }
 
     /// Agents that are not silent and plan to keep running.
     pub fn stable_agents(&self, now_ms: u64) -> Vec<SocketAddrV4> {
-        let stable = |it: &AgentEntry| it.plan() == Plan::Stay && !it.is_silent(now_ms);
+        let stable = |it: &AgentEntry| it.plan() == AgentPlan::Stay && !it.is_silent(now_ms);
         self.agents.iter().filter(|(_, it)| stable(it)).map(|(agent, _)| agent).collect()
     }
 
@@ -335,45 +345,45 @@
         P: Fn(PoolId) -> bool,
     {
         self.agents.in_pools(allows).all(|(_, it)| {
-            let reporting = !it.is_silent(now_ms) && it.plan() != Plan::Restart;
+            let reporting = !it.is_silent(now_ms) && it.plan() != AgentPlan::Restart;
             reporting || it.is_gone(now_ms)
         })
     }
 
-    /// Agents to greet now. Also forgets unlisted agents after a long silence.
-    pub fn agents_to_greet(&mut self, now_ms: u64) -> Vec<SocketAddrV4> {
+    /// Agents to send a hello to now. Also forgets unlisted agents after a long silence.
+    pub fn hello_recipients(&mut self, now_ms: u64) -> Vec<SocketAddrV4> {
         self.agents
             .retain(|it| it.listed || now_ms.saturating_sub(it.last_seen_ms) < FORGET_AFTER_MS);
         let mut due = Vec::new();
         for (agent, entry) in self.agents.iter_mut() {
-            let quiet = now_ms.saturating_sub(entry.last_seen_ms) > GREET_AFTER_MS;
+            let quiet = now_ms.saturating_sub(entry.last_seen_ms) > HELLO_AFTER_MS;
             if entry.report.is_some() && !quiet {
                 continue;
             }
-            if entry.last_greeted_ms != 0
-                && now_ms.saturating_sub(entry.last_greeted_ms) < GREET_INTERVAL_MS
+            if entry.last_hello_ms != 0
+                && now_ms.saturating_sub(entry.last_hello_ms) < HELLO_INTERVAL_MS
             {
                 continue;
             }
-            entry.last_greeted_ms = now_ms;
+            entry.last_hello_ms = now_ms;
             due.push(agent);
         }
         due
     }
 }
 
-fn classify_report(old: &Report, new: &Report) -> Change {
+fn classify_report(old: &Report, new: &Report) -> ReportChange {
     if old.incarnation == new.incarnation && new.seq <= old.seq {
-        return Change::Old;
+        return ReportChange::Old;
     }
-    if new.plan == Plan::Restart {
-        return Change::Away;
+    if new.plan == AgentPlan::Restart {
+        return ReportChange::Away;
     }
     if old.incarnation != new.incarnation {
-        return Change::Restarted;
+        return ReportChange::Restarted;
     }
     if (old.upstream, old.plan, old.pool) != (new.upstream, new.plan, new.pool) {
-        return Change::State;
+        return ReportChange::State;
     }
-    Change::None
+    ReportChange::None
 }
--- a/crates/core/src/opaque/fleet/candidates.rs
+++ b/crates/core/src/opaque/fleet/candidates.rs
@@ -5,8 +5,8 @@
 use super::{
     super::{
         PoolId,
-        flow::rank,
-        walk::{MAX_SEATS, PoolLoad},
+        candidate_list::{MAX_CANDIDATES, PoolLoad},
+        flow::rendezvous_weight,
         zone::RegionId,
     },
     Fleet, ZoneId,
@@ -17,7 +17,7 @@
 const LIMIT_FACTOR: f64 = 1.0;
 const LIMIT_HEADROOM: f64 = 40.0;
 /// Maximum candidates of the balancer's own zone if other zones have some, so that a full zone does not block a flow.
-const MAX_OWN_ZONE_CANDIDATES: usize = MAX_SEATS / 2;
+const MAX_OWN_ZONE_CANDIDATES: usize = MAX_CANDIDATES / 2;
 
 /// Candidates of a new flow, best first, and the load limit for accepting it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -47,15 +47,15 @@
         let mut ranked: Vec<_> = eligible
             .map(|(agent, it)| {
                 let last = Some(agent) == avoid || !it.is_ready();
-                (last, it.zone != zone, rank(agent, hash), agent)
+                (last, it.zone != zone, rendezvous_weight(agent, hash), agent)
             })
             .collect();
         ranked.sort_unstable();
         let own = ranked.iter().filter(|it| !it.0 && !it.1).count();
         let others = ranked.iter().filter(|it| !it.0 && it.1).count();
-        let keep = MAX_OWN_ZONE_CANDIDATES.max(MAX_SEATS.saturating_sub(others));
+        let keep = MAX_OWN_ZONE_CANDIDATES.max(MAX_CANDIDATES.saturating_sub(others));
         ranked.drain(keep.min(own)..own);
-        ranked.truncate(MAX_SEATS);
+        ranked.truncate(MAX_CANDIDATES);
         Candidates {
             agents: ranked.into_iter().map(|it| it.3).collect(),
             limit: self.accept_limit(pool, now_ms),
@@ -75,8 +75,9 @@
         P: Fn(PoolId) -> bool,
     {
         let members = self.agents.in_pools(allows).filter(|(_, it)| !it.is_gone(now_ms));
-        let mut ranked: Vec<_> =
-            members.map(|(agent, it)| (it.zone != zone, rank(agent, hash), agent)).collect();
+        let mut ranked: Vec<_> = members
+            .map(|(agent, it)| (it.zone != zone, rendezvous_weight(agent, hash), agent))
+            .collect();
         ranked.sort_unstable();
         ranked.into_iter().map(|it| it.2).collect()
     }
--- a/crates/core/src/opaque/fleet/zones.rs
+++ b/crates/core/src/opaque/fleet/zones.rs
@@ -5,7 +5,7 @@
 use super::{
     super::{
         PoolId,
-        zone::{RegionId, Regions, ZoneId, ZoneNews, ZoneTable, ZonesOut},
+        zone::{RegionId, Regions, ZoneId, ZoneTable, ZoneUpdateResult, ZonesOut},
     },
     AgentEntry, Fleet,
 };
@@ -43,12 +43,12 @@
     }
 
     /// Applies an update of the zones out of service.
-    pub fn put_zones(&mut self, update: ZonesOut, now_ms: u64) -> ZoneNews {
+    pub fn update_zones(&mut self, update: ZonesOut, now_ms: u64) -> ZoneUpdateResult {
         self.zones.apply(update, now_ms)
     }
 
     /// Names of all zones that get no new flows, including those whose entries the store lost.
-    pub fn zone_names_out(&self) -> Vec<&str> {
+    pub fn out_of_service_zone_names(&self) -> Vec<&str> {
         self.zones.out_names()
     }
 
@@ -58,12 +58,12 @@
     }
 
     /// Merges such zones reported by a peer; true if this adds any.
-    pub fn learn_lost_zones(&mut self, names: Vec<String>, now_ms: u64) -> bool {
+    pub fn merge_lost_zones(&mut self, names: Vec<String>, now_ms: u64) -> bool {
         self.zones.merge_lost(names, now_ms)
     }
 
     /// Returns zones to service whose lost entries were not written again in time; true if there were any.
-    pub fn release_zones(&mut self, now_ms: u64) -> bool {
+    pub fn expire_lost_zones(&mut self, now_ms: u64) -> bool {
         self.zones.expire_lost(now_ms)
     }
 
--- a/crates/core/src/opaque/flow.rs
+++ b/crates/core/src/opaque/flow.rs
@@ -16,7 +16,7 @@
 impl FlowKey {
     /// Hash of the key, stable across processes.
     pub fn hash(&self) -> u64 {
-        mix(mix(number(self.caller)) ^ number(self.service))
+        mix(mix(address_number(self.caller)) ^ address_number(self.service))
     }
 }
 
@@ -27,13 +27,13 @@
 }
 
 /// Address and port as an integer.
-pub(crate) fn number(address: SocketAddrV4) -> u64 {
+pub(crate) fn address_number(address: SocketAddrV4) -> u64 {
     u64::from(address.ip().to_bits()) << 16 | u64::from(address.port())
 }
 
 /// Kind of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum PacketKind {
     /// Opens the flow, like a TCP SYN; also the upstream's reply to that.
     Open,
     /// Carries data or an acknowledgement.
@@ -46,11 +46,11 @@
 
 /// Header fields of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct PacketHeader {
     /// The flow, the same in both directions.
     pub key: FlowKey,
     /// Kind of the packet.
-    pub kind: Kind,
+    pub kind: PacketKind,
     /// Whether the upstream bounced the packet: it does not hold the flow or can't accept it.
     pub bounced: bool,
     /// Sequence number of the first byte; the initial sequence number in an opening packet.
@@ -61,9 +61,9 @@
     pub len: u16,
 }
 
-impl Head {
+impl PacketHeader {
     /// Sequence number after the packet's data.
-    pub fn end(&self) -> u32 {
+    pub fn end_seq(&self) -> u32 {
         self.seq.wrapping_add(u32::from(self.len))
     }
 }
@@ -74,6 +74,6 @@
 }
 
 /// Rendezvous hashing: weight of a process for a hash, such as that of a flow.
-pub(super) fn rank(address: SocketAddrV4, hash: u64) -> u64 {
-    mix(number(address) ^ hash)
+pub(super) fn rendezvous_weight(address: SocketAddrV4, hash: u64) -> u64 {
+    mix(address_number(address) ^ hash)
 }
--- a/crates/core/src/opaque/hold.rs
+++ b/crates/core/src/opaque/packet_buffer.rs
@@ -9,30 +9,30 @@
 const MAX_TOTAL_BYTES: usize = 8 << 20;
 
 #[derive(Debug)]
-struct HeldFlow {
+struct BufferedFlow {
     packets: Vec<Vec<u8>>,
     until_ms: u64,
 }
 
 /// Buffered packets, by flow.
 #[derive(Debug, Default)]
-pub struct Hold {
-    flows: FxHashMap<FlowKey, HeldFlow>,
+pub struct PacketBuffer {
+    flows: FxHashMap<FlowKey, BufferedFlow>,
     bytes: usize,
 }
 
-impl Hold {
+impl PacketBuffer {
     /// Buffers a packet; false if the buffer is full. Only the first packet of a flow sets `until_ms`, so that
     /// retransmissions don't extend the deadline.
     pub fn push(&mut self, key: FlowKey, packet: &[u8], until_ms: u64) -> bool {
         if self.bytes + packet.len() > MAX_TOTAL_BYTES {
             return false;
         }
-        let held = self.flows.entry(key).or_insert(HeldFlow { packets: Vec::new(), until_ms });
-        if held.packets.len() >= MAX_PACKETS_PER_FLOW {
+        let flow = self.flows.entry(key).or_insert(BufferedFlow { packets: Vec::new(), until_ms });
+        if flow.packets.len() >= MAX_PACKETS_PER_FLOW {
             return false;
         }
-        held.packets.push(packet.to_vec());
+        flow.packets.push(packet.to_vec());
         self.bytes += packet.len();
         true
     }
@@ -44,8 +44,8 @@
 
     /// Sets a new deadline for the packets of a flow.
     pub fn extend(&mut self, key: &FlowKey, until_ms: u64) {
-        if let Some(held) = self.flows.get_mut(key) {
-            held.until_ms = until_ms;
+        if let Some(flow) = self.flows.get_mut(key) {
+            flow.until_ms = until_ms;
         }
     }
 
--- a/crates/core/src/opaque/route.rs
+++ b/crates/core/src/opaque/route.rs
@@ -26,10 +26,10 @@
 
 /// A pool of a route, with its weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Share {
+pub struct WeightedPool {
     /// The pool.
     pub pool: PoolId,
-    /// Share of new flows, relative to the other weights of the route.
+    /// Part of new flows, relative to the other weights of the route.
     pub weight: u32,
 }
 
@@ -49,15 +49,15 @@
 /// The pools and constraints for flows to one address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    shares: Vec<Share>,
+    weighted_pools: Vec<WeightedPool>,
     objective: Option<Objective>,
     regions: Vec<RegionId>,
 }
 
 impl Route {
     /// Creates a route over weighted pools.
-    pub fn new(shares: Vec<Share>) -> Route {
-        Route { shares, objective: None, regions: Vec::new() }
+    pub fn new(weighted_pools: Vec<WeightedPool>) -> Route {
+        Route { weighted_pools, objective: None, regions: Vec::new() }
     }
 
     /// Sets the objective of its requests.
@@ -76,17 +76,17 @@
     }
 
     /// Selects the pool of a new flow by weight; none if the route has no pools.
-    pub fn pick(&self, hash: u64) -> Option<PoolId> {
-        let total: u64 = self.shares.iter().map(|it| u64::from(it.weight)).sum();
+    pub fn select_pool(&self, hash: u64) -> Option<PoolId> {
+        let total: u64 = self.weighted_pools.iter().map(|it| u64::from(it.weight)).sum();
         if total == 0 {
-            return self.shares.first().map(|it| it.pool);
+            return self.weighted_pools.first().map(|it| it.pool);
         }
         // The low bits select the candidates.
         let mut remaining = (hash >> 32) % total;
-        for share in &self.shares {
-            let weight = u64::from(share.weight);
+        for weighted in &self.weighted_pools {
+            let weight = u64::from(weighted.weight);
             if remaining < weight {
-                return Some(share.pool);
+                return Some(weighted.pool);
             }
             remaining -= weight;
         }
@@ -94,8 +94,8 @@
     }
 
     /// Whether the route includes the pool.
-    pub fn allows(&self, pool: PoolId) -> bool {
-        self.shares.iter().any(|it| it.pool == pool)
+    pub fn includes(&self, pool: PoolId) -> bool {
+        self.weighted_pools.iter().any(|it| it.pool == pool)
     }
 
     /// Objective of its requests, if one is configured.
@@ -104,15 +104,15 @@
     }
 
     /// The pools and their weights.
-    pub fn shares(&self) -> &[Share] {
-        &self.shares
+    pub fn weighted_pools(&self) -> &[WeightedPool] {
+        &self.weighted_pools
     }
 }
 
 /// Orders configurations, by the operator's version first: after a store reset to an older copy, an old version may
 /// have a newer revision than the configuration in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Stamp {
+pub struct ConfigVersion {
     /// Version set by the operator.
     pub version: u64,
     /// Revision assigned by the store.
@@ -133,9 +133,9 @@
 }
 
 impl Routes {
-    /// Returns the stamp that orders this configuration.
-    pub fn stamp(&self) -> Stamp {
-        Stamp { version: self.version, revision: self.revision }
+    /// Version by which configurations are ordered.
+    pub fn config_version(&self) -> ConfigVersion {
+        ConfigVersion { version: self.version, revision: self.revision }
     }
 }
 
@@ -165,15 +165,15 @@
         self.routes.as_ref()
     }
 
-    /// Stamp of the routes in force; none before the first configuration.
-    pub fn stamp(&self) -> Option<Stamp> {
-        self.routes.as_ref().map(Routes::stamp)
+    /// Version of the routes in force; none before the first configuration.
+    pub fn config_version(&self) -> Option<ConfigVersion> {
+        self.routes.as_ref().map(Routes::config_version)
     }
 
     /// Applies a configuration if it is newer than the one in force; returns whether it was applied.
-    pub fn put(&mut self, routes: Routes) -> bool {
+    pub fn update(&mut self, routes: Routes) -> bool {
         if let Some(known) = &self.routes {
-            if !is_newer(&known.stamp(), &routes.stamp()) {
+            if !is_newer(&known.config_version(), &routes.config_version()) {
                 return false;
             }
             let gone = known.by_address.keys().filter(|it| !routes.by_address.contains_key(it));
@@ -204,7 +204,7 @@
 
 /// Whether a configuration is newer than the known one. Within a store era, a later revision never has a lower
 /// version.
-fn is_newer(known: &Stamp, update: &Stamp) -> bool {
+fn is_newer(known: &ConfigVersion, update: &ConfigVersion) -> bool {
     let later_in_era =
         update.revision > known.revision && update.revision.era == known.revision.era;
     let version_grows =
--- a/crates/core/src/opaque/presence.rs
+++ b/crates/core/src/opaque/upstream_tracker.rs
@@ -5,7 +5,7 @@
 //! from a former instance. A later start time therefore replaces the current instance at once. An ambiguous heartbeat
 //! does so only if more of them follow while the current instance is silent.
 
-use super::fleet::Upstream;
+use super::fleet::UpstreamState;
 
 /// Heartbeat intervals without one after which a ready upstream's state is unknown.
 const MAX_MISSED_HEARTBEATS: u64 = 3;
@@ -17,18 +17,18 @@
 
 /// One instance of an upstream process.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Life {
+pub struct UpstreamInstance {
     /// Name of the process; it may be reused after a restart.
     pub id: String,
     /// Start time by its own clock, in milliseconds since the Unix epoch, if reported.
-    pub born_ms: Option<u64>,
+    pub started_at_ms: Option<u64>,
 }
 
 /// A heartbeat of the upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
     /// The instance that sent it.
-    pub life: Life,
+    pub instance: UpstreamInstance,
     /// Sequence number within the instance.
     pub seq: u64,
     /// Whether the upstream is draining.
@@ -41,22 +41,22 @@
 
 /// Which instance a heartbeat is attributed to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Sender {
+pub(super) enum HeartbeatSource {
     /// The current one, or the first one seen since the agent started.
-    Known,
+    Current,
     /// The first one, by its first heartbeat, so that the agent has seen it from its start.
-    Newborn,
+    New,
     /// A new one that replaces the current one.
-    Successor {
+    Replacement {
         /// Events up to this time belong to the former instance.
         until_ms: u64,
     },
     /// An outdated heartbeat.
-    Late,
+    Outdated,
     /// A former instance, or a new one after a clock jump.
-    Unclear,
+    Ambiguous,
     /// Unknown: no start time, though the current instance reports one.
-    Foreign,
+    MissingStartTime,
 }
 
 /// How the sender of a heartbeat relates to the current instance.
@@ -75,9 +75,9 @@
 
 #[derive(Clone, Debug)]
 struct Current {
-    life: Life,
+    instance: UpstreamInstance,
     seq: u64,
-    state: Upstream,
+    state: UpstreamState,
     slots: u32,
     cold_until_ms: u64,
     last_seen_ms: u64,
@@ -86,9 +86,9 @@
 impl Current {
     fn new(beat: &Heartbeat, now_ms: u64) -> Current {
         Current {
-            life: beat.life.clone(),
+            instance: beat.instance.clone(),
             seq: beat.seq,
-            state: if beat.draining { Upstream::Draining } else { Upstream::Ready },
+            state: if beat.draining { UpstreamState::Draining } else { UpstreamState::Ready },
             slots: beat.slots,
             cold_until_ms: now_ms.saturating_add(beat.cold_ms),
             last_seen_ms: now_ms,
@@ -96,8 +96,8 @@
     }
 
     fn relation(&self, beat: &Heartbeat) -> Relation {
-        let same_id = self.life.id == beat.life.id;
-        match (self.life.born_ms, beat.life.born_ms) {
+        let same_id = self.instance.id == beat.instance.id;
+        match (self.instance.started_at_ms, beat.instance.started_at_ms) {
             (Some(_), None) => Relation::MissingStartTime,
             (Some(own), Some(other)) if own == other && same_id => Relation::Same,
             (Some(own), Some(other)) if own <= other => Relation::Newer,
@@ -110,30 +110,30 @@
     }
 }
 
-/// The last heartbeat of an instance that may be a former one or the successor.
+/// The last heartbeat of an instance that may be a former one or the replacement.
 #[derive(Clone, Debug)]
 struct PendingReplacement {
-    life: Life,
+    instance: UpstreamInstance,
     seq: u64,
 }
 
 /// The current upstream instance and the former ones.
 #[derive(Clone, Debug)]
-pub(super) struct Presence {
+pub(super) struct UpstreamTracker {
     heartbeat_interval_ms: u64,
     current: Option<Current>,
     pending: Option<PendingReplacement>,
-    former: Vec<Life>,
+    former: Vec<UpstreamInstance>,
 }
 
-impl Presence {
-    pub(super) fn new(heartbeat_interval_ms: u64) -> Presence {
-        Presence { heartbeat_interval_ms, current: None, pending: None, former: Vec::new() }
+impl UpstreamTracker {
+    pub(super) fn new(heartbeat_interval_ms: u64) -> UpstreamTracker {
+        UpstreamTracker { heartbeat_interval_ms, current: None, pending: None, former: Vec::new() }
     }
 
     /// Whether an upstream is known and has not ended.
     pub(super) fn is_known(&self) -> bool {
-        self.current.as_ref().is_some_and(|it| it.state != Upstream::Ended)
+        self.current.as_ref().is_some_and(|it| it.state != UpstreamState::Ended)
     }
 
     /// Whether an upstream is or was known.
@@ -142,12 +142,12 @@
     }
 
     /// State of the upstream; none if no heartbeat was received.
-    pub(super) fn state(&self, now_ms: u64) -> Option<Upstream> {
+    pub(super) fn state(&self, now_ms: u64) -> Option<UpstreamState> {
         let current = self.current.as_ref()?;
         let silent = now_ms.saturating_sub(current.last_seen_ms)
             > self.heartbeat_interval_ms * MAX_MISSED_HEARTBEATS;
-        let is_unknown = current.state == Upstream::Ready && silent;
-        Some(if is_unknown { Upstream::Unknown } else { current.state })
+        let is_unknown = current.state == UpstreamState::Ready && silent;
+        Some(if is_unknown { UpstreamState::Unknown } else { current.state })
     }
 
     /// Slots of the upstream, and whether it is still cold.
@@ -161,25 +161,29 @@
     }
 
     /// Applies a heartbeat and returns which instance sent it.
-    pub(super) fn hear(&mut self, beat: &Heartbeat, now_ms: u64) -> Sender {
-        if self.former.contains(&beat.life) {
-            return Sender::Late;
+    pub(super) fn handle_heartbeat(&mut self, beat: &Heartbeat, now_ms: u64) -> HeartbeatSource {
+        if self.former.contains(&beat.instance) {
+            return HeartbeatSource::Outdated;
         }
         let Some(current) = &self.current else {
             self.current = Some(Current::new(beat, now_ms));
-            return if beat.seq <= 1 { Sender::Newborn } else { Sender::Known };
+            return if beat.seq <= 1 { HeartbeatSource::New } else { HeartbeatSource::Current };
         };
-        let outdated = beat.seq <= current.seq || current.state == Upstream::Ended;
+        let outdated = beat.seq <= current.seq || current.state == UpstreamState::Ended;
         match current.relation(beat) {
-            Relation::MissingStartTime => Sender::Foreign,
-            Relation::Same if outdated => Sender::Late,
+            Relation::MissingStartTime => HeartbeatSource::MissingStartTime,
+            Relation::Same if outdated => HeartbeatSource::Outdated,
             Relation::Same => {
                 self.pending = None;
                 self.current = Some(Current::new(beat, now_ms));
-                Sender::Known
+                HeartbeatSource::Current
+            }
+            Relation::Older if !self.confirms_replacement(beat, now_ms) => {
+                HeartbeatSource::Outdated
+            }
+            Relation::Ambiguous if !self.confirms_replacement(beat, now_ms) => {
+                HeartbeatSource::Ambiguous
             }
-            Relation::Older if !self.confirms_replacement(beat, now_ms) => Sender::Late,
-            Relation::Ambiguous if !self.confirms_replacement(beat, now_ms) => Sender::Unclear,
             Relation::Newer | Relation::Older | Relation::Ambiguous => {
                 self.replace_current(beat, now_ms)
             }
@@ -196,20 +200,20 @@
         }
     }
 
-    fn replace_current(&mut self, beat: &Heartbeat, now_ms: u64) -> Sender {
+    fn replace_current(&mut self, beat: &Heartbeat, now_ms: u64) -> HeartbeatSource {
         self.pending = None;
         let start_ms = self.latest_start_ms(beat, now_ms);
         let Some(former) = self.current.replace(Current::new(beat, now_ms)) else {
-            return Sender::Known;
+            return HeartbeatSource::Current;
         };
         if self.former.len() == MAX_FORMER_INSTANCES {
             self.former.remove(0);
         }
         // Instances with the same id and no start times can't be told apart.
-        if former.life != beat.life {
-            self.former.push(former.life);
+        if former.instance != beat.instance {
+            self.former.push(former.instance);
         }
-        Sender::Successor { until_ms: former.last_seen_ms.min(start_ms) }
+        HeartbeatSource::Replacement { until_ms: former.last_seen_ms.min(start_ms) }
     }
 
     /// Records an ambiguous heartbeat; true if its instance has sent an earlier one and the current instance is
@@ -218,33 +222,36 @@
         let Some(current) = &self.current else {
             return true;
         };
-        let ended = current.state == Upstream::Ended;
+        let ended = current.state == UpstreamState::Ended;
         let silent = now_ms.saturating_sub(current.last_seen_ms)
             > self.heartbeat_interval_ms * REPLACE_AFTER_MISSED_HEARTBEATS;
-        let previous =
-            self.pending.replace(PendingReplacement { life: beat.life.clone(), seq: beat.seq });
-        let continues = previous.is_some_and(|it| it.life == beat.life && it.seq < beat.seq);
+        let previous = self
+            .pending
+            .replace(PendingReplacement { instance: beat.instance.clone(), seq: beat.seq });
+        let continues =
+            previous.is_some_and(|it| it.instance == beat.instance && it.seq < beat.seq);
         continues && (silent || ended)
     }
 
     /// Handles the announcement of an upstream that it ends; true if that is the current one. One without a start
     /// time counts only if the current instance was draining, as it can't come from a former one then.
-    pub(super) fn deregister(&mut self, life: &Life) -> bool {
-        let Some(current) = self.current.as_mut().filter(|it| it.life.id == life.id) else {
+    pub(super) fn deregister(&mut self, instance: &UpstreamInstance) -> bool {
+        let Some(current) = self.current.as_mut().filter(|it| it.instance.id == instance.id) else {
             return false;
         };
-        let without_start_time = life.born_ms.is_none() && current.state == Upstream::Draining;
-        if current.life.born_ms != life.born_ms && !without_start_time {
+        let without_start_time =
+            instance.started_at_ms.is_none() && current.state == UpstreamState::Draining;
+        if current.instance.started_at_ms != instance.started_at_ms && !without_start_time {
             return false;
         }
-        current.state = Upstream::Ended;
+        current.state = UpstreamState::Ended;
         true
     }
 
     /// Marks the upstream as ended.
-    pub(super) fn end(&mut self) {
+    pub(super) fn mark_ended(&mut self) {
         if let Some(current) = &mut self.current {
-            current.state = Upstream::Ended;
+            current.state = UpstreamState::Ended;
         }
     }
 }
--- a/crates/core/src/opaque/warmup.rs
+++ b/crates/core/src/opaque/warmup.rs
@@ -1,6 +1,6 @@
 //! Rate limit of a cold upstream: a sliding window over its new flows.
 //!
-//! The agent enforces it, as it sees the flows from all balancers. Excess flows go to the next candidate of their walk,
+//! The agent enforces it, as it sees the flows from all balancers. Excess flows go to the next candidate,
 //! or are refused if there is none.
 
 use std::collections::VecDeque;
--- a/crates/core/src/opaque/zone.rs
+++ b/crates/core/src/opaque/zone.rs
@@ -86,7 +86,7 @@
 
 /// Result of an update of the zones out of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ZoneNews {
+pub enum ZoneUpdateResult {
     /// The update is not newer than the set in force and was ignored.
     Stale,
     /// The update left the set of zones unchanged.
@@ -156,13 +156,13 @@
         self.lost.len() > before
     }
 
-    pub(super) fn apply(&mut self, update: ZonesOut, now_ms: u64) -> ZoneNews {
+    pub(super) fn apply(&mut self, update: ZonesOut, now_ms: u64) -> ZoneUpdateResult {
         self.first_update_ms.get_or_insert(now_ms);
         let before = self.ids();
         if let Some(known) = &self.known {
             let is_same = update.revision == known.revision && update.names == known.names;
             if update.revision <= known.revision && !is_same {
-                return ZoneNews::Stale;
+                return ZoneUpdateResult::Stale;
             }
             if update.revision.era > known.revision.era {
                 let lost = |it: &String| LostZone {
@@ -175,7 +175,11 @@
         // Once an entry is written again, the store decides for its zone.
         self.lost.retain(|it, _| !update.contains(*it));
         let is_first = self.known.replace(update).is_none();
-        if is_first || self.ids() != before { ZoneNews::Changed } else { ZoneNews::Unchanged }
+        if is_first || self.ids() != before {
+            ZoneUpdateResult::Changed
+        } else {
+            ZoneUpdateResult::Unchanged
+        }
     }
 
     /// Drops lost entries that the operator did not write again in time; true if there were any.
--- a/crates/core/tests/opaque/admission.rs
+++ b/crates/core/tests/opaque/admission.rs
@@ -1,15 +1,15 @@
 //! Admission of requests: which wait at the agent, and when they are released to the upstream.
 
 use camphorwinch_core::opaque::{
-    FlowKey, Head, Kind,
+    FlowKey, PacketHeader, PacketKind,
     agent::{Agent, Heartbeat},
-    effect::{Ask, Cause, Decision, Effect, Relay},
-    fleet::Plan,
+    candidate_list::{CandidateList, PoolLoad},
+    effect::{Decision, Effect, RelayAction, RelayHeader, ReleaseReason},
+    fleet::AgentPlan,
     route::Objective,
-    walk::{PoolLoad, Walk},
 };
 
-use crate::support::{address, decisions, identity, key, life, relay};
+use crate::support::{address, decisions, identity, instance, key, relay};
 
 const BEAT_MS: u64 = 1_000;
 const SLOTS: u32 = 2;
@@ -20,7 +20,8 @@
 
 fn ready_agent() -> Agent {
     let mut agent = Agent::new(identity(1, 1), BEAT_MS, false, 0);
-    let beat = Heartbeat { life: life("a"), seq: 1, draining: false, slots: SLOTS, cold_ms: 0 };
+    let beat =
+        Heartbeat { instance: instance("a"), seq: 1, draining: false, slots: SLOTS, cold_ms: 0 };
     agent.heartbeat(&beat, 0, &mut Vec::new());
     agent
 }
@@ -35,25 +36,41 @@
 /// A pool whose upstreams are all full.
 const FULL: PoolLoad = PoolLoad { service_ms: None, full_percent: 100 };
 
-fn opening(objective: Objective) -> Relay {
-    let walk = Walk::new([address(1)], 60_000).with_objective(Some(objective));
-    relay(Ask::Open(walk.with_pool(FULL)))
+fn opening(objective: Objective) -> RelayHeader {
+    let candidates = CandidateList::new([address(1)], 60_000).with_objective(Some(objective));
+    relay(RelayAction::Open(candidates.with_pool(FULL)))
 }
 
-fn head(number: u16, kind: Kind, copies: u32) -> Head {
-    Head { key: flow(number), kind, bounced: false, seq: 0, ack: copies, len: 0 }
+fn head(number: u16, kind: PacketKind, copies: u32) -> PacketHeader {
+    PacketHeader { key: flow(number), kind, bounced: false, seq: 0, ack: copies, len: 0 }
 }
 
 fn open(agent: &mut Agent, number: u16, copies: u32, objective: Objective, now_ms: u64) {
     let out = &mut Vec::new();
-    agent.relayed(&opening(objective), &head(number, Kind::Open, copies), &[], now_ms, out);
-    agent.sent(&Head { seq: 1_000, ..head(number, Kind::Open, 0) }, now_ms, out);
+    agent.handle_relayed_packet(
+        &opening(objective),
+        &head(number, PacketKind::Open, copies),
+        &[],
+        now_ms,
+        out,
+    );
+    agent.handle_upstream_packet(
+        &PacketHeader { seq: 1_000, ..head(number, PacketKind::Open, 0) },
+        now_ms,
+        out,
+    );
 }
 
 fn request(agent: &mut Agent, number: u16, seq: u32, now_ms: u64) -> Vec<Effect> {
     let mut out = Vec::new();
-    let data = Head { seq, len: 100, ..head(number, Kind::Data, 1_001) };
-    agent.relayed(&relay(Ask::Deliver), &data, &number.to_be_bytes(), now_ms, &mut out);
+    let data = PacketHeader { seq, len: 100, ..head(number, PacketKind::Data, 1_001) };
+    agent.handle_relayed_packet(
+        &relay(RelayAction::Deliver),
+        &data,
+        &number.to_be_bytes(),
+        now_ms,
+        &mut out,
+    );
     out
 }
 
@@ -64,7 +81,11 @@
 
 fn answer(agent: &mut Agent, number: u16, now_ms: u64) -> Vec<Effect> {
     let mut out = Vec::new();
-    agent.sent(&Head { seq: 1_001, len: 50, ..head(number, Kind::Data, 101) }, now_ms, &mut out);
+    agent.handle_upstream_packet(
+        &PacketHeader { seq: 1_001, len: 50, ..head(number, PacketKind::Data, 101) },
+        now_ms,
+        &mut out,
+    );
     out
 }
 
@@ -94,12 +115,12 @@
 fn a_request_waits_for_a_free_slot() {
     let mut agent = full_agent();
     assert!(!open_and_request(&mut agent, 10, 5).contains(&Effect::Deliver));
-    assert_eq!((agent.waiting(), agent.busy()), (1, 4));
+    assert_eq!((agent.waiting(), agent.active_requests()), (1, 4));
     let out = answer(&mut agent, 0, 30);
     assert_eq!(released(&out), [10]);
-    let admitted = Decision::Admitted { waited_ms: 25, cause: Cause::Slot, waiting: 0 };
+    let admitted = Decision::Admitted { waited_ms: 25, reason: ReleaseReason::Slot, waiting: 0 };
     assert!(decisions(&out).contains(&admitted), "{out:?}");
-    assert_eq!((agent.waiting(), agent.busy()), (0, 3));
+    assert_eq!((agent.waiting(), agent.active_requests()), (0, 3));
 }
 
 // Guards against requests that wait at a slow upstream, while a refusal would send their callers to one with room.
@@ -107,11 +128,22 @@
 fn no_request_waits_while_the_pool_has_room() {
     let mut agent = full_agent();
     let some = PoolLoad { full_percent: 50, ..FULL };
-    let walk =
-        Walk::new([address(1)], 60_000).with_objective(Some(DEFAULT_OBJECTIVE)).with_pool(some);
+    let candidates = CandidateList::new([address(1)], 60_000)
+        .with_objective(Some(DEFAULT_OBJECTIVE))
+        .with_pool(some);
     let out = &mut Vec::new();
-    agent.relayed(&relay(Ask::Open(walk)), &head(10, Kind::Open, 0), &[], 5, out);
-    agent.sent(&Head { seq: 1_000, ..head(10, Kind::Open, 0) }, 5, out);
+    agent.handle_relayed_packet(
+        &relay(RelayAction::Open(candidates)),
+        &head(10, PacketKind::Open, 0),
+        &[],
+        5,
+        out,
+    );
+    agent.handle_upstream_packet(
+        &PacketHeader { seq: 1_000, ..head(10, PacketKind::Open, 0) },
+        5,
+        out,
+    );
     assert!(request(&mut agent, 10, 1, 5).contains(&Effect::Deliver));
     // The same if the pool load is more than a second old.
     let mut agent = full_agent();
@@ -128,9 +160,16 @@
     agent.tick(20, &mut out);
     assert!(released(&out).is_empty());
     let some = PoolLoad { full_percent: 50, ..FULL };
-    let walk =
-        Walk::new([address(1)], 60_000).with_objective(Some(DEFAULT_OBJECTIVE)).with_pool(some);
-    agent.relayed(&relay(Ask::Open(walk)), &head(12, Kind::Open, 0), &[], 30, &mut out);
+    let candidates = CandidateList::new([address(1)], 60_000)
+        .with_objective(Some(DEFAULT_OBJECTIVE))
+        .with_pool(some);
+    agent.handle_relayed_packet(
+        &relay(RelayAction::Open(candidates)),
+        &head(12, PacketKind::Open, 0),
+        &[],
+        30,
+        &mut out,
+    );
     agent.tick(40, &mut out);
     assert_eq!(released(&out), [10]);
 }
@@ -172,7 +211,7 @@
     }
     assert_eq!(reports, 20);
     // A longer report interval, as in a large fleet, limits these reports too.
-    agent.set_report_pause(13_000);
+    agent.set_report_interval(13_000);
     let mut out = Vec::new();
     for number in 9_000..9_008 {
         open_and_request(&mut agent, number, 10_000);
@@ -214,7 +253,7 @@
     assert!(released(&out).is_empty());
     agent.tick(900, &mut out);
     assert_eq!(released(&out), [10]);
-    let overdue = Decision::Admitted { waited_ms: 800, cause: Cause::Overdue, waiting: 0 };
+    let overdue = Decision::Admitted { waited_ms: 800, reason: ReleaseReason::Overdue, waiting: 0 };
     assert!(decisions(&out).contains(&overdue), "{out:?}");
 }
 
@@ -237,7 +276,8 @@
     out.extend(request(&mut agent, 30, 1, 650));
     // All requests are late by now; the oldest one is released, and the upstream serves or refuses it.
     assert_eq!(released(&out).len(), 1);
-    let backlog = |it: &Decision| matches!(it, Decision::Admitted { cause: Cause::Backlog, .. });
+    let backlog =
+        |it: &Decision| matches!(it, Decision::Admitted { reason: ReleaseReason::Backlog, .. });
     assert!(decisions(&out).iter().any(backlog), "{out:?}");
     assert_eq!(agent.waiting(), 16);
 }
@@ -250,7 +290,7 @@
     assert_eq!(released(&answer(&mut agent, 0, 210)), [10]);
     // After its release a retransmission is delivered too: the first packet may have been lost.
     assert!(request(&mut agent, 10, 1, 220).contains(&Effect::Deliver));
-    assert_eq!(agent.busy(), 3);
+    assert_eq!(agent.active_requests(), 3);
 }
 
 #[test]
@@ -267,9 +307,15 @@
     let mut agent = full_agent();
     open_and_request(&mut agent, 10, 5);
     let mut out = Vec::new();
-    agent.relayed(&relay(Ask::Deliver), &head(10, Kind::Reset, 1_001), &[], 6, &mut out);
+    agent.handle_relayed_packet(
+        &relay(RelayAction::Deliver),
+        &head(10, PacketKind::Reset, 1_001),
+        &[],
+        6,
+        &mut out,
+    );
     assert!(out.contains(&Effect::Deliver));
-    assert_eq!((agent.waiting(), agent.busy()), (0, 3));
+    assert_eq!((agent.waiting(), agent.active_requests()), (0, 3));
     assert!(released(&answer(&mut agent, 0, 20)).is_empty());
 }
 
@@ -279,7 +325,7 @@
     open_and_request(&mut agent, 10, 5);
     open_and_request(&mut agent, 12, 6);
     let mut out = Vec::new();
-    agent.set_plan(Plan::Restart, 7, &mut out);
+    agent.set_plan(AgentPlan::Restart, 7, &mut out);
     let mut all = released(&out);
     all.sort_unstable();
     assert_eq!(all, [10, 12]);
@@ -298,7 +344,8 @@
 #[test]
 fn a_request_from_before_the_agents_start_occupies_no_slot() {
     let mut agent = Agent::new(identity(1, 2), BEAT_MS, true, 0);
-    let beat = Heartbeat { life: life("a"), seq: 9, draining: false, slots: SLOTS, cold_ms: 0 };
+    let beat =
+        Heartbeat { instance: instance("a"), seq: 9, draining: false, slots: SLOTS, cold_ms: 0 };
     agent.heartbeat(&beat, 0, &mut Vec::new());
     for number in 0..10 {
         request(&mut agent, number, 500, 1);
--- a/crates/core/tests/opaque/fleet.rs
+++ b/crates/core/tests/opaque/fleet.rs
@@ -1,4 +1,6 @@
-use camphorwinch_core::opaque::fleet::{Change, Fleet, Listed, Plan, Report, Upstream, ZoneId};
+use camphorwinch_core::opaque::fleet::{
+    AgentPlan, Fleet, MemberEntry, Report, ReportChange, UpstreamState, ZoneId,
+};
 
 use crate::support::{POOL, ZONE, address, report};
 
@@ -33,8 +35,12 @@
 #[test]
 fn silent_draining_and_pausing_agents_get_no_flows() {
     let mut fleet = fleet(4, 0);
-    fleet.apply_report(address(0), Report { upstream: Upstream::Draining, ..report(2, 0) }, 100);
-    fleet.apply_report(address(1), Report { plan: Plan::Pause, ..report(2, 0) }, 100);
+    fleet.apply_report(
+        address(0),
+        Report { upstream: UpstreamState::Draining, ..report(2, 0) },
+        100,
+    );
+    fleet.apply_report(address(1), Report { plan: AgentPlan::Pause, ..report(2, 0) }, 100);
     fleet.apply_report(address(2), report(2, 0), 3_000);
     assert_eq!(candidate_hosts(&fleet, 9, 3_000), [2]);
 }
@@ -43,8 +49,8 @@
 #[test]
 fn an_upstream_stays_draining_when_its_agent_restarts() {
     let mut fleet = fleet(1, 0);
-    fleet.apply_report(address(0), Report { upstream: Upstream::Draining, ..report(2, 0) }, 1);
-    let restarted = Report { incarnation: 2, upstream: Upstream::Unknown, ..report(1, 0) };
+    fleet.apply_report(address(0), Report { upstream: UpstreamState::Draining, ..report(2, 0) }, 1);
+    let restarted = Report { incarnation: 2, upstream: UpstreamState::Unknown, ..report(1, 0) };
     fleet.apply_report(address(0), restarted, 2);
     assert!(candidate_hosts(&fleet, 0, 2).is_empty());
     fleet.apply_report(address(0), Report { incarnation: 2, ..report(2, 0) }, 3);
@@ -54,7 +60,7 @@
 #[test]
 fn an_upstream_of_unknown_state_comes_last() {
     let mut fleet = fleet(1, 3);
-    fleet.apply_report(address(0), Report { upstream: Upstream::Unknown, ..report(2, 0) }, 1);
+    fleet.apply_report(address(0), Report { upstream: UpstreamState::Unknown, ..report(2, 0) }, 1);
     for hash in 0..20 {
         assert_eq!(candidate_hosts(&fleet, hash, 1).last(), Some(&0));
     }
@@ -71,15 +77,15 @@
 #[test]
 fn old_reports_change_nothing() {
     let mut fleet = fleet(1, 0);
-    assert_eq!(fleet.apply_report(address(0), report(5, 10), 1), Change::None);
-    let old = Report { upstream: Upstream::Draining, ..report(4, 10) };
-    assert_eq!(fleet.apply_report(address(0), old, 2), Change::Old);
+    assert_eq!(fleet.apply_report(address(0), report(5, 10), 1), ReportChange::None);
+    let old = Report { upstream: UpstreamState::Draining, ..report(4, 10) };
+    assert_eq!(fleet.apply_report(address(0), old, 2), ReportChange::Old);
     assert_eq!(candidate_hosts(&fleet, 0, 2), [0]);
-    let restarting = Report { plan: Plan::Restart, ..report(6, 10) };
-    assert_eq!(fleet.apply_report(address(0), restarting, 3), Change::Away);
+    let restarting = Report { plan: AgentPlan::Restart, ..report(6, 10) };
+    assert_eq!(fleet.apply_report(address(0), restarting, 3), ReportChange::Away);
     assert!(fleet.is_restarting(address(0)));
     let back = Report { incarnation: 2, ..report(1, 10) };
-    assert_eq!(fleet.apply_report(address(0), back, 4), Change::Restarted);
+    assert_eq!(fleet.apply_report(address(0), back, 4), ReportChange::Restarted);
     assert!(!fleet.is_restarting(address(0)));
 }
 
@@ -95,7 +101,7 @@
 #[test]
 fn an_agent_that_announced_its_restart_counts_as_gone_later() {
     let mut fleet = fleet(2, 0);
-    fleet.apply_report(address(0), Report { plan: Plan::Restart, ..report(2, 0) }, 0);
+    fleet.apply_report(address(0), Report { plan: AgentPlan::Restart, ..report(2, 0) }, 0);
     assert!(!fleet.is_gone(address(0), 5_000));
     assert!(fleet.is_gone(address(1), 5_000));
     assert!(fleet.is_gone(address(0), 11_000));
@@ -105,22 +111,22 @@
 #[test]
 fn an_agent_without_an_upstream_is_gone_once_silent() {
     let mut fleet = fleet(1, 0);
-    fleet.apply_report(address(0), Report { upstream: Upstream::Ended, ..report(2, 0) }, 0);
+    fleet.apply_report(address(0), Report { upstream: UpstreamState::Ended, ..report(2, 0) }, 0);
     assert!(!fleet.is_gone(address(0), 2_000));
     assert!(fleet.is_gone(address(0), 3_000));
 }
 
 #[test]
-fn a_listed_agent_is_greeted_until_it_reports() {
+fn a_listed_agent_is_sent_hellos_until_it_reports() {
     let mut fleet = Fleet::default();
-    let listed = Listed { address: address(1), pool: Some(POOL), zone: ZONE };
+    let listed = MemberEntry { address: address(1), pool: Some(POOL), zone: ZONE };
     fleet.sync_members(&[listed], 1_000);
-    assert_eq!(fleet.agents_to_greet(1_000), [address(1)]);
-    assert!(fleet.agents_to_greet(1_500).is_empty());
-    assert_eq!(fleet.agents_to_greet(2_100), [address(1)]);
+    assert_eq!(fleet.hello_recipients(1_000), [address(1)]);
+    assert!(fleet.hello_recipients(1_500).is_empty());
+    assert_eq!(fleet.hello_recipients(2_100), [address(1)]);
     fleet.apply_report(address(1), report(1, 0), 2_200);
-    assert!(fleet.agents_to_greet(3_300).is_empty());
-    assert_eq!(fleet.agents_to_greet(3_900), [address(1)]);
+    assert!(fleet.hello_recipients(3_300).is_empty());
+    assert_eq!(fleet.hello_recipients(3_900), [address(1)]);
 }
 
 #[test]
--- a/crates/core/tests/opaque/listing.rs
+++ b/crates/core/tests/opaque/member_list.rs
@@ -9,7 +9,7 @@
 };
 
 use camphorwinch_core::opaque::{
-    listing::{Listing, Need, Reply, ask_order},
+    member_list::{Freshness, ListReply, MemberListServer, query_order},
     revision::Revision,
 };
 
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Registered(usize),
-    Requested { at: usize, by: usize, need: Option<Revision>, referred: bool },
+    Requested { at: usize, by: usize, freshness: Option<Revision>, referred: bool },
     Received { to: usize, list: Revision },
     Referred { to: usize, others: Vec<usize>, list: Revision },
     ReadStarted(usize),
@@ -39,7 +39,7 @@
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     order: u64,
     revision: u64,
-    listings: Vec<Listing>,
+    servers: Vec<MemberListServer>,
     waiting: BTreeMap<usize, Vec<(usize, Option<Revision>)>>,
     reading: BTreeMap<usize, u64>,
     link_free_ms: Vec<u64>,
@@ -66,7 +66,7 @@
             events: BinaryHeap::new(),
             order: 0,
             revision: 0,
-            listings: vec![Listing::default(); balancers],
+            servers: vec![MemberListServer::default(); balancers],
             waiting: BTreeMap::new(),
             reading: BTreeMap::new(),
             link_free_ms: vec![0; balancers],
@@ -108,8 +108,8 @@
                 let since = Some(Revision::new(0, self.revision));
                 self.request_list(it, now, since);
             }
-            Event::Requested { at, by, need, referred } => {
-                self.handle_request(at, by, need, referred, now)
+            Event::Requested { at, by, freshness, referred } => {
+                self.handle_request(at, by, freshness, referred, now)
             }
             Event::ReadStarted(by) => {
                 let pages = self.members.min(self.revision as usize).div_ceil(PAGE_SIZE).max(1);
@@ -122,54 +122,54 @@
             Event::Received { to, list } => self.receive_list(to, list, now),
             Event::Referred { to, others, list } => {
                 let at = others[0];
-                let need = Some(list);
+                let freshness = Some(list);
                 self.schedule(
                     now + LATENCY_MS,
-                    Event::Requested { at, by: to, need, referred: true },
+                    Event::Requested { at, by: to, freshness, referred: true },
                 );
             }
         }
     }
 
     fn receive_list(&mut self, it: usize, list: Revision, now: u64) {
-        self.listings[it].take(list);
+        self.servers[it].record(list);
         self.done_ms[it].get_or_insert(now);
-        for (asker, need) in self.waiting.remove(&it).unwrap_or_default() {
-            self.handle_request(it, asker, need, false, now);
+        for (requester, freshness) in self.waiting.remove(&it).unwrap_or_default() {
+            self.handle_request(it, requester, freshness, false, now);
         }
     }
 
-    fn request_list(&mut self, by: usize, now: u64, need: Option<Revision>) {
+    fn request_list(&mut self, by: usize, now: u64, freshness: Option<Revision>) {
         let seeds = [address(0), address(1), address(2)];
-        let at = process(ask_order(address(by), &seeds)[0]);
-        self.schedule(now + LATENCY_MS, Event::Requested { at, by, need, referred: false });
+        let at = process(query_order(address(by), &seeds)[0]);
+        self.schedule(now + LATENCY_MS, Event::Requested { at, by, freshness, referred: false });
     }
 
     fn handle_request(
         &mut self,
         at: usize,
         by: usize,
-        need: Option<Revision>,
+        freshness: Option<Revision>,
         referred: bool,
         now: u64,
     ) {
-        let wanted = need.map_or(Need::Fresh, Need::Since);
-        match self.listings[at].answer(Some(address(by)), wanted, now) {
-            Reply::Tell => {
+        let wanted = freshness.map_or(Freshness::Fresh, Freshness::AtLeast);
+        match self.servers[at].handle_request(Some(address(by)), wanted, now) {
+            ListReply::Send => {
                 self.lists_sent[at] += 1;
                 let bytes = self.members * MEMBER_BYTES;
                 let begin = self.link_free_ms[at].max(now);
                 self.link_free_ms[at] = begin + (bytes / LINK_BYTES_PER_MS) as u64;
-                let list = self.listings[at].at().expect("a list is sent");
+                let list = self.servers[at].revision().expect("a list is sent");
                 self.schedule(self.link_free_ms[at] + LATENCY_MS, Event::Received { to: by, list });
             }
-            Reply::Refer(others) => {
-                let list = self.listings[at].at().expect("a list was sent");
+            ListReply::Refer(others) => {
+                let list = self.servers[at].revision().expect("a list was sent");
                 let others = others.into_iter().map(process).collect();
                 self.schedule(now + LATENCY_MS, Event::Referred { to: by, others, list });
             }
-            Reply::Read => {
-                self.waiting.entry(at).or_default().push((by, need));
+            ListReply::ReadStore => {
+                self.waiting.entry(at).or_default().push((by, freshness));
                 // A referred process waits for the list that its target is receiving, and causes no read.
                 if !referred {
                     self.schedule_read(at, now);
@@ -238,19 +238,22 @@
 
 #[test]
 fn lists_are_ordered_by_revision() {
-    let mut listing = Listing::default();
-    let since = |number| Need::Since(Revision::new(0, number));
-    assert_eq!(listing.answer(None, Need::Any, 0), Reply::Tell);
-    assert_eq!(listing.answer(None, since(5), 0), Reply::Read);
-    listing.take(Revision::new(0, 5));
-    assert_eq!(listing.answer(None, since(5), 0), Reply::Tell);
-    assert_eq!(listing.answer(None, since(6), 0), Reply::Read);
-    assert_eq!(listing.answer(None, Need::Fresh, 0), Reply::Read);
+    let mut server = MemberListServer::default();
+    let since = |number| Freshness::AtLeast(Revision::new(0, number));
+    assert_eq!(server.handle_request(None, Freshness::Any, 0), ListReply::Send);
+    assert_eq!(server.handle_request(None, since(5), 0), ListReply::ReadStore);
+    server.record(Revision::new(0, 5));
+    assert_eq!(server.handle_request(None, since(5), 0), ListReply::Send);
+    assert_eq!(server.handle_request(None, since(6), 0), ListReply::ReadStore);
+    assert_eq!(server.handle_request(None, Freshness::Fresh, 0), ListReply::ReadStore);
     // Revision numbers of different eras are not comparable.
-    assert_eq!(listing.answer(None, Need::Since(Revision::new(1, 1)), 0), Reply::Read);
-    listing.take(Revision::new(0, 3));
     assert_eq!(
-        listing.at(),
+        server.handle_request(None, Freshness::AtLeast(Revision::new(1, 1)), 0),
+        ListReply::ReadStore
+    );
+    server.record(Revision::new(0, 3));
+    assert_eq!(
+        server.revision(),
         Some(Revision::new(0, 5)),
         "an older list does not replace a newer one"
     );
@@ -258,14 +261,20 @@
 
 #[test]
 fn a_recipient_of_an_older_list_is_not_named_for_a_newer_one() {
-    let mut listing = Listing::default();
-    listing.take(Revision::new(0, 5));
+    let mut server = MemberListServer::default();
+    server.record(Revision::new(0, 5));
     for host in 0..4 {
-        assert_eq!(listing.answer(Some(address(host)), Need::Any, 1_000), Reply::Tell);
+        assert_eq!(
+            server.handle_request(Some(address(host)), Freshness::Any, 1_000),
+            ListReply::Send
+        );
     }
-    let old = listing.answer(None, Need::Since(Revision::new(0, 5)), 1_000);
-    assert!(matches!(old, Reply::Refer(_)), "{old:?}");
-    listing.take(Revision::new(0, 9));
+    let old = server.handle_request(None, Freshness::AtLeast(Revision::new(0, 5)), 1_000);
+    assert!(matches!(old, ListReply::Refer(_)), "{old:?}");
+    server.record(Revision::new(0, 9));
     // No other process has this list, so it is sent though the window is used up.
-    assert_eq!(listing.answer(None, Need::Since(Revision::new(0, 9)), 1_000), Reply::Tell);
+    assert_eq!(
+        server.handle_request(None, Freshness::AtLeast(Revision::new(0, 9)), 1_000),
+        ListReply::Send
+    );
 }
--- a/crates/core/tests/opaque/placement.rs
+++ b/crates/core/tests/opaque/placement.rs
@@ -3,17 +3,24 @@
 //! Callers of one zone send more than that zone can serve while the fleet as a whole has capacity. Long-lived flows
 //! cause two thirds of the load, single requests the rest.
 
-use crate::world::{OBJECTIVE, Shape, World};
+use crate::world::{OBJECTIVE, SimulationParams, World};
 
-const SHAPE: Shape =
-    Shape { zones: 4, balancers: 8, agents: 40, slots: 3, queue: 12, work_ms: 60, loss: 0.0 };
+const PARAMS: SimulationParams = SimulationParams {
+    zones: 4,
+    balancers: 8,
+    agents: 40,
+    slots: 3,
+    queue: 12,
+    work_ms: 60,
+    loss: 0.0,
+};
 
 /// Runs a load given as a fraction of the fleet's capacity; zone 0 has `skew` times the callers of each other zone.
 fn run_load(load: f64, skew: u64, seed: u64) -> World {
-    let mut world = World::new(SHAPE, seed);
-    let capacity = f64::from(SHAPE.agents) * f64::from(SHAPE.slots) / SHAPE.work_ms as f64;
+    let mut world = World::new(PARAMS, seed);
+    let capacity = f64::from(PARAMS.agents) * f64::from(PARAMS.slots) / PARAMS.work_ms as f64;
     let idle_ms = 900;
-    let long_lived_flows = (capacity * load * 0.67 * (idle_ms + SHAPE.work_ms) as f64) as u64;
+    let long_lived_flows = (capacity * load * 0.67 * (idle_ms + PARAMS.work_ms) as f64) as u64;
     let zone = |at: u64| if at % (3 + skew) < skew { 0 } else { 1 + at % 3 };
     for at in 0..long_lived_flows {
         world.open_flow(zone(at), 1_000, idle_ms);
@@ -35,9 +42,9 @@
 }
 
 fn percentile(world: &World, share: f64) -> u64 {
-    let mut waits = world.tally.waits.clone();
-    waits.sort_unstable();
-    waits[(waits.len() as f64 * share) as usize]
+    let mut latencies_ms = world.tally.latencies_ms.clone();
+    latencies_ms.sort_unstable();
+    latencies_ms[(latencies_ms.len() as f64 * share) as usize]
 }
 
 fn shed_ratio(world: &World) -> f64 {
@@ -77,12 +84,12 @@
 
 /// Sends single requests at a fraction of the capacity of warm upstreams.
 fn send_requests(world: &mut World, load: f64, for_ms: u64) {
-    let per_ms = f64::from(SHAPE.agents) * f64::from(SHAPE.slots) / SHAPE.work_ms as f64 * load;
+    let per_ms = f64::from(PARAMS.agents) * f64::from(PARAMS.slots) / PARAMS.work_ms as f64 * load;
     let mut due = 0.0;
     for at in 0..for_ms {
         due += per_ms;
         while due >= 1.0 {
-            world.open_flow(at % SHAPE.zones, 1, 1);
+            world.open_flow(at % PARAMS.zones, 1, 1);
             due -= 1.0;
         }
         world.run(1);
@@ -93,20 +100,20 @@
 // Served in order of arrival, this backlog delays later requests, too.
 #[test]
 fn a_burst_of_returning_callers_does_not_delay_most_requests() {
-    let mut world = World::new(SHAPE, 3);
+    let mut world = World::new(PARAMS, 3);
     send_requests(&mut world, 0.55, 3_000);
-    world.set_work_ms(SHAPE.work_ms * 8 / 5);
+    world.set_work_ms(PARAMS.work_ms * 8 / 5);
     for at in 0..550 {
-        world.open_flow(at % SHAPE.zones, 1, 1);
+        world.open_flow(at % PARAMS.zones, 1, 1);
     }
     world.run(40);
     world.tally = crate::world::Tally::default();
     send_requests(&mut world, 0.62, 1_960);
-    world.set_work_ms(SHAPE.work_ms);
+    world.set_work_ms(PARAMS.work_ms);
     send_requests(&mut world, 0.55, 2_000);
-    let waits = &world.tally.waits;
-    let in_time = waits.iter().filter(|&&it| it <= u64::from(OBJECTIVE.latency_ms)).count();
-    let share = in_time as f64 / waits.len() as f64;
+    let latencies_ms = &world.tally.latencies_ms;
+    let in_time = latencies_ms.iter().filter(|&&it| it <= u64::from(OBJECTIVE.latency_ms)).count();
+    let share = in_time as f64 / latencies_ms.len() as f64;
     assert!(share > 0.7, "{share}");
     assert_eq!(world.tally.given_up, 0);
 }
@@ -114,7 +121,7 @@
 // Upstreams that report ready but reset each request look idle and attract flows from all others.
 #[test]
 fn callers_are_kept_from_upstreams_that_reset_requests() {
-    let mut world = World::new(SHAPE, 3);
+    let mut world = World::new(PARAMS, 3);
     send_requests(&mut world, 0.5, 3_000);
     for host in [3, 11, 19, 27] {
         world.set_resets(host, true);
--- a/crates/core/tests/opaque/route.rs
+++ b/crates/core/tests/opaque/route.rs
@@ -1,7 +1,7 @@
 use camphorwinch_core::opaque::{
     PoolId,
     revision::Revision,
-    route::{Lookup, Route, RouteTable, Routes, Share},
+    route::{Lookup, Route, RouteTable, Routes, WeightedPool},
 };
 use quickcheck::quickcheck;
 
@@ -10,13 +10,13 @@
 #[test]
 fn an_older_configuration_never_replaces_a_newer_one() {
     let mut table = RouteTable::default();
-    assert!(table.put(routes(5)));
-    assert!(!table.put(routes(4)));
-    assert!(!table.put(routes(5)));
-    assert_eq!(table.stamp(), Some(routes(5).stamp()));
+    assert!(table.update(routes(5)));
+    assert!(!table.update(routes(4)));
+    assert!(!table.update(routes(5)));
+    assert_eq!(table.config_version(), Some(routes(5).config_version()));
     let older_version = Routes { version: 3, ..routes(6) };
-    assert!(!table.put(older_version));
-    assert_eq!(table.stamp(), Some(routes(5).stamp()));
+    assert!(!table.update(older_version));
+    assert_eq!(table.config_version(), Some(routes(5).config_version()));
 }
 
 // After a store reset, later versions have lower revisions; ordered by revision, a dropped route stayed in force.
@@ -24,61 +24,61 @@
 fn a_later_version_replaces_one_with_a_higher_revision() {
     let mut table = RouteTable::default();
     let at = |era, number| Revision::new(era, number);
-    assert!(table.put(Routes { version: 22, ..routes(25) }));
-    assert!(table.put(Routes { revision: at(1, 23), version: 26, ..Routes::default() }));
+    assert!(table.update(Routes { version: 22, ..routes(25) }));
+    assert!(table.update(Routes { revision: at(1, 23), version: 26, ..Routes::default() }));
     assert_eq!(table.lookup(service()), Lookup::Dropped);
     // The next version has the revision known before the reset.
-    assert!(table.put(Routes { revision: at(1, 25), version: 28, ..routes(25) }));
+    assert!(table.update(Routes { revision: at(1, 25), version: 28, ..routes(25) }));
     // Also from a store that does not report its era.
-    assert!(table.put(Routes { revision: at(0, 24), version: 30, ..routes(24) }));
+    assert!(table.update(Routes { revision: at(0, 24), version: 30, ..routes(24) }));
 }
 
 // After a reset the store holds an earlier version at a revision of a new era.
 #[test]
 fn a_store_reset_never_restores_an_earlier_version() {
     let mut table = RouteTable::default();
-    assert!(table.put(Routes { version: 26, ..Routes::default() }));
-    assert!(!table.put(Routes { revision: Revision::new(1, 9), version: 22, ..routes(9) }));
+    assert!(table.update(Routes { version: 26, ..Routes::default() }));
+    assert!(!table.update(Routes { revision: Revision::new(1, 9), version: 22, ..routes(9) }));
     assert_eq!(table.lookup(service()), Lookup::None);
-    assert!(table.put(Routes { revision: Revision::new(1, 10), version: 26, ..routes(10) }));
-    assert!(!table.put(Routes { revision: Revision::new(0, 99), version: 26, ..routes(99) }));
+    assert!(table.update(Routes { revision: Revision::new(1, 10), version: 26, ..routes(10) }));
+    assert!(!table.update(Routes { revision: Revision::new(0, 99), version: 26, ..routes(99) }));
 }
 
 #[test]
 fn a_dropped_route_differs_from_an_unknown_one() {
     let mut table = RouteTable::default();
     assert_eq!(table.lookup(service()), Lookup::NoConfig);
-    table.put(Routes { revision: Revision::new(0, 1), version: 1, ..Routes::default() });
+    table.update(Routes { revision: Revision::new(0, 1), version: 1, ..Routes::default() });
     assert_eq!(table.lookup(service()), Lookup::None);
-    table.put(routes(2));
+    table.update(routes(2));
     assert!(matches!(table.lookup(service()), Lookup::Route(_)));
-    table.put(Routes { revision: Revision::new(0, 3), version: 3, ..Routes::default() });
+    table.update(Routes { revision: Revision::new(0, 3), version: 3, ..Routes::default() });
     assert_eq!(table.lookup(service()), Lookup::Dropped);
-    table.put(routes(4));
+    table.update(routes(4));
     assert!(matches!(table.lookup(service()), Lookup::Route(_)));
 }
 
 #[test]
 fn flows_are_split_by_weight() {
-    let share = |pool, weight| Share { pool: PoolId(pool), weight };
-    let route = Route::new(vec![share(1, 90), share(2, 10)]);
+    let weighted = |pool, weight| WeightedPool { pool: PoolId(pool), weight };
+    let route = Route::new(vec![weighted(1, 90), weighted(2, 10)]);
     let hash = |it: u64| it.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    let second = (0..10_000).filter(|&it| route.pick(hash(it)) == Some(PoolId(2))).count();
+    let second = (0..10_000).filter(|&it| route.select_pool(hash(it)) == Some(PoolId(2))).count();
     assert!((800..1_200).contains(&second), "{second}");
-    assert_eq!(Route::new(vec![]).pick(7), None);
-    assert_eq!(Route::new(vec![share(3, 0)]).pick(7), Some(PoolId(3)));
+    assert_eq!(Route::new(vec![]).select_pool(7), None);
+    assert_eq!(Route::new(vec![weighted(3, 0)]).select_pool(7), Some(PoolId(3)));
 }
 
 quickcheck! {
-    fn the_highest_stamp_is_in_force(revisions: Vec<u8>) -> bool {
+    fn the_highest_config_version_is_in_force(revisions: Vec<u8>) -> bool {
         let mut table = RouteTable::default();
         let mut highest = None;
         for revision in revisions {
-            let before = table.stamp();
+            let before = table.config_version();
             let update = routes(u64::from(revision) + 1);
-            highest = highest.max(Some(update.stamp()));
-            let applied = table.put(update);
-            if applied != (table.stamp() > before) || table.stamp() != highest {
+            highest = highest.max(Some(update.config_version()));
+            let applied = table.update(update);
+            if applied != (table.config_version() > before) || table.config_version() != highest {
                 return false;
             }
         }
--- a/crates/core/tests/opaque/support.rs
+++ b/crates/core/tests/opaque/support.rs
@@ -3,13 +3,13 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use camphorwinch_core::opaque::{
-    FlowKey, Head, Kind, PoolId,
-    agent::{Identity, Life},
-    effect::{Ask, Decision, Effect, Relay},
-    fleet::{Plan, Report, Upstream, ZoneId},
+    FlowKey, PacketHeader, PacketKind, PoolId,
+    agent::{Identity, UpstreamInstance},
+    candidate_list::CandidateList,
+    effect::{Decision, Effect, RelayAction, RelayHeader},
+    fleet::{AgentPlan, Report, UpstreamState, ZoneId},
     revision::Revision,
-    route::{Route, Routes, Share},
-    walk::Walk,
+    route::{Route, Routes, WeightedPool},
 };
 
 pub(crate) const POOL: PoolId = PoolId(1);
@@ -26,8 +26,8 @@
 }
 
 /// An upstream process that does not send its start time.
-pub(crate) fn life(id: &str) -> Life {
-    Life { id: id.to_owned(), born_ms: None }
+pub(crate) fn instance(id: &str) -> UpstreamInstance {
+    UpstreamInstance { id: id.to_owned(), started_at_ms: None }
 }
 
 pub(crate) fn service() -> SocketAddrV4 {
@@ -44,20 +44,20 @@
     FlowKey { caller, service: service() }
 }
 
-pub(crate) fn head(port: u16, kind: Kind) -> Head {
-    Head { key: key(port), kind, bounced: false, seq: 0, ack: 0, len: 0 }
+pub(crate) fn head(port: u16, kind: PacketKind) -> PacketHeader {
+    PacketHeader { key: key(port), kind, bounced: false, seq: 0, ack: 0, len: 0 }
 }
 
-pub(crate) fn data(port: u16, seq: u32, ack: u32) -> Head {
-    Head { seq, ack, len: 100, ..head(port, Kind::Data) }
+pub(crate) fn data(port: u16, seq: u32, ack: u32) -> PacketHeader {
+    PacketHeader { seq, ack, len: 100, ..head(port, PacketKind::Data) }
 }
 
-pub(crate) fn relay(ask: Ask) -> Relay {
-    Relay { ask, pool: POOL, balancer: address(200) }
+pub(crate) fn relay(action: RelayAction) -> RelayHeader {
+    RelayHeader { action, pool: POOL, balancer: address(200) }
 }
 
-pub(crate) fn open_at(agents: &[u8], limit: u16) -> Relay {
-    relay(Ask::Open(Walk::new(agents.iter().map(|&it| address(it)), limit)))
+pub(crate) fn open_at(agents: &[u8], limit: u16) -> RelayHeader {
+    relay(RelayAction::Open(CandidateList::new(agents.iter().map(|&it| address(it)), limit)))
 }
 
 pub(crate) fn report(seq: u64, load: u16) -> Report {
@@ -66,13 +66,13 @@
         seq,
         pool: POOL,
         zone: ZONE,
-        upstream: Upstream::Ready,
-        plan: Plan::Stay,
+        upstream: UpstreamState::Ready,
+        plan: AgentPlan::Stay,
         slots: 4,
         load,
         service_ms: None,
         full: false,
-        every_ms: 1_000,
+        interval_ms: 1_000,
     }
 }
 
@@ -84,9 +84,9 @@
 pub(crate) fn routes_to(revision: u64, pool: PoolId) -> Routes {
     let mut routes =
         Routes { revision: Revision::new(0, revision), version: revision, ..Routes::default() };
-    let share = Share { pool, weight: 1 };
+    let weighted = WeightedPool { pool, weight: 1 };
     for address in [service(), single_service()] {
-        routes.by_address.insert(address, Route::new(vec![share]));
+        routes.by_address.insert(address, Route::new(vec![weighted]));
     }
     routes
 }
@@ -94,7 +94,7 @@
 /// The decisions among effects.
 pub(crate) fn decisions(effects: &[Effect]) -> Vec<Decision> {
     let decision = |it: &Effect| match it {
-        Effect::Note { decision, .. } => Some(*decision),
+        Effect::LogDecision { decision, .. } => Some(*decision),
         _ => None,
     };
     effects.iter().filter_map(decision).collect()
@@ -105,9 +105,9 @@
 }
 
 /// Destinations of relayed packets, with the requested actions.
-pub(crate) fn relays(effects: &[Effect]) -> Vec<(SocketAddrV4, Ask)> {
+pub(crate) fn relays(effects: &[Effect]) -> Vec<(SocketAddrV4, RelayAction)> {
     let relay = |it: &Effect| match it {
-        Effect::Relay { to, relay, .. } => Some((*to, relay.ask)),
+        Effect::Relay { to, relay, .. } => Some((*to, relay.action)),
         _ => None,
     };
     effects.iter().filter_map(relay).collect()
--- a/crates/core/tests/opaque/survival.rs
+++ b/crates/core/tests/opaque/survival.rs
@@ -3,16 +3,23 @@
 
 use rand::{Rng, SeedableRng, rngs::SmallRng, seq::IndexedRandom};
 
-use crate::world::{Shape, World};
+use crate::world::{SimulationParams, World};
 
-const SHAPE: Shape =
-    Shape { zones: 2, balancers: 4, agents: 6, slots: 4, queue: 16, work_ms: 20, loss: 0.0 };
+const PARAMS: SimulationParams = SimulationParams {
+    zones: 2,
+    balancers: 4,
+    agents: 6,
+    slots: 4,
+    queue: 16,
+    work_ms: 20,
+    loss: 0.0,
+};
 
 /// A fleet with `flows` open persistent flows.
-fn fleet(shape: Shape, seed: u64, flows: u64) -> World {
-    let mut world = World::new(shape, seed);
+fn fleet(params: SimulationParams, seed: u64, flows: u64) -> World {
+    let mut world = World::new(params, seed);
     for at in 0..flows {
-        world.open_flow(at % shape.zones, 1_000, 150);
+        world.open_flow(at % params.zones, 1_000, 150);
     }
     world.run(1_000);
     world
@@ -20,7 +27,7 @@
 
 #[test]
 fn flows_survive_the_restart_of_every_balancer() {
-    let mut world = fleet(SHAPE, 1, 60);
+    let mut world = fleet(PARAMS, 1, 60);
     for number in world.balancers() {
         world.start_balancer(number);
         world.run(500);
@@ -34,7 +41,7 @@
 
 #[test]
 fn flows_survive_announced_restarts_of_every_agent() {
-    let mut world = fleet(SHAPE, 2, 60);
+    let mut world = fleet(PARAMS, 2, 60);
     for host in world.hosts() {
         world.stop_agent(host, true);
         world.run(700);
@@ -47,7 +54,7 @@
 
 #[test]
 fn flows_survive_a_simultaneous_crash_of_all_processes() {
-    let mut world = fleet(SHAPE, 3, 60);
+    let mut world = fleet(PARAMS, 3, 60);
     for host in world.hosts() {
         world.stop_agent(host, false);
     }
@@ -68,7 +75,7 @@
 // Guards against callers that wait for a timeout after all upstreams have restarted: their flows must be reset.
 #[test]
 fn flows_are_reset_after_all_upstreams_have_restarted() {
-    let mut world = fleet(SHAPE, 4, 60);
+    let mut world = fleet(PARAMS, 4, 60);
     for host in world.hosts() {
         world.stop_agent(host, false);
     }
@@ -87,7 +94,7 @@
 
 #[test]
 fn a_drained_upstream_gets_no_new_flow_from_any_balancer() {
-    let mut world = fleet(Shape { loss: 0.02, ..SHAPE }, 5, 30);
+    let mut world = fleet(SimulationParams { loss: 0.02, ..PARAMS }, 5, 30);
     world.drain(1);
     for at in 0..300 {
         world.open_flow(at % 2, 1, 10);
@@ -106,7 +113,7 @@
 /// A run with random restarts, upstream replacements, drains, new flows and packet loss.
 fn run_with_random_faults(seed: u64) -> World {
     let loss = [0.0, 0.002, 0.02][seed as usize % 3];
-    let mut world = fleet(Shape { loss, ..SHAPE }, seed, 40);
+    let mut world = fleet(SimulationParams { loss, ..PARAMS }, seed, 40);
     let mut rng = SmallRng::seed_from_u64(seed);
     for _ in 0..12 {
         let host = *world.hosts().choose(&mut rng).expect("hosts");
