--- a/crates/core/tests/opaque/upstream_instances.rs
+++ b/crates/core/tests/opaque/upstream_instances.rs
@@ -1,32 +1,33 @@
 //! Upstream restarts under the same id, delayed heartbeats and clock jumps.
 
 use camphorwinch_core::opaque::{
-    Head, Kind,
-    agent::{Agent, Heard, Heartbeat, Life},
-    effect::{Ask, Decision, Effect, Why},
-    fleet::Upstream,
+    PacketHeader, PacketKind,
+    agent::{Agent, Heartbeat, HeartbeatResult, UpstreamInstance},
+    effect::{Decision, Effect, RelayAction, ResetReason},
+    fleet::UpstreamState,
 };
 
 use crate::support::{
-    data, decisions, head, identity, life as instance_without_start_time, open_at, relay, resets,
+    data, decisions, head, identity, instance as instance_without_start_time, open_at, relay,
+    resets,
 };
 
 const HEARTBEAT_INTERVAL_MS: u64 = 1_000;
 const STARTED_MS: u64 = 1_790_000_000_000;
 
-fn instance(born_ms: u64) -> Life {
-    Life { id: "a".to_owned(), born_ms: Some(born_ms) }
+fn instance(started_at_ms: u64) -> UpstreamInstance {
+    UpstreamInstance { id: "a".to_owned(), started_at_ms: Some(started_at_ms) }
 }
 
-fn heartbeat(born_ms: u64, seq: u64) -> Heartbeat {
-    Heartbeat { life: instance(born_ms), seq, draining: false, slots: 2, cold_ms: 0 }
+fn heartbeat(started_at_ms: u64, seq: u64) -> Heartbeat {
+    Heartbeat { instance: instance(started_at_ms), seq, draining: false, slots: 2, cold_ms: 0 }
 }
 
-fn draining_heartbeat(born_ms: u64, seq: u64) -> Heartbeat {
-    Heartbeat { draining: true, ..heartbeat(born_ms, seq) }
+fn draining_heartbeat(started_at_ms: u64, seq: u64) -> Heartbeat {
+    Heartbeat { draining: true, ..heartbeat(started_at_ms, seq) }
 }
 
-fn receive(agent: &mut Agent, heartbeat: &Heartbeat, now_ms: u64) -> Heard {
+fn receive(agent: &mut Agent, heartbeat: &Heartbeat, now_ms: u64) -> HeartbeatResult {
     agent.heartbeat(heartbeat, now_ms, &mut Vec::new())
 }
 
@@ -41,18 +42,33 @@
 
 /// Opens a flow and sends a request on it, which the upstream does not answer.
 fn open_flow_with_request(agent: &mut Agent, port: u16, now_ms: u64) {
-    agent.relayed(&open_at(&[1], 5_000), &head(port, Kind::Open), &[], now_ms, &mut Vec::new());
-    let answer = Head { seq: 1_000, ..head(port, Kind::Open) };
-    agent.sent(&answer, now_ms, &mut Vec::new());
-    agent.relayed(&relay(Ask::Deliver), &data(port, 1, 1_001), &[], now_ms, &mut Vec::new());
+    agent.handle_relayed_packet(
+        &open_at(&[1], 5_000),
+        &head(port, PacketKind::Open),
+        &[],
+        now_ms,
+        &mut Vec::new(),
+    );
+    let answer = PacketHeader { seq: 1_000, ..head(port, PacketKind::Open) };
+    agent.handle_upstream_packet(&answer, now_ms, &mut Vec::new());
+    agent.handle_relayed_packet(
+        &relay(RelayAction::Deliver),
+        &data(port, 1, 1_001),
+        &[],
+        now_ms,
+        &mut Vec::new(),
+    );
 }
 
 #[test]
 fn an_upstream_restarted_under_its_id_is_recognized_at_once() {
     let mut agent = agent_with_known_upstream();
     receive(&mut agent, &draining_heartbeat(STARTED_MS, 41), 41_000);
-    assert_eq!(receive(&mut agent, &heartbeat(STARTED_MS + 42_000, 1), 42_000), Heard::Changed);
-    assert_eq!(agent.upstream(42_000), Upstream::Ready);
+    assert_eq!(
+        receive(&mut agent, &heartbeat(STARTED_MS + 42_000, 1), 42_000),
+        HeartbeatResult::Changed
+    );
+    assert_eq!(agent.upstream(42_000), UpstreamState::Ready);
 }
 
 #[test]
@@ -61,16 +77,16 @@
     for port in 1..=4 {
         open_flow_with_request(&mut agent, port, 40_000);
     }
-    assert_eq!(agent.busy(), 4);
+    assert_eq!(agent.active_requests(), 4);
     let mut out = Vec::new();
     let next = Heartbeat { slots: 5, cold_ms: 2_000, ..heartbeat(STARTED_MS + 42_000, 1) };
     agent.heartbeat(&next, 42_000, &mut out);
     assert_eq!(resets(&out), 4);
-    let ended = Decision::Reset(Why::UpstreamEnded);
+    let ended = Decision::Reset(ResetReason::UpstreamEnded);
     assert_eq!(decisions(&out), [ended; 4]);
     assert!(out.contains(&Effect::Report), "{out:?}");
     let report = agent.next_report(42_000);
-    assert_eq!((agent.busy(), agent.flows(), agent.waiting()), (0, 0, 0));
+    assert_eq!((agent.active_requests(), agent.flows(), agent.waiting()), (0, 0, 0));
     assert_eq!((report.slots, report.service_ms), (5, None));
 }
 
@@ -79,8 +95,8 @@
     let mut agent = agent_with_known_upstream();
     for port in 1..=30 {
         open_flow_with_request(&mut agent, port, 40_000);
-        let answer = Head { seq: 1_001, len: 10, ..head(port, Kind::Data) };
-        agent.sent(&answer, 40_500, &mut Vec::new());
+        let answer = PacketHeader { seq: 1_001, len: 10, ..head(port, PacketKind::Data) };
+        agent.handle_upstream_packet(&answer, 40_500, &mut Vec::new());
     }
     assert!(agent.next_report(40_500).service_ms.is_some());
     receive(&mut agent, &heartbeat(STARTED_MS + 42_000, 1), 42_000);
@@ -91,9 +107,9 @@
 fn a_delayed_heartbeat_of_a_former_instance_is_ignored() {
     let mut agent = agent_with_known_upstream();
     receive(&mut agent, &draining_heartbeat(STARTED_MS + 42_000, 1), 42_000);
-    assert_eq!(receive(&mut agent, &heartbeat(STARTED_MS, 41), 42_500), Heard::Late);
+    assert_eq!(receive(&mut agent, &heartbeat(STARTED_MS, 41), 42_500), HeartbeatResult::Outdated);
     assert!(!agent.deregister(&instance(STARTED_MS), &mut Vec::new()));
-    assert_eq!(agent.upstream(42_500), Upstream::Draining);
+    assert_eq!(agent.upstream(42_500), UpstreamState::Draining);
 }
 
 // A restarted agent has seen only the current instance.
@@ -101,10 +117,10 @@
 fn a_delayed_heartbeat_of_an_unknown_former_instance_is_ignored() {
     let mut agent = Agent::new(identity(1, 2), HEARTBEAT_INTERVAL_MS, true, 0);
     receive(&mut agent, &draining_heartbeat(STARTED_MS + 42_000, 7), 100);
-    assert_eq!(receive(&mut agent, &heartbeat(STARTED_MS, 40), 200), Heard::Unclear);
+    assert_eq!(receive(&mut agent, &heartbeat(STARTED_MS, 40), 200), HeartbeatResult::Ambiguous);
     receive(&mut agent, &draining_heartbeat(STARTED_MS + 42_000, 8), 1_100);
-    assert_eq!(receive(&mut agent, &heartbeat(STARTED_MS, 41), 1_200), Heard::Unclear);
-    assert_eq!(agent.upstream(1_200), Upstream::Draining);
+    assert_eq!(receive(&mut agent, &heartbeat(STARTED_MS, 41), 1_200), HeartbeatResult::Ambiguous);
+    assert_eq!(agent.upstream(1_200), UpstreamState::Draining);
     assert!(!agent.deregister(&instance(STARTED_MS), &mut Vec::new()));
 }
 
@@ -113,12 +129,15 @@
 fn flows_of_the_current_instance_are_not_reset_after_a_delayed_heartbeat_of_a_former_one() {
     let mut agent = Agent::new(identity(1, 2), HEARTBEAT_INTERVAL_MS, true, 0);
     for seq in [1_001, 1_101] {
-        let answer = Head { seq, len: 10, ..head(1, Kind::Data) };
-        agent.sent(&answer, 50, &mut Vec::new());
+        let answer = PacketHeader { seq, len: 10, ..head(1, PacketKind::Data) };
+        agent.handle_upstream_packet(&answer, 50, &mut Vec::new());
     }
     receive(&mut agent, &heartbeat(STARTED_MS, 40), 100);
     let mut out = Vec::new();
-    assert_eq!(agent.heartbeat(&heartbeat(STARTED_MS + 42_000, 9), 900, &mut out), Heard::Changed);
+    assert_eq!(
+        agent.heartbeat(&heartbeat(STARTED_MS + 42_000, 9), 900, &mut out),
+        HeartbeatResult::Changed
+    );
     assert_eq!(resets(&out), 0);
 }
 
@@ -126,11 +145,17 @@
 fn an_instance_with_an_earlier_start_time_replaces_a_silent_one_after_two_heartbeats() {
     let mut agent = agent_with_known_upstream();
     let earlier_start = STARTED_MS - 30_000;
-    assert_eq!(receive(&mut agent, &heartbeat(earlier_start, 1), 41_500), Heard::Unclear);
-    assert_eq!(receive(&mut agent, &heartbeat(earlier_start, 2), 42_500), Heard::Changed);
-    assert_eq!(agent.upstream(42_500), Upstream::Ready);
-    assert_eq!(receive(&mut agent, &draining_heartbeat(earlier_start, 3), 43_500), Heard::Changed);
-    assert_eq!(receive(&mut agent, &heartbeat(STARTED_MS, 41), 44_000), Heard::Late);
+    assert_eq!(
+        receive(&mut agent, &heartbeat(earlier_start, 1), 41_500),
+        HeartbeatResult::Ambiguous
+    );
+    assert_eq!(receive(&mut agent, &heartbeat(earlier_start, 2), 42_500), HeartbeatResult::Changed);
+    assert_eq!(agent.upstream(42_500), UpstreamState::Ready);
+    assert_eq!(
+        receive(&mut agent, &draining_heartbeat(earlier_start, 3), 43_500),
+        HeartbeatResult::Changed
+    );
+    assert_eq!(receive(&mut agent, &heartbeat(STARTED_MS, 41), 44_000), HeartbeatResult::Outdated);
 }
 
 #[test]
@@ -139,27 +164,35 @@
     for seq in 7..12 {
         assert_eq!(
             receive(&mut agent, &draining_heartbeat(STARTED_MS - 30_000, seq), 40_500 + seq),
-            Heard::Unclear
+            HeartbeatResult::Ambiguous
         );
     }
-    assert_eq!(agent.upstream(40_600), Upstream::Ready);
+    assert_eq!(agent.upstream(40_600), UpstreamState::Ready);
 }
 
 #[test]
 fn a_repeated_delayed_heartbeat_does_not_replace_a_silent_instance() {
     let mut agent = agent_with_known_upstream();
-    assert_eq!(receive(&mut agent, &heartbeat(STARTED_MS - 30_000, 9), 43_000), Heard::Unclear);
-    assert_eq!(receive(&mut agent, &heartbeat(STARTED_MS - 30_000, 9), 44_000), Heard::Unclear);
-    assert_eq!(receive(&mut agent, &heartbeat(STARTED_MS, 41), 45_000), Heard::Changed);
+    assert_eq!(
+        receive(&mut agent, &heartbeat(STARTED_MS - 30_000, 9), 43_000),
+        HeartbeatResult::Ambiguous
+    );
+    assert_eq!(
+        receive(&mut agent, &heartbeat(STARTED_MS - 30_000, 9), 44_000),
+        HeartbeatResult::Ambiguous
+    );
+    assert_eq!(receive(&mut agent, &heartbeat(STARTED_MS, 41), 45_000), HeartbeatResult::Changed);
 }
 
 #[test]
 fn a_heartbeat_without_a_start_time_is_ignored_if_the_current_instance_has_one() {
     let mut agent = agent_with_known_upstream();
-    let unidentified =
-        Heartbeat { life: instance_without_start_time("a"), ..draining_heartbeat(STARTED_MS, 99) };
-    assert_eq!(receive(&mut agent, &unidentified, 40_100), Heard::Foreign);
-    assert_eq!(agent.upstream(40_100), Upstream::Ready);
+    let unidentified = Heartbeat {
+        instance: instance_without_start_time("a"),
+        ..draining_heartbeat(STARTED_MS, 99)
+    };
+    assert_eq!(receive(&mut agent, &unidentified, 40_100), HeartbeatResult::MissingStartTime);
+    assert_eq!(agent.upstream(40_100), UpstreamState::Ready);
 }
 
 #[test]
@@ -169,7 +202,7 @@
     assert!(!agent.deregister(&without_start_time, &mut Vec::new()));
     receive(&mut agent, &draining_heartbeat(STARTED_MS, 41), 41_000);
     assert!(agent.deregister(&without_start_time, &mut Vec::new()));
-    assert_eq!(agent.upstream(41_000), Upstream::Ended);
+    assert_eq!(agent.upstream(41_000), UpstreamState::Ended);
 }
 
 #[test]
@@ -177,17 +210,25 @@
     let mut agent = agent_with_known_upstream();
     receive(&mut agent, &draining_heartbeat(STARTED_MS, 41), 41_000);
     assert!(agent.deregister(&instance(STARTED_MS), &mut Vec::new()));
-    assert_eq!(receive(&mut agent, &draining_heartbeat(STARTED_MS, 42), 41_500), Heard::Late);
-    assert_eq!(agent.upstream(41_500), Upstream::Ended);
-    assert_eq!(receive(&mut agent, &heartbeat(STARTED_MS + 42_000, 1), 42_000), Heard::Changed);
+    assert_eq!(
+        receive(&mut agent, &draining_heartbeat(STARTED_MS, 42), 41_500),
+        HeartbeatResult::Outdated
+    );
+    assert_eq!(agent.upstream(41_500), UpstreamState::Ended);
+    assert_eq!(
+        receive(&mut agent, &heartbeat(STARTED_MS + 42_000, 1), 42_000),
+        HeartbeatResult::Changed
+    );
 }
 
 #[test]
 fn without_start_times_a_lower_sequence_number_replaces_a_silent_instance_after_two_heartbeats() {
     let mut agent = Agent::new(identity(1, 1), HEARTBEAT_INTERVAL_MS, false, 0);
-    let heartbeat =
-        |seq| Heartbeat { life: instance_without_start_time("a"), ..heartbeat(STARTED_MS, seq) };
+    let heartbeat = |seq| Heartbeat {
+        instance: instance_without_start_time("a"),
+        ..heartbeat(STARTED_MS, seq)
+    };
     receive(&mut agent, &heartbeat(40), 0);
-    assert_eq!(receive(&mut agent, &heartbeat(1), 1_500), Heard::Late);
-    assert_eq!(receive(&mut agent, &heartbeat(2), 2_500), Heard::Changed);
+    assert_eq!(receive(&mut agent, &heartbeat(1), 1_500), HeartbeatResult::Outdated);
+    assert_eq!(receive(&mut agent, &heartbeat(2), 2_500), HeartbeatResult::Changed);
 }
--- a/crates/core/tests/opaque/warmup.rs
+++ b/crates/core/tests/opaque/warmup.rs
@@ -1,20 +1,20 @@
 //! Rate limit of cold upstreams.
 
 use camphorwinch_core::opaque::{
-    Kind,
+    PacketKind,
     agent::{Agent, Heartbeat},
-    effect::{Ask, Decision, Effect, Relay, Why},
-    walk::{LOAD_CLOSED, Walk},
+    candidate_list::{CandidateList, LOAD_CLOSED},
+    effect::{Decision, Effect, RelayAction, RelayHeader, ResetReason},
 };
 use quickcheck::quickcheck;
 
-use crate::support::{address, decisions, head, identity, life, relay, relays};
+use crate::support::{address, decisions, head, identity, instance, relay, relays};
 
 /// Rate limit of a cold upstream, in new flows per second.
 const RATE: u32 = 3;
 
 fn beat(seq: u64, cold_ms: u64) -> Heartbeat {
-    Heartbeat { life: life("a"), seq, draining: false, slots: 100, cold_ms }
+    Heartbeat { instance: instance("a"), seq, draining: false, slots: 100, cold_ms }
 }
 
 /// An agent whose upstream is cold for this long.
@@ -24,13 +24,13 @@
     it
 }
 
-fn walk(agents: &[u8]) -> Walk {
-    Walk::new(agents.iter().map(|&it| address(it)), 50_000).with_cold_rate(Some(RATE))
+fn candidates(agents: &[u8]) -> CandidateList {
+    CandidateList::new(agents.iter().map(|&it| address(it)), 50_000).with_cold_rate(Some(RATE))
 }
 
-fn open(agent: &mut Agent, ask: Relay, port: u16, now_ms: u64) -> Vec<Effect> {
+fn open(agent: &mut Agent, relay: RelayHeader, port: u16, now_ms: u64) -> Vec<Effect> {
     let mut out = Vec::new();
-    agent.relayed(&ask, &head(port, Kind::Open), b"", now_ms, &mut out);
+    agent.handle_relayed_packet(&relay, &head(port, PacketKind::Open), b"", now_ms, &mut out);
     out
 }
 
@@ -40,8 +40,8 @@
 
 /// Number of flows of a burst that the upstream gets.
 fn count_accepted(agent: &mut Agent, ports: std::ops::Range<u16>, now_ms: u64) -> usize {
-    let ask = relay(Ask::Open(walk(&[1, 2])));
-    ports.filter(|&it| is_accepted(&open(agent, ask, it, now_ms))).count()
+    let action = relay(RelayAction::Open(candidates(&[1, 2])));
+    ports.filter(|&it| is_accepted(&open(agent, action, it, now_ms))).count()
 }
 
 #[test]
@@ -60,20 +60,23 @@
 fn flows_above_the_limit_are_forwarded_to_another_upstream() {
     let mut it = agent(10_000);
     count_accepted(&mut it, 0..10, 100);
-    let effects = open(&mut it, relay(Ask::Open(walk(&[1, 2]))), 20, 110);
-    let Some((to, Ask::Open(walk))) = relays(&effects).first().copied() else {
+    let effects = open(&mut it, relay(RelayAction::Open(candidates(&[1, 2]))), 20, 110);
+    let Some((to, RelayAction::Open(candidates))) = relays(&effects).first().copied() else {
         panic!("{effects:?}")
     };
-    assert_eq!((to, walk.seats()[0].load), (address(2), LOAD_CLOSED));
+    assert_eq!((to, candidates.candidates()[0].load), (address(2), LOAD_CLOSED));
 }
 
 #[test]
 fn flows_above_the_limit_of_all_upstreams_are_refused() {
     let mut it = agent(10_000);
     count_accepted(&mut it, 0..10, 100);
-    for ask in [Ask::Open(walk(&[1])), Ask::Settle(walk(&[1]))] {
-        let effects = open(&mut it, relay(ask), 20, 110);
-        assert!(decisions(&effects).contains(&Decision::Reset(Why::AllRefused)), "{effects:?}");
+    for action in [RelayAction::Open(candidates(&[1])), RelayAction::Assign(candidates(&[1]))] {
+        let effects = open(&mut it, relay(action), 20, 110);
+        assert!(
+            decisions(&effects).contains(&Decision::Reset(ResetReason::AllRefused)),
+            "{effects:?}"
+        );
     }
 }
 
@@ -93,8 +96,8 @@
 #[test]
 fn a_cold_upstream_without_a_limit_gets_all_flows() {
     let mut it = agent(10_000);
-    let ask = relay(Ask::Open(Walk::new([address(1)], 50_000)));
-    let flows = (0..50).filter(|&port| is_accepted(&open(&mut it, ask, port, 100)));
+    let action = relay(RelayAction::Open(CandidateList::new([address(1)], 50_000)));
+    let flows = (0..50).filter(|&port| is_accepted(&open(&mut it, action, port, 100)));
     assert_eq!(flows.count(), 50);
 }
 
@@ -102,8 +105,8 @@
 #[test]
 fn an_upstream_without_a_heartbeat_counts_as_cold() {
     let mut it = Agent::new(identity(1, 2), 1_000, true, 0);
-    let ask = relay(Ask::Settle(walk(&[1])));
-    let flows = (0..50).filter(|&port| is_accepted(&open(&mut it, ask, port, 100)));
+    let action = relay(RelayAction::Assign(candidates(&[1])));
+    let flows = (0..50).filter(|&port| is_accepted(&open(&mut it, action, port, 100)));
     assert_eq!(flows.count(), RATE as usize);
 }
 
--- a/crates/core/tests/opaque/world.rs
+++ b/crates/core/tests/opaque/world.rs
@@ -9,11 +9,11 @@
 };
 
 use camphorwinch_core::opaque::{
-    FlowKey, Head, Kind,
-    agent::{Agent, Heartbeat, Identity, Life},
+    FlowKey, PacketHeader, PacketKind,
+    agent::{Agent, Heartbeat, Identity, UpstreamInstance},
     balancer::Balancer,
-    effect::{Answer, Effect, Payload, Relay, Verdict},
-    fleet::{Change, Listed, Plan, Report, ZoneId},
+    effect::{Answer, Effect, FlowStatus, Payload, RelayHeader},
+    fleet::{AgentPlan, MemberEntry, Report, ReportChange, ZoneId},
     route::{Objective, Routes},
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -22,7 +22,7 @@
 
 const BEAT_MS: u64 = 1_000;
 const TICK_MS: u64 = 20;
-const REPORT_MS: u64 = 1_000;
+const REPORT_INTERVAL_MS: u64 = 1_000;
 /// Time after the start of a drain from which an upstream must get no new flow: a heartbeat interval and a margin.
 const DRAIN_MS: u64 = BEAT_MS + 50;
 const HOP_MS: u64 = 1;
@@ -36,7 +36,7 @@
 
 /// Parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Shape {
+pub(crate) struct SimulationParams {
     pub(crate) zones: u64,
     pub(crate) balancers: u8,
     pub(crate) agents: u8,
@@ -55,7 +55,7 @@
     ToBalancer(u8, SocketAddrV4, Message),
     ToAgent(u8, SocketAddrV4, Message),
     Retransmit(u64, u32),
-    ToCaller(u64, Head),
+    ToCaller(u64, PacketHeader),
     Reset(u64),
     Work(u8, u64, u64),
     NextRequest(u64),
@@ -63,11 +63,11 @@
 
 #[derive(Clone, Debug)]
 enum Message {
-    Packet(Relay, u64),
+    Packet(RelayHeader, u64),
     Answer(FlowKey, Answer, Option<u64>),
     Query(Vec<FlowKey>),
-    Spread(Relay, Vec<SocketAddrV4>, u64),
-    Verdicts(Vec<(FlowKey, Verdict)>),
+    FanOut(RelayHeader, Vec<SocketAddrV4>, u64),
+    QueryResponse(Vec<(FlowKey, FlowStatus)>),
     Report(Report),
     Subscribe,
 }
@@ -112,11 +112,11 @@
 
 impl Upstream {
     /// Upstreams of odd hosts keep their id over restarts and send their start time; others take a new id.
-    fn life(&self, host: u8) -> Life {
+    fn instance(&self, host: u8) -> UpstreamInstance {
         if host % 2 == 1 {
-            Life { id: host.to_string(), born_ms: Some(self.start_ms) }
+            UpstreamInstance { id: host.to_string(), started_at_ms: Some(self.start_ms) }
         } else {
-            Life { id: self.id.to_string(), born_ms: None }
+            UpstreamInstance { id: self.id.to_string(), started_at_ms: None }
         }
     }
 }
@@ -155,18 +155,18 @@
     pub(crate) broken: u64,
     /// Flows sent to upstreams that were draining.
     pub(crate) late_work: u64,
-    pub(crate) waits: Vec<u64>,
+    pub(crate) latencies_ms: Vec<u64>,
 }
 
 pub(crate) struct World {
-    shape: Shape,
+    params: SimulationParams,
     now: u64,
     next: u64,
     heap: BinaryHeap<Reverse<Item>>,
     rng: SmallRng,
     balancers: BTreeMap<u8, Balancer>,
     hosts: BTreeMap<u8, Host>,
-    packets: Vec<Head>,
+    packets: Vec<PacketHeader>,
     flows: BTreeMap<u64, Flow>,
     by_key: HashMap<FlowKey, u64>,
     next_id: u64,
@@ -174,9 +174,9 @@
 }
 
 impl World {
-    pub(crate) fn new(shape: Shape, seed: u64) -> World {
+    pub(crate) fn new(params: SimulationParams, seed: u64) -> World {
         let mut world = World {
-            shape,
+            params,
             now: 1_000,
             next: 0,
             heap: BinaryHeap::new(),
@@ -189,10 +189,10 @@
             next_id: 1,
             tally: Tally::default(),
         };
-        for host in 1..=shape.agents {
+        for host in 1..=params.agents {
             world.add_host(host);
         }
-        for at in 0..shape.balancers {
+        for at in 0..params.balancers {
             world.start_balancer(FIRST_BALANCER + at);
         }
         world.push(0, Event::Tick);
@@ -217,13 +217,13 @@
     }
 
     fn zone_of(&self, number: u8) -> u64 {
-        u64::from(number) % self.shape.zones
+        u64::from(number) % self.params.zones
     }
 
-    fn listed(&self) -> Vec<Listed> {
+    fn listed(&self) -> Vec<MemberEntry> {
         let agents = self.hosts.keys().map(|&it| (it, Some(POOL)));
         let members = agents.chain(self.balancers.keys().map(|&it| (it, None)));
-        let listed = members.map(|(it, pool)| Listed {
+        let listed = members.map(|(it, pool)| MemberEntry {
             address: address(it),
             pool,
             zone: ZoneId(self.zone_of(it)),
@@ -234,8 +234,8 @@
     /// Starts a balancer, or restarts it without its state.
     pub(crate) fn start_balancer(&mut self, number: u8) {
         let mut balancer = Balancer::new(address(number), ZoneId(self.zone_of(number)));
-        balancer.put_routes(with_objectives(routes(1)));
-        balancer.list(&self.listed(), self.now);
+        balancer.update_routes(with_objectives(routes(1)));
+        balancer.sync_members(&self.listed(), self.now);
         self.balancers.insert(number, balancer);
     }
 
@@ -259,7 +259,7 @@
     pub(crate) fn stop_agent(&mut self, host: u8, announced: bool) {
         if announced {
             let now = self.now;
-            self.with_agent(host, |it, out| it.set_plan(Plan::Restart, now, out));
+            self.with_agent(host, |it, out| it.set_plan(AgentPlan::Restart, now, out));
         }
         if let Some(it) = self.hosts.get_mut(&host) {
             it.agent = None;
@@ -338,7 +338,7 @@
 
     /// Sets the mean service time of all upstreams.
     pub(crate) fn set_work_ms(&mut self, work_ms: u64) {
-        self.shape.work_ms = work_ms;
+        self.params.work_ms = work_ms;
     }
 
     /// Share of the slots that are in use.
@@ -349,7 +349,7 @@
             .filter_map(|it| it.upstream.as_ref())
             .map(|it| it.running.len())
             .sum();
-        running as f64 / (f64::from(self.shape.slots) * self.hosts.len() as f64)
+        running as f64 / (f64::from(self.params.slots) * self.hosts.len() as f64)
     }
 
     /// Minimum and maximum number of flows per upstream.
@@ -383,7 +383,7 @@
             Event::Heartbeat(host) => self.beat(host),
             Event::Report(host) => {
                 self.report(host);
-                self.push(REPORT_MS, Event::Report(host));
+                self.push(REPORT_INTERVAL_MS, Event::Report(host));
             }
             Event::ToBalancer(number, from, message) => {
                 self.balancer_receives(number, from, message)
@@ -409,13 +409,13 @@
     }
 
     fn beat(&mut self, host: u8) {
-        let slots = self.shape.slots;
+        let slots = self.params.slots;
         let Some(it) = self.hosts.get_mut(&host).and_then(|it| it.upstream.as_mut()) else {
             return;
         };
         it.beats += 1;
         let beat = Heartbeat {
-            life: it.life(host),
+            instance: it.instance(host),
             seq: it.beats,
             draining: it.draining_since.is_some(),
             slots,
@@ -445,7 +445,7 @@
     }
 
     fn send_message(&mut self, from: SocketAddrV4, to: SocketAddrV4, message: Message) {
-        if self.rng.random_bool(self.shape.loss) {
+        if self.rng.random_bool(self.params.loss) {
             return;
         }
         let number = to.ip().octets()[3];
@@ -460,11 +460,11 @@
     fn balancer_receives(&mut self, number: u8, from: SocketAddrV4, message: Message) {
         match message {
             Message::Report(report) => self.with_balancer(number, |it, now, out| {
-                let _: Change = it.report(from, report, now, out);
+                let _: ReportChange = it.handle_report(from, report, now, out);
             }),
-            Message::Verdicts(verdicts) => self.with_balancer(number, |it, now, out| {
-                for (key, verdict) in &verdicts {
-                    it.verdict(from, *key, *verdict, now, out);
+            Message::QueryResponse(statuses) => self.with_balancer(number, |it, now, out| {
+                for (key, status) in &statuses {
+                    it.handle_query_result(from, *key, *status, now, out);
                 }
             }),
             Message::Answer(key, answer, packet) => {
@@ -472,10 +472,10 @@
                 let bytes = packet.unwrap_or(0).to_be_bytes();
                 self.with_balancer(number, |it, now, out| {
                     let returned = head.as_ref().map(|it| (it, &bytes[..]));
-                    it.answer(from, key, answer, returned, now, out);
+                    it.handle_answer(from, key, answer, returned, now, out);
                 });
             }
-            Message::Packet(..) | Message::Spread(..) | Message::Query(_) | Message::Subscribe => {}
+            Message::Packet(..) | Message::FanOut(..) | Message::Query(_) | Message::Subscribe => {}
         }
     }
 
@@ -486,14 +486,14 @@
                 let head = self.packets[packet as usize];
                 let bytes = packet.to_be_bytes();
                 self.with_agent_packet(host, packet, |it, out| {
-                    it.relayed(&relay, &head, &bytes, now, out);
+                    it.handle_relayed_packet(&relay, &head, &bytes, now, out);
                 });
             }
-            Message::Spread(relay, agents, packet) => {
+            Message::FanOut(relay, agents, packet) => {
                 let head = self.packets[packet as usize];
                 let bytes = packet.to_be_bytes();
                 self.with_agent_packet(host, packet, |it, out| {
-                    it.spread(&relay, &agents, &head, &bytes, now, out);
+                    it.fan_out(&relay, &agents, &head, &bytes, now, out);
                 });
             }
             Message::Query(keys) => self.with_agent(host, |it, out| it.query(from, &keys, out)),
@@ -503,7 +503,7 @@
                 }
                 self.report(host);
             }
-            Message::Answer(..) | Message::Verdicts(_) | Message::Report(_) => {}
+            Message::Answer(..) | Message::QueryResponse(_) | Message::Report(_) => {}
         }
     }
 
@@ -528,15 +528,15 @@
                     self.send_message(from, to, Message::Packet(relay, packet));
                 }
                 Effect::Query { to, keys } => self.send_message(from, to, Message::Query(keys)),
-                Effect::Spread { to, relay, agents, packet } => {
-                    let packet = packet_of(&Payload::Held(packet), current);
-                    self.send_message(from, to, Message::Spread(relay, agents, packet));
+                Effect::FanOut { to, relay, agents, packet } => {
+                    let packet = packet_of(&Payload::Buffered(packet), current);
+                    self.send_message(from, to, Message::FanOut(relay, agents, packet));
                 }
-                Effect::Greet { to } => self.send_message(from, to, Message::Subscribe),
-                Effect::List => {
+                Effect::Hello { to } => self.send_message(from, to, Message::Subscribe),
+                Effect::ReloadMembers => {
                     let members = self.listed();
                     if let Some(it) = self.balancers.get_mut(&number) {
-                        it.list(&members, self.now);
+                        it.sync_members(&members, self.now);
                     }
                 }
                 Effect::Reset { key, .. } => self.reset(key),
@@ -572,12 +572,12 @@
                     let packet = returned.then_some(current);
                     self.send_message(from, to, Message::Answer(key, answer, packet));
                 }
-                Effect::Verdicts { to, verdicts } => {
-                    self.send_message(from, to, Message::Verdicts(verdicts));
+                Effect::QueryResponse { to, statuses } => {
+                    self.send_message(from, to, Message::QueryResponse(statuses));
                 }
                 Effect::Deliver => self.deliver(host, current),
                 Effect::Release { packet } => {
-                    self.deliver(host, packet_of(&Payload::Held(packet), current));
+                    self.deliver(host, packet_of(&Payload::Buffered(packet), current));
                 }
                 Effect::Reply => self.reply(current),
                 Effect::Reset { key, .. } => self.reset(key),
@@ -593,28 +593,28 @@
         let Some(it) = self.hosts.get_mut(&host).and_then(|it| it.upstream.as_mut()) else {
             return;
         };
-        if head.kind == Kind::Open {
+        if head.kind == PacketKind::Open {
             if it.draining_since.is_some_and(|since| self.now > since + DRAIN_MS) {
                 self.tally.late_work += 1;
             }
             let first = *it.opening.entry(head.key).or_insert(first);
-            return self.emit(host, Head { seq: first, ack: 0, ..head });
+            return self.emit(host, PacketHeader { seq: first, ack: 0, ..head });
         }
         if it.opening.get(&head.key).is_some_and(|it| head.ack == it.wrapping_add(1)) {
             it.opening.remove(&head.key);
             it.open.insert(head.key);
         }
         if !it.open.contains(&head.key) {
-            return self.emit(host, Head { bounced: true, ..head });
+            return self.emit(host, PacketHeader { bounced: true, ..head });
         }
         match head.kind {
-            Kind::Finish => {
+            PacketKind::Finish => {
                 it.open.remove(&head.key);
-                self.emit(host, Head { len: 0, ..head });
+                self.emit(host, PacketHeader { len: 0, ..head });
             }
             _ if it.resets && head.len > 0 => {
                 it.open.remove(&head.key);
-                self.emit(host, Head { kind: Kind::Reset, len: 0, ..head });
+                self.emit(host, PacketHeader { kind: PacketKind::Reset, len: 0, ..head });
             }
             _ => self.request(host, head.key),
         }
@@ -624,7 +624,7 @@
         let Some(&id) = self.by_key.get(&key) else {
             return;
         };
-        let (slots, queue) = (self.shape.slots, self.shape.queue);
+        let (slots, queue) = (self.params.slots, self.params.queue);
         let Some(it) = self.hosts.get_mut(&host).and_then(|it| it.upstream.as_mut()) else {
             return;
         };
@@ -647,7 +647,7 @@
     }
 
     fn start_work(&mut self, host: u8, upstream: u64, id: u64) {
-        let mean = self.shape.work_ms as f64;
+        let mean = self.params.work_ms as f64;
         let work = mean * -(1.0 - self.rng.random::<f64>()).ln();
         self.push(work.min(mean * 6.0) as u64 + 1, Event::Work(host, upstream, id));
     }
@@ -674,18 +674,18 @@
         };
         let (key, ack) = (flow.key, flow.seq.wrapping_add(100));
         let seq = flow.next_ack.unwrap_or(0);
-        let head = Head { key, kind: Kind::Data, bounced: false, seq, ack, len: 100 };
+        let head = PacketHeader { key, kind: PacketKind::Data, bounced: false, seq, ack, len: 100 };
         self.emit(host, head);
     }
 
-    fn emit(&mut self, host: u8, head: Head) {
+    fn emit(&mut self, host: u8, head: PacketHeader) {
         let packet = self.new_packet(head);
         let now = self.now;
-        self.with_agent_packet(host, packet, |it, out| it.sent(&head, now, out));
+        self.with_agent_packet(host, packet, |it, out| it.handle_upstream_packet(&head, now, out));
     }
 
-    fn new_packet(&mut self, head: Head) -> u64 {
-        self.packets.push(Head { bounced: false, ..head });
+    fn new_packet(&mut self, head: PacketHeader) -> u64 {
+        self.packets.push(PacketHeader { bounced: false, ..head });
         self.packets.len() as u64 - 1
     }
 
@@ -724,12 +724,17 @@
         };
         flow.copy = copy;
         let head = match flow.next_ack {
-            None => {
-                Head { key: flow.key, kind: Kind::Open, bounced: false, seq: 1, ack: copy, len: 0 }
-            }
-            Some(ack) => Head {
+            None => PacketHeader {
+                key: flow.key,
+                kind: PacketKind::Open,
+                bounced: false,
+                seq: 1,
+                ack: copy,
+                len: 0,
+            },
+            Some(ack) => PacketHeader {
                 key: flow.key,
-                kind: if flow.closing { Kind::Finish } else { Kind::Data },
+                kind: if flow.closing { PacketKind::Finish } else { PacketKind::Data },
                 bounced: false,
                 seq: flow.seq,
                 ack,
@@ -749,7 +754,7 @@
         let bytes = packet.to_be_bytes();
         let mut out = Vec::new();
         if let Some(it) = self.balancers.get_mut(&number) {
-            it.packet(&head, &bytes, self.now, &mut out);
+            it.handle_packet(&head, &bytes, self.now, &mut out);
         }
         self.balancer_effects(number, out, packet);
     }
@@ -776,18 +781,18 @@
         self.send(id, copy);
     }
 
-    fn caller_receives(&mut self, id: u64, head: &Head) {
+    fn caller_receives(&mut self, id: u64, head: &PacketHeader) {
         let now = self.now;
         let Some(flow) = self.flows.get_mut(&id) else {
             return;
         };
         match head.kind {
-            Kind::Open if flow.next_ack.is_none() => {
+            PacketKind::Open if flow.next_ack.is_none() => {
                 flow.next_ack = Some(head.seq.wrapping_add(1));
                 flow.copy = 100;
                 self.send(id, 0);
             }
-            Kind::Data
+            PacketKind::Data
                 if flow.waiting && !flow.closing && head.ack == flow.seq.wrapping_add(100) =>
             {
                 flow.waiting = false;
@@ -795,12 +800,12 @@
                 flow.seq = head.ack;
                 let (pause, waited) = (flow.pause_ms, now - flow.sent_ms);
                 self.tally.answered += 1;
-                self.tally.waits.push(waited);
+                self.tally.latencies_ms.push(waited);
                 let pause = self.rng.random_range(0..=2 * pause);
                 self.push(pause, Event::NextRequest(id));
             }
-            Kind::Finish if flow.closing => self.end_flow(id),
-            Kind::Reset => {
+            PacketKind::Finish if flow.closing => self.end_flow(id),
+            PacketKind::Reset => {
                 self.tally.failed += 1;
                 self.end_flow(id);
             }
@@ -831,7 +836,7 @@
 fn packet_of(payload: &Payload, current: u64) -> u64 {
     match payload {
         Payload::Current => current,
-        Payload::Held(bytes) => {
+        Payload::Buffered(bytes) => {
             let bytes: [u8; 8] = bytes.as_slice().try_into().expect("a packet's number");
             u64::from_be_bytes(bytes)
         }
--- a/crates/core/tests/opaque/zones.rs
+++ b/crates/core/tests/opaque/zones.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeSet;
 
 use camphorwinch_core::opaque::{
-    Kind,
+    PacketKind,
     balancer::Balancer,
-    effect::{Answer, Ask, Decision, Drop, Effect, Why},
+    effect::{Answer, Decision, DropReason, Effect, RelayAction, ResetReason},
     fleet::{Report, ZoneId},
     revision::Revision,
-    zone::{ZoneNews, ZonesOut},
+    zone::{ZoneUpdateResult, ZonesOut},
 };
 use quickcheck::quickcheck;
 
@@ -29,15 +29,15 @@
     for host in 1..=12 {
         let zone = ZoneId::of(zone_of(host));
         let report = Report { zone, ..report(1 + now_ms, 0) };
-        balancer.report(address(host), report, now_ms, &mut Vec::new());
+        balancer.handle_report(address(host), report, now_ms, &mut Vec::new());
     }
 }
 
 /// A balancer of the first zone that received reports of four agents in each of three zones.
 fn balancer() -> Balancer {
     let mut it = Balancer::new(address(200), ZoneId::of(NAMES[0])).with_unknown_zones();
-    it.put_routes(routes(1));
-    it.list(&[], 0);
+    it.update_routes(routes(1));
+    it.sync_members(&[], 0);
     report_agents(&mut it, 0);
     it
 }
@@ -47,10 +47,12 @@
     let mut zones = BTreeSet::new();
     for port in 0..50 {
         let mut effects = Vec::new();
-        balancer.packet(&head(port, Kind::Open), b"", now_ms, &mut effects);
-        for (_, ask) in relays(&effects) {
-            let Ask::Open(walk) = ask else { panic!("{ask:?}") };
-            zones.extend(walk.seats().iter().map(|it| zone_of(it.agent.ip().octets()[3])));
+        balancer.handle_packet(&head(port, PacketKind::Open), b"", now_ms, &mut effects);
+        for (_, action) in relays(&effects) {
+            let RelayAction::Open(candidates) = action else { panic!("{action:?}") };
+            zones.extend(
+                candidates.candidates().iter().map(|it| zone_of(it.agent.ip().octets()[3])),
+            );
         }
     }
     zones
@@ -59,11 +61,11 @@
 #[test]
 fn new_flows_avoid_a_zone_while_it_is_out_of_service() {
     let mut it = balancer();
-    assert_eq!(it.put_zones(zones_out(5, &["north"]), 0), ZoneNews::Changed);
+    assert_eq!(it.update_zones(zones_out(5, &["north"]), 0), ZoneUpdateResult::Changed);
     assert_eq!(zones_of_new_flows(&mut it, 10), BTreeSet::from(["south", "east"]));
-    assert_eq!(it.put_zones(zones_out(6, &["north", "east"]), 0), ZoneNews::Changed);
+    assert_eq!(it.update_zones(zones_out(6, &["north", "east"]), 0), ZoneUpdateResult::Changed);
     assert_eq!(zones_of_new_flows(&mut it, 20), BTreeSet::from(["south"]));
-    assert_eq!(it.put_zones(zones_out(7, &[]), 0), ZoneNews::Changed);
+    assert_eq!(it.update_zones(zones_out(7, &[]), 0), ZoneUpdateResult::Changed);
     assert_eq!(zones_of_new_flows(&mut it, 30), BTreeSet::from(NAMES));
 }
 
@@ -72,28 +74,28 @@
 fn no_flow_is_placed_before_the_zones_are_known() {
     let mut it = balancer();
     let mut effects = Vec::new();
-    it.packet(&head(1, Kind::Open), b"", 10, &mut effects);
-    assert_eq!(decisions(&effects), [Decision::Dropped(Drop::NoConfig)]);
-    assert_eq!(it.put_zones(zones_out(5, &["north"]), 0), ZoneNews::Changed);
+    it.handle_packet(&head(1, PacketKind::Open), b"", 10, &mut effects);
+    assert_eq!(decisions(&effects), [Decision::Dropped(DropReason::NoConfig)]);
+    assert_eq!(it.update_zones(zones_out(5, &["north"]), 0), ZoneUpdateResult::Changed);
     assert_eq!(zones_of_new_flows(&mut it, 20), BTreeSet::from(["south", "east"]));
 }
 
 #[test]
 fn open_flows_stay_in_a_zone_out_of_service() {
     let mut it = balancer();
-    it.put_zones(zones_out(5, &[]), 0);
+    it.update_zones(zones_out(5, &[]), 0);
     let mut effects = Vec::new();
-    it.packet(&head(1, Kind::Open), b"", 10, &mut effects);
+    it.handle_packet(&head(1, PacketKind::Open), b"", 10, &mut effects);
     let (agent, _) = relays(&effects)[0];
-    it.answer(agent, key(1), Answer::Here, None, 11, &mut Vec::new());
-    it.put_zones(zones_out(6, &[zone_of(agent.ip().octets()[3])]), 0);
+    it.handle_answer(agent, key(1), Answer::Here, None, 11, &mut Vec::new());
+    it.update_zones(zones_out(6, &[zone_of(agent.ip().octets()[3])]), 0);
     effects.clear();
-    it.packet(&data(1, 1, 1), b"", 20, &mut effects);
-    assert_eq!(relays(&effects), [(agent, Ask::Deliver)]);
+    it.handle_packet(&data(1, 1, 1), b"", 20, &mut effects);
+    assert_eq!(relays(&effects), [(agent, RelayAction::Deliver)]);
     // A retransmitted opening packet goes elsewhere, as the upstream could take it for a new flow.
     effects.clear();
-    let copy = camphorwinch_core::opaque::Head { ack: 1, ..head(1, Kind::Open) };
-    it.packet(&copy, b"", 30, &mut effects);
+    let copy = camphorwinch_core::opaque::PacketHeader { ack: 1, ..head(1, PacketKind::Open) };
+    it.handle_packet(&copy, b"", 30, &mut effects);
     assert!(relays(&effects).iter().all(|it| it.0 != agent), "{effects:?}");
 }
 
@@ -101,30 +103,30 @@
 #[test]
 fn flows_are_reset_at_once_if_all_zones_are_out_of_service() {
     let mut it = balancer();
-    it.put_zones(zones_out(5, &NAMES), 0);
+    it.update_zones(zones_out(5, &NAMES), 0);
     report_agents(&mut it, 1_000);
     let mut effects = Vec::new();
-    it.packet(&head(1, Kind::Open), b"", 1_100, &mut effects);
+    it.handle_packet(&head(1, PacketKind::Open), b"", 1_100, &mut effects);
     assert_eq!(resets(&effects), 1);
-    assert_eq!(decisions(&effects), [Decision::Reset(Why::ZonesOut)]);
+    assert_eq!(decisions(&effects), [Decision::Reset(ResetReason::ZonesOut)]);
 }
 
 #[test]
 fn unknown_zone_names_are_ignored() {
     let mut it = balancer();
-    it.put_zones(zones_out(5, &["nowhere", "north"]), 0);
+    it.update_zones(zones_out(5, &["nowhere", "north"]), 0);
     assert_eq!(zones_of_new_flows(&mut it, 10), BTreeSet::from(["south", "east"]));
 }
 
 #[test]
 fn stale_updates_are_ignored() {
     let mut it = balancer();
-    it.put_zones(zones_out(7, &["north"]), 0);
+    it.update_zones(zones_out(7, &["north"]), 0);
     for stale in [zones_out(6, &[]), zones_out(5, &["south"]), zones_out(7, &["east"])] {
-        assert_eq!(it.put_zones(stale, 0), ZoneNews::Stale);
+        assert_eq!(it.update_zones(stale, 0), ZoneUpdateResult::Stale);
     }
-    assert_eq!(it.put_zones(zones_out(8, &["north"]), 0), ZoneNews::Unchanged);
-    assert_eq!(it.put_zones(zones_out(7, &[]), 0), ZoneNews::Stale);
+    assert_eq!(it.update_zones(zones_out(8, &["north"]), 0), ZoneUpdateResult::Unchanged);
+    assert_eq!(it.update_zones(zones_out(7, &[]), 0), ZoneUpdateResult::Stale);
     assert_eq!(zones_of_new_flows(&mut it, 10), BTreeSet::from(["south", "east"]));
 }
 
@@ -136,8 +138,8 @@
     let after = first.with_changes(Revision::new(0, 9), changes);
     assert_eq!(after, zones_out(9, &["north"]));
     let mut it = balancer();
-    it.put_zones(first, 0);
-    assert_eq!(it.put_zones(after, 0), ZoneNews::Changed);
+    it.update_zones(first, 0);
+    assert_eq!(it.update_zones(after, 0), ZoneUpdateResult::Changed);
     assert_eq!(zones_of_new_flows(&mut it, 10), BTreeSet::from(["south", "east"]));
 }
 
@@ -149,11 +151,11 @@
 #[test]
 fn a_later_era_supersedes_a_higher_revision_number() {
     let mut it = balancer();
-    it.put_zones(zones_out_in(1, 25, &[]), 0);
-    assert_eq!(it.put_zones(zones_out_in(2, 23, &["north"]), 10), ZoneNews::Changed);
+    it.update_zones(zones_out_in(1, 25, &[]), 0);
+    assert_eq!(it.update_zones(zones_out_in(2, 23, &["north"]), 10), ZoneUpdateResult::Changed);
     assert_eq!(zones_of_new_flows(&mut it, 20), BTreeSet::from(["south", "east"]));
-    assert_eq!(it.put_zones(zones_out_in(1, 26, &[]), 30), ZoneNews::Stale);
-    assert_eq!(it.put_zones(zones_out_in(2, 24, &[]), 40), ZoneNews::Changed);
+    assert_eq!(it.update_zones(zones_out_in(1, 26, &[]), 30), ZoneUpdateResult::Stale);
+    assert_eq!(it.update_zones(zones_out_in(2, 24, &[]), 40), ZoneUpdateResult::Changed);
     assert_eq!(zones_of_new_flows(&mut it, 50), BTreeSet::from(NAMES));
 }
 
@@ -161,27 +163,30 @@
 #[test]
 fn a_zone_whose_entry_was_lost_stays_out_until_the_entry_is_written_again() {
     let mut it = balancer();
-    it.put_zones(zones_out_in(1, 25, &["north"]), 0);
-    assert_eq!(it.put_zones(zones_out_in(2, 21, &["east"]), 1_000), ZoneNews::Changed);
+    it.update_zones(zones_out_in(1, 25, &["north"]), 0);
+    assert_eq!(it.update_zones(zones_out_in(2, 21, &["east"]), 1_000), ZoneUpdateResult::Changed);
     assert_eq!(zones_of_new_flows(&mut it, 1_010), BTreeSet::from(["south"]));
-    assert_eq!(it.fleet().zone_names_out(), ["east", "north"]);
-    assert_eq!(it.put_zones(zones_out_in(2, 22, &["east", "north"]), 2_000), ZoneNews::Unchanged);
+    assert_eq!(it.fleet().out_of_service_zone_names(), ["east", "north"]);
+    assert_eq!(
+        it.update_zones(zones_out_in(2, 22, &["east", "north"]), 2_000),
+        ZoneUpdateResult::Unchanged
+    );
     // From then on the store decides, also that the zone returns.
-    assert_eq!(it.put_zones(zones_out_in(2, 23, &["east"]), 3_000), ZoneNews::Changed);
+    assert_eq!(it.update_zones(zones_out_in(2, 23, &["east"]), 3_000), ZoneUpdateResult::Changed);
     assert_eq!(zones_of_new_flows(&mut it, 3_010), BTreeSet::from(["north", "south"]));
 }
 
 #[test]
 fn a_zone_whose_lost_entry_is_not_written_again_returns_to_service() {
     let mut it = balancer();
-    it.put_zones(zones_out_in(1, 25, &["north"]), 0);
-    it.put_zones(zones_out_in(2, 21, &[]), 1_000);
-    assert!(!it.release_zones(10_900));
+    it.update_zones(zones_out_in(1, 25, &["north"]), 0);
+    it.update_zones(zones_out_in(2, 21, &[]), 1_000);
+    assert!(!it.expire_lost_zones(10_900));
     report_agents(&mut it, 10_900);
     assert_eq!(zones_of_new_flows(&mut it, 10_900), BTreeSet::from(["south", "east"]));
-    assert!(it.release_zones(11_000));
+    assert!(it.expire_lost_zones(11_000));
     assert_eq!(zones_of_new_flows(&mut it, 11_000), BTreeSet::from(NAMES));
-    assert!(!it.release_zones(12_000));
+    assert!(!it.expire_lost_zones(12_000));
 }
 
 // A balancer that starts after a store reset finds no trace of lost entries in the store, and placed flows in their
@@ -189,18 +194,18 @@
 #[test]
 fn a_new_balancer_accepts_lost_entries_from_a_peer_for_a_limited_time() {
     let mut peer = balancer();
-    peer.put_zones(zones_out_in(1, 25, &["north"]), 0);
-    peer.put_zones(zones_out_in(2, 21, &[]), 1_000);
+    peer.update_zones(zones_out_in(1, 25, &["north"]), 0);
+    peer.update_zones(zones_out_in(2, 21, &[]), 1_000);
     let lost: Vec<String> = peer.fleet().lost_zones().map(str::to_owned).collect();
     assert_eq!(lost, ["north"]);
     let mut it = balancer();
-    it.put_zones(zones_out_in(2, 21, &[]), 2_000);
-    assert!(it.learn_lost_zones(lost.clone(), 2_100));
+    it.update_zones(zones_out_in(2, 21, &[]), 2_000);
+    assert!(it.merge_lost_zones(lost.clone(), 2_100));
     report_agents(&mut it, 2_100);
     assert_eq!(zones_of_new_flows(&mut it, 2_100), BTreeSet::from(["south", "east"]));
-    assert!(it.release_zones(12_000));
+    assert!(it.expire_lost_zones(12_000));
     // Balancers must not refresh lost entries among themselves forever.
-    assert!(!it.learn_lost_zones(lost, 12_001));
+    assert!(!it.merge_lost_zones(lost, 12_001));
     report_agents(&mut it, 12_001);
     assert_eq!(zones_of_new_flows(&mut it, 12_001), BTreeSet::from(NAMES));
 }
@@ -215,7 +220,7 @@
     let mut it = balancer();
     let mut newest = None;
     for &(revision, _) in updates {
-        it.put_zones(set(revision), 0);
+        it.update_zones(set(revision), 0);
         newest = newest.max(Some(revision));
     }
     it.fleet().zones_out().cloned() == newest.map(set)
@@ -234,12 +239,12 @@
     for (host, load) in [(1, 4_000), (5, 100)] {
         let report =
             Report { zone: ZoneId::of(zone_of(host)), full: load > 900, ..report(1, load) };
-        it.report(address(host), report, 0, &mut Vec::<Effect>::new());
+        it.handle_report(address(host), report, 0, &mut Vec::<Effect>::new());
     }
     let candidates =
         |it: &Balancer| it.fleet().candidates(POOL, 1, ZoneId::of("north"), None, &[], 0);
     assert_eq!(candidates(&it).pool.full_percent, 50);
-    it.put_zones(zones_out(5, &["north"]), 0);
+    it.update_zones(zones_out(5, &["north"]), 0);
     let found = candidates(&it);
     assert_eq!((found.pool.full_percent, found.limit), (0, 140));
 }
--- a/crates/opaque/src/agent.rs
+++ b/crates/opaque/src/agent.rs
@@ -8,9 +8,9 @@
 use anyhow::Context;
 use camphorwinch_core::opaque::{
     PoolId,
-    agent::{Agent, Heartbeat, Identity, Life},
+    agent::{Agent, Heartbeat, Identity, UpstreamInstance},
     effect::{Effect, Payload},
-    fleet::{Listed, Plan, REPORT_MS, Upstream, ZoneId},
+    fleet::{AgentPlan, MemberEntry, REPORT_INTERVAL_MS, UpstreamState, ZoneId},
 };
 use camphorwinch_wire::opaque::{Body, Report};
 use tokio::{
@@ -45,7 +45,7 @@
 const MAX_STOP_MS: u64 = 1_500;
 /// Timeout for the check whether the upstream listens.
 const LISTEN_CHECK_TIMEOUT: Duration = Duration::from_millis(200);
-/// Timeout for removing this process from the member list.
+/// Timeout for withdrawing this process from the store.
 const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(800);
 /// Capacity of the internal channels.
 const CHANNEL_CAPACITY: usize = 64;
@@ -67,7 +67,7 @@
     pub heartbeat: Duration,
     /// Whether the system starts for the first time.
     pub first_start: bool,
-    /// Balancers to query while the store is unavailable.
+    /// Balancers to request the state from while the store is unavailable.
     pub seeds: watch::Receiver<Vec<SocketAddrV4>>,
 }
 
@@ -77,7 +77,7 @@
     /// A periodic heartbeat.
     Heartbeat(Heartbeat, oneshot::Sender<MessageResult>),
     /// The upstream is ending.
-    Deregister(Life, oneshot::Sender<MessageResult>),
+    Deregister(UpstreamInstance, oneshot::Sender<MessageResult>),
 }
 
 /// Result of an upstream's message.
@@ -119,14 +119,14 @@
     let learning = is_listening(settings.upstream).await;
     let (serves, serving) = watch::channel(learning);
     tokio::spawn(discovery::observe_resets(store.era()));
-    let greeted = watch::Sender::<BTreeSet<SocketAddrV4>>::default();
+    let hello_senders = watch::Sender::<BTreeSet<SocketAddrV4>>::default();
     let join = Join {
         store: store.clone(),
         own: own.clone(),
         serves: serving,
         first_start: settings.first_start,
         seeds,
-        greeted: greeted.subscribe(),
+        hello_senders: hello_senders.subscribe(),
         relist: join_relist,
         lists: Arc::default(),
         // Agents follow no topic in the store.
@@ -152,7 +152,7 @@
         peers,
         copy,
         balancers: BTreeSet::new(),
-        greeted,
+        hello_senders,
         relist,
         serves,
         effects: Vec::new(),
@@ -165,8 +165,8 @@
     let leaves = process.serve(input, messages, stop).await?;
     if leaves {
         withdraw(&store, &own.name).await;
-        // Balancers that read the list just before the removal learn it from this report.
-        process.set_plan(Plan::Leave);
+        // Balancers that read the list just before the withdrawal learn of it from this report.
+        process.set_plan(AgentPlan::Leave);
     }
     let id = Id::Stopped;
     tracing::info!(id = id as u16, name = id.name(), leaves);
@@ -199,8 +199,8 @@
     peers: Peers,
     copy: SnapshotCopy,
     balancers: BTreeSet<SocketAddrV4>,
-    /// Some of the balancers that have greeted this process, which can serve it the list.
-    greeted: watch::Sender<BTreeSet<SocketAddrV4>>,
+    /// Some of the balancers that have sent this process a hello; they can serve it the list.
+    hello_senders: watch::Sender<BTreeSet<SocketAddrV4>>,
     relist: Arc<Notify>,
     /// Whether the process should be listed. An agent that never had an upstream is not, so that a starting fleet does
     /// not wait for it.
@@ -248,7 +248,7 @@
                 }
             }
             if stopping_ms.is_some_and(|it| self.is_quiet(it)) {
-                self.set_plan(Plan::Restart);
+                self.set_plan(AgentPlan::Restart);
                 return Ok(false);
             }
         }
@@ -258,8 +258,8 @@
     async fn stop(&mut self) -> bool {
         let now = now_ms();
         let known = self.state.upstream(now);
-        let ended = known == Upstream::Ended || !is_listening(self.address).await;
-        let (busy, flows) = (self.state.busy(), self.state.flows());
+        let ended = known == UpstreamState::Ended || !is_listening(self.address).await;
+        let (busy, flows) = (self.state.active_requests(), self.state.flows());
         let id = Id::Stopping;
         tracing::info!(
             id = id as u16,
@@ -274,26 +274,26 @@
             tracing::info!(id = id as u16, name = id.name(), peer = %self.address);
             self.state.upstream_ended(now, &mut self.effects);
             self.apply(&[], now);
-            self.set_plan(Plan::Leave);
+            self.set_plan(AgentPlan::Leave);
         } else {
-            self.set_plan(Plan::Pause);
+            self.set_plan(AgentPlan::Pause);
         }
         ended
     }
 
     fn is_quiet(&self, stopping_ms: u64) -> bool {
         let since = now_ms().saturating_sub(stopping_ms);
-        since > MAX_STOP_MS || (since > MIN_STOP_MS && self.state.busy() == 0)
+        since > MAX_STOP_MS || (since > MIN_STOP_MS && self.state.active_requests() == 0)
     }
 
-    fn set_plan(&mut self, plan: Plan) {
+    fn set_plan(&mut self, plan: AgentPlan) {
         let now = now_ms();
         self.state.set_plan(plan, now, &mut self.effects);
         self.apply(&[], now);
     }
 
     fn update_report_interval(&mut self) {
-        self.state.set_report_pause(report_interval_ms(self.balancers.len()));
+        self.state.set_report_interval(report_interval_ms(self.balancers.len()));
     }
 
     fn tick(&mut self) {
@@ -302,11 +302,11 @@
         self.apply(&[], now);
         self.decision_log.tick(now);
         let pause = report_interval_ms(self.balancers.len());
-        if now.saturating_sub(self.reported_ms) >= u64::from(pause) && self.state.has_served() {
+        if now.saturating_sub(self.reported_ms) >= u64::from(pause) && self.state.had_upstream() {
             self.report(now);
         }
         metrics::FLOWS.set(i64::from(self.state.flows()));
-        metrics::REQUESTS.set(i64::from(self.state.busy()));
+        metrics::REQUESTS.set(i64::from(self.state.active_requests()));
         metrics::WAITING_REQUESTS.set(self.state.waiting() as i64);
         metrics::PEERS.set(self.balancers.len() as i64);
     }
@@ -320,7 +320,7 @@
     }
 
     fn report_to(&mut self, to: SocketAddrV4, now: u64) {
-        let report = Report::from(self.state.next_report(now)).with_kept(self.copy.config());
+        let report = Report::from(self.state.next_report(now)).with_config_copy(self.copy.config());
         self.peers.control(to, Body::Report(report));
     }
 
@@ -335,7 +335,7 @@
                 Effect::Relay { to, relay, payload: Payload::Current } => {
                     self.peers.relay(to, &relay, current);
                 }
-                Effect::Relay { to, relay, payload: Payload::Held(packet) } => {
+                Effect::Relay { to, relay, payload: Payload::Buffered(packet) } => {
                     self.peers.relay(to, &relay, &packet);
                 }
                 Effect::Answer { to, key, answer, returned } => {
@@ -356,12 +356,14 @@
                     self.peers.plain(to, &self.scratch);
                 }
                 Effect::Report => self.report(now),
-                Effect::Note { key, decision } => self.decision_log.write(key, &decision, now),
-                Effect::Verdicts { to, verdicts } => self.peers.verdicts(to, &verdicts),
-                Effect::Greet { .. }
+                Effect::LogDecision { key, decision } => {
+                    self.decision_log.write(key, &decision, now)
+                }
+                Effect::QueryResponse { to, statuses } => self.peers.query_response(to, &statuses),
+                Effect::Hello { .. }
                 | Effect::Query { .. }
-                | Effect::Spread { .. }
-                | Effect::List
+                | Effect::FanOut { .. }
+                | Effect::ReloadMembers
                 | Effect::Unlisted { .. } => {
                     unreachable!("only balancers do this")
                 }
@@ -387,10 +389,10 @@
 
 /// Interval between reports to one of `balancers`, in milliseconds.
 fn report_interval_ms(balancers: usize) -> u32 {
-    REPORT_MS.max(balancers as u32 * 1_000 / REPORTS_PER_S)
+    REPORT_INTERVAL_MS.max(balancers as u32 * 1_000 / REPORTS_PER_S)
 }
 
-fn balancer_address(member: &Listed) -> Option<SocketAddrV4> {
+fn balancer_address(member: &MemberEntry) -> Option<SocketAddrV4> {
     member.pool.is_none().then_some(member.address)
 }
 
--- a/crates/opaque/src/agent/copy.rs
+++ b/crates/opaque/src/agent/copy.rs
@@ -9,13 +9,13 @@
 
 use std::{net::SocketAddrV4, sync::Arc, time::Duration};
 
-use camphorwinch_core::opaque::route::Stamp;
-use camphorwinch_wire::opaque::{Greeting, Question, Snapshot, ZonesEntry};
+use camphorwinch_core::opaque::route::ConfigVersion;
+use camphorwinch_wire::opaque::{Hello, Snapshot, SnapshotRequest, ZonesEntry};
 use tokio::{sync::watch, time::Instant};
 
 use crate::{
     event::Id,
-    snapshot::{self, QUERY_TIMEOUT},
+    snapshot::{self, REQUEST_TIMEOUT},
 };
 
 /// Age at which a copy is fetched again, as members change without a new revision.
@@ -37,19 +37,18 @@
         Ok(SnapshotCopy { newest, fetched: None })
     }
 
-    /// Stamp of the configuration in the copy, if there is one.
-    pub(super) fn config(&self) -> Option<Stamp> {
+    /// Version of the configuration in the copy, if there is one.
+    pub(super) fn config(&self) -> Option<ConfigVersion> {
         self.newest.borrow().config()
     }
 
-    /// Handles a balancer's greeting, which may request that this agent keep a copy.
-    pub(super) fn handle_greeting(&mut self, from: SocketAddrV4, greeting: &Greeting) {
-        self.handle_zones(greeting);
-        if !greeting.keep || greeting.config() < self.config() {
+    /// Handles a balancer's hello, which may request that this agent keep a copy.
+    pub(super) fn handle_hello(&mut self, from: SocketAddrV4, hello: &Hello) {
+        self.handle_zones(hello);
+        if !hello.keep_copy || hello.config() < self.config() {
             return;
         }
-        let pause =
-            if greeting.config() == self.config() { REFRESH_INTERVAL } else { RETRY_INTERVAL };
+        let pause = if hello.config() == self.config() { REFRESH_INTERVAL } else { RETRY_INTERVAL };
         if self.fetched.is_some_and(|it| it.elapsed() < pause) {
             return;
         }
@@ -58,8 +57,8 @@
     }
 
     /// Updates the zones out of service in the copy, which change without a new configuration.
-    fn handle_zones(&self, greeting: &Greeting) {
-        let Some(zones) = &greeting.zones else {
+    fn handle_zones(&self, hello: &Hello) {
+        let Some(zones) = &hello.zones else {
             return;
         };
         self.newest.send_if_modified(|copy| {
@@ -75,7 +74,7 @@
 
 async fn fetch(from: SocketAddrV4, newest: watch::Sender<Arc<Snapshot>>) {
     let id = Id::CopyKept;
-    let snapshot = match snapshot::query(from, &Question::all(), QUERY_TIMEOUT).await {
+    let snapshot = match snapshot::request(from, &SnapshotRequest::all(), REQUEST_TIMEOUT).await {
         Ok(it) => it,
         Err(e) => {
             let error = format!("{e:#}");
--- a/crates/opaque/src/agent/copy/tests.rs
+++ b/crates/opaque/src/agent/copy/tests.rs
@@ -1,6 +1,8 @@
 use std::net::SocketAddr;
 
-use camphorwinch_core::opaque::{fleet::Listed, revision::Revision, route::Routes, zone::ZonesOut};
+use camphorwinch_core::opaque::{
+    fleet::MemberEntry, revision::Revision, route::Routes, zone::ZonesOut,
+};
 use camphorwinch_wire::opaque::ZonesEntry;
 use tokio::{net::TcpListener, time::sleep};
 
@@ -17,11 +19,11 @@
     ZonesEntry::from(&ZonesOut::new(Revision::new(0, revision), [name.to_owned()]))
 }
 
-/// Starts a balancer's snapshot server with this revision; returns its address and greeting.
-async fn balancer(revision: u64, zones: ZonesEntry) -> (SocketAddrV4, Greeting) {
+/// Starts a balancer's snapshot server with this revision; returns its address and hello.
+async fn balancer(revision: u64, zones: ZonesEntry) -> (SocketAddrV4, Hello) {
     let routes =
         Routes { revision: Revision::new(0, revision), version: revision, ..Routes::default() };
-    let members = [Listed {
+    let members = [MemberEntry {
         address: "10.0.0.9:7720".parse().expect("an address"),
         pool: None,
         zone: camphorwinch_core::opaque::zone::ZoneId(1),
@@ -35,12 +37,12 @@
     std::mem::forget(keep);
     (
         at,
-        Greeting {
+        Hello {
             revision,
             version: revision,
             zones: Some(zones),
-            keep: true,
-            ..Greeting::default()
+            keep_copy: true,
+            ..Hello::default()
         },
     )
 }
@@ -55,19 +57,20 @@
     let own = unused_address().await;
     let mut copy = SnapshotCopy::serve(own).expect("serve");
     assert_eq!(copy.config(), None);
-    let (at, greeting) = balancer(5, zones(7, "a")).await;
-    copy.handle_greeting(at, &greeting);
+    let (at, hello) = balancer(5, zones(7, "a")).await;
+    copy.handle_hello(at, &hello);
     wait_for_fetch().await;
     assert_eq!(copy.config().map(|it| it.version), Some(5));
-    let served = snapshot::query(own, &Question::all(), QUERY_TIMEOUT).await.expect("the copy");
+    let served =
+        snapshot::request(own, &SnapshotRequest::all(), REQUEST_TIMEOUT).await.expect("the copy");
     assert_eq!((served.revision, served.members.len(), served.zones), (5, 1, Some(zones(7, "a"))));
 }
 
 #[tokio::test]
 async fn agent_keeps_no_copy_without_request() {
     let mut copy = SnapshotCopy::serve(unused_address().await).expect("serve");
-    let (at, greeting) = balancer(5, zones(7, "a")).await;
-    copy.handle_greeting(at, &Greeting { keep: false, ..greeting });
+    let (at, hello) = balancer(5, zones(7, "a")).await;
+    copy.handle_hello(at, &Hello { keep_copy: false, ..hello });
     wait_for_fetch().await;
     assert_eq!(copy.config(), None);
 }
@@ -75,31 +78,31 @@
 #[tokio::test]
 async fn older_configuration_does_not_replace_newer_copy() {
     let mut copy = SnapshotCopy::serve(unused_address().await).expect("serve");
-    let (newer, greeting) = balancer(8, zones(9, "a")).await;
-    copy.handle_greeting(newer, &greeting);
+    let (newer, hello) = balancer(8, zones(9, "a")).await;
+    copy.handle_hello(newer, &hello);
     wait_for_fetch().await;
     // A balancer that announces a newer revision but serves an older one.
-    let (older, greeting) = balancer(5, zones(6, "b")).await;
+    let (older, hello) = balancer(5, zones(6, "b")).await;
     copy.fetched = None;
-    copy.handle_greeting(older, &Greeting { revision: 12, version: 12, ..greeting });
+    copy.handle_hello(older, &Hello { revision: 12, version: 12, ..hello });
     wait_for_fetch().await;
     let kept = copy.newest.borrow().clone();
     assert_eq!((kept.revision, kept.zones.clone()), (8, Some(zones(9, "a"))));
 }
 
 #[tokio::test]
-async fn newest_greeting_updates_zones_of_copy() {
+async fn newest_hello_updates_zones_of_copy() {
     let mut copy = SnapshotCopy::serve(unused_address().await).expect("serve");
-    let (at, greeting) = balancer(5, zones(7, "a")).await;
-    copy.handle_greeting(at, &greeting);
+    let (at, hello) = balancer(5, zones(7, "a")).await;
+    copy.handle_hello(at, &hello);
     wait_for_fetch().await;
-    let served = |zones| Greeting { zones: Some(zones), keep: false, ..greeting.clone() };
+    let served = |zones| Hello { zones: Some(zones), keep_copy: false, ..hello.clone() };
     for (served, expected) in [
         (served(zones(9, "b")), zones(9, "b")),
         (served(zones(8, "a")), zones(9, "b")),
-        (Greeting { zones: None, ..greeting.clone() }, zones(9, "b")),
+        (Hello { zones: None, ..hello.clone() }, zones(9, "b")),
     ] {
-        copy.handle_greeting(at, &served);
+        copy.handle_hello(at, &served);
         assert_eq!(copy.newest.borrow().zones, Some(expected));
     }
 }
@@ -107,12 +110,12 @@
 #[tokio::test]
 async fn failed_fetch_is_retried_with_another_balancer() {
     let mut copy = SnapshotCopy::serve(unused_address().await).expect("serve");
-    let (at, greeting) = balancer(5, zones(7, "a")).await;
-    copy.handle_greeting(unused_address().await, &greeting);
+    let (at, hello) = balancer(5, zones(7, "a")).await;
+    copy.handle_hello(unused_address().await, &hello);
     wait_for_fetch().await;
     assert_eq!(copy.config(), None);
     sleep(RETRY_INTERVAL).await;
-    copy.handle_greeting(at, &greeting);
+    copy.handle_hello(at, &hello);
     wait_for_fetch().await;
     assert_eq!(copy.config().map(|it| it.version), Some(5));
 }
--- a/crates/opaque/src/agent/input.rs
+++ b/crates/opaque/src/agent/input.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddrV4;
 
 use camphorwinch_core::opaque::{
-    agent::{Heard, Heartbeat},
-    effect::Relay,
-    fleet::Upstream,
+    agent::{Heartbeat, HeartbeatResult},
+    effect::RelayHeader,
+    fleet::UpstreamState,
 };
-use camphorwinch_wire::opaque::{Body, Datagram, Greeting, decode};
+use camphorwinch_wire::opaque::{Body, Datagram, Hello, decode};
 
 use super::{MAX_PACKETS_PER_TURN, MessageResult, Process, UpstreamMessage, balancer_address};
 use crate::{
@@ -20,8 +20,8 @@
     store::Members,
 };
 
-/// Maximum number of balancers remembered as having greeted this process.
-const MAX_GREETED: usize = 16;
+/// Maximum number of balancers remembered as having sent this process a hello.
+const MAX_HELLO_SENDERS: usize = 16;
 
 impl<C> Process<C>
 where
@@ -42,7 +42,7 @@
                 self.codec.restore(packet);
             }
             let now = now_ms();
-            self.state.sent(&head, now, &mut self.effects);
+            self.state.handle_upstream_packet(&head, now, &mut self.effects);
             let to = caller_address(&head, self.caller_port);
             self.apply_to(packet, Some(to), now);
         }
@@ -62,11 +62,11 @@
         let now = now_ms();
         match decode(bytes) {
             Ok(Datagram::Packet { relay, packet }) => self.handle_packet(&relay, &[], packet, now),
-            Ok(Datagram::Spread { relay, agents, packet }) => {
+            Ok(Datagram::FanOut { relay, agents, packet }) => {
                 self.handle_packet(&relay, &agents, packet, now);
             }
             Ok(Datagram::Control(message)) => match message.body {
-                Some(Body::Greeting(greeting)) => self.handle_greeting(from, greeting, now),
+                Some(Body::Hello(hello)) => self.handle_hello(from, hello, now),
                 Some(Body::Report(_)) | None => {
                     count_misdirected();
                 }
@@ -75,7 +75,7 @@
                 self.state.query(from, &keys, &mut self.effects);
                 self.apply(&[], now);
             }
-            Ok(Datagram::Answer { .. } | Datagram::Verdicts(_)) => {
+            Ok(Datagram::Answer { .. } | Datagram::QueryResponse(_)) => {
                 count_misdirected();
             }
             Err(e) => {
@@ -86,32 +86,39 @@
     }
 
     /// Handles a caller's packet, which is for `agents` if any are given.
-    fn handle_packet(&mut self, relay: &Relay, agents: &[SocketAddrV4], packet: &[u8], now: u64) {
+    fn handle_packet(
+        &mut self,
+        relay: &RelayHeader,
+        agents: &[SocketAddrV4],
+        packet: &[u8],
+        now: u64,
+    ) {
         let Some(head) = self.codec.caller_head(packet) else {
             count_malformed();
             return;
         };
         if agents.is_empty() {
-            self.state.relayed(relay, &head, packet, now, &mut self.effects);
+            self.state.handle_relayed_packet(relay, &head, packet, now, &mut self.effects);
         } else {
-            self.state.spread(relay, agents, &head, packet, now, &mut self.effects);
+            self.state.fan_out(relay, agents, &head, packet, now, &mut self.effects);
         }
         self.apply(packet, now);
     }
 
-    fn handle_greeting(&mut self, from: SocketAddrV4, greeting: Greeting, now: u64) {
-        if greeting.unlisted {
+    fn handle_hello(&mut self, from: SocketAddrV4, hello: Hello, now: u64) {
+        if hello.unlisted {
             let id = Id::Unlisted;
             tracing::info!(id = id as u16, name = id.name(), peer = %from);
             self.relist.notify_one();
         }
-        self.copy.handle_greeting(from, &greeting);
-        if greeting.leaving {
+        self.copy.handle_hello(from, &hello);
+        if hello.leaving {
             self.balancers.remove(&from);
-            self.greeted.send_if_modified(|it| it.remove(&from));
+            self.hello_senders.send_if_modified(|it| it.remove(&from));
         } else {
             self.balancers.insert(from);
-            self.greeted.send_if_modified(|it| it.len() < MAX_GREETED && it.insert(from));
+            self.hello_senders
+                .send_if_modified(|it| it.len() < MAX_HELLO_SENDERS && it.insert(from));
             self.report_to(from, now);
         }
         self.update_report_interval();
@@ -142,18 +149,18 @@
         let before = self.state.upstream(now);
         let (reply, result) = match message {
             UpstreamMessage::Heartbeat(beat, reply) => {
-                let heard = self.state.heartbeat(&beat, now, &mut self.effects);
-                log_heartbeat(&beat, heard, before);
-                (reply, message_result(heard))
+                let result = self.state.heartbeat(&beat, now, &mut self.effects);
+                log_heartbeat(&beat, result, before);
+                (reply, message_result(result))
             }
-            UpstreamMessage::Deregister(life, reply) => {
-                let present = self.state.deregister(&life, &mut self.effects);
+            UpstreamMessage::Deregister(instance, reply) => {
+                let present = self.state.deregister(&instance, &mut self.effects);
                 let id = if present { Id::UpstreamChanged } else { Id::HeartbeatLate };
                 tracing::info!(
                     id = id as u16,
                     name = id.name(),
-                    upstream = life.id,
-                    born_ms = life.born_ms,
+                    upstream = instance.id,
+                    born_ms = instance.started_at_ms,
                     before = before.as_str(),
                     ended = true,
                 );
@@ -161,7 +168,7 @@
             }
         };
         self.apply(&[], now);
-        if self.state.has_served() && !self.serves.send_replace(true) {
+        if self.state.had_upstream() && !self.serves.send_replace(true) {
             self.relist.notify_one();
         }
         // The requester may have disconnected.
@@ -169,27 +176,29 @@
     }
 }
 
-fn message_result(heard: Heard) -> MessageResult {
-    match heard {
-        Heard::Same | Heard::Changed | Heard::Late => MessageResult::Acknowledged,
-        Heard::Unclear => MessageResult::Unclear,
-        Heard::Foreign => MessageResult::Foreign,
+fn message_result(result: HeartbeatResult) -> MessageResult {
+    match result {
+        HeartbeatResult::Unchanged | HeartbeatResult::Changed | HeartbeatResult::Outdated => {
+            MessageResult::Acknowledged
+        }
+        HeartbeatResult::Ambiguous => MessageResult::Unclear,
+        HeartbeatResult::MissingStartTime => MessageResult::Foreign,
     }
 }
 
-fn log_heartbeat(beat: &Heartbeat, heard: Heard, before: Upstream) {
-    let id = match heard {
-        Heard::Changed => Id::UpstreamChanged,
-        Heard::Late => Id::HeartbeatLate,
-        Heard::Unclear => Id::HeartbeatUnclear,
-        Heard::Foreign => Id::HeartbeatForeign,
-        Heard::Same => return,
+fn log_heartbeat(beat: &Heartbeat, result: HeartbeatResult, before: UpstreamState) {
+    let id = match result {
+        HeartbeatResult::Changed => Id::UpstreamChanged,
+        HeartbeatResult::Outdated => Id::HeartbeatLate,
+        HeartbeatResult::Ambiguous => Id::HeartbeatUnclear,
+        HeartbeatResult::MissingStartTime => Id::HeartbeatForeign,
+        HeartbeatResult::Unchanged => return,
     };
     tracing::info!(
         id = id as u16,
         name = id.name(),
-        upstream = beat.life.id,
-        born_ms = beat.life.born_ms,
+        upstream = beat.instance.id,
+        born_ms = beat.instance.started_at_ms,
         seq = beat.seq,
         draining = beat.draining,
         slots = beat.slots,
--- a/crates/opaque/src/balancer.rs
+++ b/crates/opaque/src/balancer.rs
@@ -14,13 +14,13 @@
 };
 
 use camphorwinch_core::opaque::{
-    FlowKey, Head,
+    FlowKey, PacketHeader,
     balancer::Balancer,
     effect::{Effect, Payload},
-    fleet::{Listed, ZoneId},
+    fleet::{MemberEntry, ZoneId},
     zone::Regions,
 };
-use camphorwinch_wire::opaque::{Body, Greeting, Snapshot};
+use camphorwinch_wire::opaque::{Body, Hello, Snapshot};
 use tokio::{
     net::UdpSocket,
     sync::{Notify, mpsc, watch},
@@ -71,7 +71,7 @@
     pub caller_port: u16,
     /// Whether the system starts for the first time.
     pub first_start: bool,
-    /// Balancers to query while the store is unavailable.
+    /// Balancers to request the state from while the store is unavailable.
     pub seeds: watch::Receiver<Vec<SocketAddrV4>>,
     /// Whether zones may be taken out of service. If so, no flow is placed before the zones out of service are known.
     pub zones_change: bool,
@@ -117,15 +117,15 @@
     tokio::spawn(discovery::observe_resets(store.era()));
     let relist = Arc::new(Notify::new());
     let (_, serves) = watch::channel(true);
-    let (start, started) = watch::channel(DiscoveryState::Querying);
+    let (start, started) = watch::channel(DiscoveryState::Requesting);
     let join = Join {
         store: store.clone(),
         own: own.clone(),
         serves,
         first_start: settings.first_start,
         seeds: settings.seeds.clone(),
-        // Only agents track who greeted them.
-        greeted: watch::Sender::default().subscribe(),
+        // Only agents record which balancers sent them a hello.
+        hello_senders: watch::Sender::default().subscribe(),
         relist: relist.clone(),
         lists: lists.clone(),
         start,
@@ -154,7 +154,7 @@
         tokio::spawn(zones.run(topic));
     }
     let (gone, to_withdraw) = mpsc::channel(CHANNEL_CAPACITY);
-    tokio::spawn(discovery::remove_gone_members(store, to_withdraw));
+    tokio::spawn(discovery::withdraw_gone_members(store, to_withdraw));
     let now = now_ms();
     let process = Process {
         state,
@@ -172,17 +172,17 @@
         balancers: BTreeSet::new(),
         lists,
         records: Vec::new(),
-        removed: BTreeSet::new(),
+        withdrawn: BTreeSet::new(),
         list_era: None,
-        regreet_ms: None,
-        removal_due: BTreeMap::new(),
+        hello_resend_ms: None,
+        withdraw_due: BTreeMap::new(),
         gone,
         effects: Vec::new(),
         scratch: Vec::new(),
         decision_log: DecisionLog::new(now),
         started_ms: now,
         gossip_ms: now,
-        removal_check_ms: now,
+        withdraw_check_ms: now,
         packet_ms: now,
         status_ms: now,
         routes_role_sender,
@@ -211,21 +211,21 @@
     /// The member list as served to peers.
     lists: Arc<Lists>,
     records: Vec<Record>,
-    /// Agents removed by this balancer since the last list.
-    removed: BTreeSet<SocketAddrV4>,
+    /// Agents withdrawn by this balancer since the last list.
+    withdrawn: BTreeSet<SocketAddrV4>,
     /// Store era of the last member list.
     list_era: Option<u64>,
-    /// Time of the repeated greeting of all balancers about the newest configuration.
-    regreet_ms: Option<u64>,
-    /// Agents due for removal, and since when.
-    removal_due: BTreeMap<SocketAddrV4, u64>,
+    /// Time of the repeated hello to all balancers about the newest configuration.
+    hello_resend_ms: Option<u64>,
+    /// Agents due for withdrawal, and since when.
+    withdraw_due: BTreeMap<SocketAddrV4, u64>,
     gone: mpsc::Sender<Record>,
     effects: Vec<Effect>,
     scratch: Vec<u8>,
     decision_log: DecisionLog,
     started_ms: u64,
     gossip_ms: u64,
-    removal_check_ms: u64,
+    withdraw_check_ms: u64,
     packet_ms: u64,
     status_ms: u64,
     /// How this balancer follows the configuration.
@@ -266,7 +266,7 @@
                 }
             }
             if stopping_ms.is_some_and(|it| self.is_quiet(it)) {
-                self.greet_all(true);
+                self.send_hello_to_all(true);
                 let id = Id::Stopped;
                 tracing::info!(id = id as u16, name = id.name());
                 return Ok(());
@@ -285,7 +285,7 @@
     fn publish(&mut self) {
         self.unpublished = false;
         let mut members = self.state.fleet().members();
-        let balancer = |&address| Listed { address, pool: None, zone: self.zone };
+        let balancer = |&address| MemberEntry { address, pool: None, zone: self.zone };
         members.extend(self.balancers.iter().map(balancer));
         members.push(balancer(&self.own));
         let snapshot = Snapshot::new(self.state.routes().routes(), &members);
@@ -301,9 +301,9 @@
         self.apply(&[], now);
         self.decision_log.tick(now);
         self.gossip(now);
-        self.regreet(now);
-        self.release_zones(now);
-        self.remove_gone_agents(now);
+        self.resend_hellos(now);
+        self.expire_lost_zones(now);
+        self.withdraw_gone_agents(now);
         if self.ready.get() && now.saturating_sub(self.status_ms) < STATUS_INTERVAL_MS {
             return;
         }
@@ -313,29 +313,29 @@
             self.publish();
         }
         metrics::FLOWS.set(self.state.flows() as i64);
-        metrics::HELD_BYTES.set(self.state.held_bytes() as i64);
-        metrics::PEERS.set(self.state.fleet().heard(now) as i64);
+        metrics::HELD_BYTES.set(self.state.buffered_bytes() as i64);
+        metrics::PEERS.set(self.state.fleet().live_count(now) as i64);
         if stopping {
             return;
         }
         let ready = self.can_serve(now);
         if self.ready.set(ready) {
             let id = if ready { Id::Connected } else { Id::Disconnected };
-            let (heard, known) = (self.state.fleet().heard(now), self.state.fleet().len());
-            tracing::info!(id = id as u16, name = id.name(), heard, known);
+            let (live, known) = (self.state.fleet().live_count(now), self.state.fleet().len());
+            tracing::info!(id = id as u16, name = id.name(), heard = live, known);
         }
     }
 
     /// Whether packets can be served: the configuration is known and enough agents are reachable.
     fn can_serve(&self, now: u64) -> bool {
-        if self.state.routes().stamp().is_none() {
+        if self.state.routes().config_version().is_none() {
             return false;
         }
-        let (heard, known) = (self.state.fleet().heard(now), self.state.fleet().len());
-        if heard == 0 {
+        let (live, known) = (self.state.fleet().live_count(now), self.state.fleet().len());
+        if live == 0 {
             return known == 0 && now.saturating_sub(self.started_ms) > STARTUP_GRACE_MS;
         }
-        heard as f64 >= known as f64 * MIN_REACHABLE_SHARE
+        live as f64 >= known as f64 * MIN_REACHABLE_SHARE
     }
 
     fn apply(&mut self, current: &[u8], now: u64) {
@@ -345,23 +345,25 @@
                 Effect::Relay { to, relay, payload: Payload::Current } => {
                     self.peers.relay(to, &relay, current);
                 }
-                Effect::Relay { to, relay, payload: Payload::Held(packet) } => {
+                Effect::Relay { to, relay, payload: Payload::Buffered(packet) } => {
                     self.peers.relay(to, &relay, &packet);
                 }
                 Effect::Reset { key, seq } => self.reset(&key, seq),
-                Effect::Greet { to } => self.greet(to, false),
-                Effect::List => self.relist.notify_one(),
+                Effect::Hello { to } => self.send_hello(to, false),
+                Effect::ReloadMembers => self.relist.notify_one(),
                 Effect::Unlisted { to } => {
-                    let greeting = Greeting { unlisted: true, ..self.greeting() };
-                    self.peers.control(to, Body::Greeting(greeting));
+                    let hello = Hello { unlisted: true, ..self.hello() };
+                    self.peers.control(to, Body::Hello(hello));
                 }
                 Effect::Query { to, keys } => self.peers.query(to, &keys),
-                Effect::Spread { to, relay, agents, packet } => {
-                    self.peers.spread(to, &relay, &agents, &packet);
+                Effect::FanOut { to, relay, agents, packet } => {
+                    self.peers.fan_out(to, &relay, &agents, &packet);
+                }
+                Effect::LogDecision { key, decision } => {
+                    self.decision_log.write(key, &decision, now)
                 }
-                Effect::Note { key, decision } => self.decision_log.write(key, &decision, now),
                 Effect::Answer { .. }
-                | Effect::Verdicts { .. }
+                | Effect::QueryResponse { .. }
                 | Effect::Deliver
                 | Effect::Release { .. }
                 | Effect::Reply
@@ -380,6 +382,6 @@
 }
 
 /// Destination of a packet for a caller.
-pub(crate) fn caller_address(head: &Head, port: u16) -> SocketAddrV4 {
+pub(crate) fn caller_address(head: &PacketHeader, port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(*head.key.caller.ip(), port)
 }
--- a/crates/opaque/src/balancer/input.rs
+++ b/crates/opaque/src/balancer/input.rs
@@ -3,13 +3,13 @@
 use std::net::SocketAddrV4;
 
 use camphorwinch_core::opaque::{
-    fleet::{Change, Listed},
-    route::{Routes, Stamp},
-    zone::{ZoneNews, ZonesOut},
+    fleet::{MemberEntry, ReportChange},
+    route::{ConfigVersion, Routes},
+    zone::{ZoneUpdateResult, ZonesOut},
 };
-use camphorwinch_wire::opaque::{Body, Datagram, Greeting, Question, Report, decode};
+use camphorwinch_wire::opaque::{Body, Datagram, Hello, Report, SnapshotRequest, decode};
 
-use super::{MAX_PACKETS_PER_TURN, Process, maintenance::REGREET_DELAY_MS};
+use super::{MAX_PACKETS_PER_TURN, Process, maintenance::HELLO_RESEND_DELAY_MS};
 use crate::{
     clock::now_ms,
     codec::{Codec, MAX_PACKET_BYTES},
@@ -37,7 +37,7 @@
             };
             let now = now_ms();
             self.packet_ms = now;
-            self.state.packet(&head, packet, now, &mut self.effects);
+            self.state.handle_packet(&head, packet, now, &mut self.effects);
             self.apply(packet, now);
         }
     }
@@ -60,21 +60,21 @@
                 self.codec.restore(&mut packet);
                 let head = self.codec.caller_head(&packet);
                 let returned = head.as_ref().map(|it| (it, packet.as_slice()));
-                self.state.answer(from, key, answer, returned, now, &mut self.effects);
+                self.state.handle_answer(from, key, answer, returned, now, &mut self.effects);
                 self.apply(&packet, now);
             }
             Ok(Datagram::Control(message)) => match message.body {
                 Some(Body::Report(report)) => self.handle_report(from, report, now),
-                Some(Body::Greeting(greeting)) => self.handle_greeting(from, greeting),
+                Some(Body::Hello(hello)) => self.handle_hello(from, hello),
                 None => count_malformed(),
             },
-            Ok(Datagram::Verdicts(verdicts)) => {
-                for (key, verdict) in verdicts {
-                    self.state.verdict(from, key, verdict, now, &mut self.effects);
+            Ok(Datagram::QueryResponse(statuses)) => {
+                for (key, status) in statuses {
+                    self.state.handle_query_result(from, key, status, now, &mut self.effects);
                 }
                 self.apply(&[], now);
             }
-            Ok(Datagram::Packet { .. } | Datagram::Spread { .. } | Datagram::Query(_)) => {
+            Ok(Datagram::Packet { .. } | Datagram::FanOut { .. } | Datagram::Query(_)) => {
                 count_misdirected();
             }
             Err(e) => {
@@ -85,13 +85,13 @@
     }
 
     fn handle_report(&mut self, from: SocketAddrV4, report: Report, now: u64) {
-        self.handle_kept_copy(from, report.kept_config(), now);
+        self.handle_config_copy(from, report.config_copy(), now);
         let Ok(report) = report.try_into() else {
             count_malformed();
             return;
         };
-        let change = self.state.report(from, report, now, &mut self.effects);
-        if !matches!(change, Change::None | Change::Old) {
+        let change = self.state.handle_report(from, report, now, &mut self.effects);
+        if !matches!(change, ReportChange::None | ReportChange::Old) {
             let id = Id::AgentChanged;
             tracing::info!(
                 id = id as u16,
@@ -109,48 +109,48 @@
     }
 
     /// Fetches the copy of the configuration that an agent keeps, if this balancer has none yet.
-    fn handle_kept_copy(&mut self, from: SocketAddrV4, config: Option<Stamp>, now: u64) {
-        let known = self.state.routes().stamp().is_some();
-        if config.is_some_and(|it| !known && self.state.wants(it, now)) {
-            self.query_peer(from);
+    fn handle_config_copy(&mut self, from: SocketAddrV4, config: Option<ConfigVersion>, now: u64) {
+        let known = self.state.routes().config_version().is_some();
+        if config.is_some_and(|it| !known && self.state.should_request_config(it, now)) {
+            self.request_snapshot(from);
         }
     }
 
-    fn query_peer(&self, peer: SocketAddrV4) {
+    fn request_snapshot(&self, peer: SocketAddrV4) {
         let (own, updates) = (self.own, self.updates.clone());
         // The members are omitted if they are known already.
-        let query = if self.state.knows_members() {
-            Question::default().with_config()
+        let request = if self.state.has_member_list() {
+            SnapshotRequest::default().with_config()
         } else {
-            Question::all()
+            SnapshotRequest::all()
         };
-        tokio::spawn(async move { discovery::query_any(&[peer], own, &query, &updates).await });
+        tokio::spawn(async move { discovery::request_any(&[peer], own, &request, &updates).await });
     }
 
-    fn handle_greeting(&mut self, from: SocketAddrV4, greeting: Greeting) {
-        if !greeting.leaving && self.balancers.insert(from) {
+    fn handle_hello(&mut self, from: SocketAddrV4, hello: Hello) {
+        if !hello.leaving && self.balancers.insert(from) {
             self.unpublished = true;
         }
-        let config = greeting.config();
-        if let Some(zones) = greeting.zones {
-            self.put_zones(zones.into());
+        let config = hello.config();
+        if let Some(zones) = hello.zones {
+            self.update_zones(zones.into());
         }
-        if config.is_some_and(|it| self.state.wants(it, now_ms())) {
-            self.query_peer(from);
+        if config.is_some_and(|it| self.state.should_request_config(it, now_ms())) {
+            self.request_snapshot(from);
         }
     }
 
     pub(super) fn handle_update(&mut self, update: Update) {
         let now = now_ms();
         let newer = match update {
-            Update::PeerRoutes(routes) => self.put_routes(routes, "peer"),
+            Update::PeerRoutes(routes) => self.update_routes(routes, "peer"),
             Update::StoreRoutes(routes) => self.handle_store_routes(routes, now),
             Update::PeerZones(zones) => {
-                self.put_zones(zones);
+                self.update_zones(zones);
                 false
             }
             Update::PeerLostZones(names) => {
-                if self.state.learn_lost_zones(names, now) {
+                if self.state.merge_lost_zones(names, now) {
                     self.report_zones_out();
                 }
                 false
@@ -172,28 +172,28 @@
         if !newer {
             return;
         }
-        for to in self.state.to_tell(&self.balancers) {
-            self.greet(to, false);
+        for to in self.state.config_recipients(&self.balancers) {
+            self.send_hello(to, false);
         }
     }
 
     /// Applies a configuration from the store; returns whether it is newer than the one in force.
     fn handle_store_routes(&mut self, routes: Routes, now: u64) -> bool {
-        let newer = self.put_routes(routes, "store");
+        let newer = self.update_routes(routes, "store");
         if newer {
             // Keeps an earlier deadline, so that frequent changes can't postpone it.
-            self.regreet_ms.get_or_insert(now + REGREET_DELAY_MS);
-            self.greet_all_keepers(now);
+            self.hello_resend_ms.get_or_insert(now + HELLO_RESEND_DELAY_MS);
+            self.send_hello_to_replicas(now);
         }
         newer
     }
 
-    /// Applies the zones out of service from the store. A greeting contains the whole set, so all others are greeted
+    /// Applies the zones out of service from the store. A hello contains the whole set, so all others are sent one
     /// at once.
     fn handle_store_zones(&mut self, zones: ZonesOut, now: u64) {
-        if self.put_zones(zones) == ZoneNews::Changed {
-            self.greet_balancers(false);
-            self.greet_all_keepers(now);
+        if self.update_zones(zones) == ZoneUpdateResult::Changed {
+            self.send_hello_to_balancers(false);
+            self.send_hello_to_replicas(now);
         }
     }
 
@@ -202,46 +202,46 @@
         let (era, revision) = (at.era, at.number);
         let id = Id::MembersListed;
         tracing::info!(id = id as u16, name = id.name(), members = records.len(), era, revision);
-        let listed: Vec<Listed> = records.iter().map(|it| it.listed).collect();
+        let listed: Vec<MemberEntry> = records.iter().map(|it| it.listed).collect();
         self.records.clone_from(&records);
-        self.removed.clear();
-        self.state.list(&listed, now);
+        self.withdrawn.clear();
+        self.state.sync_members(&listed, now);
         self.balancers.clear();
         self.add_balancers(&listed);
-        // Pending list queries are answered from this snapshot.
+        // Pending list requests are answered from this snapshot.
         self.publish();
         self.lists.publish(at, records, attempt);
         if self.list_era.replace(era).is_some_and(|it| it < era) {
-            self.state.tell_unlisted(&self.balancers, now, &mut self.effects);
+            self.state.notify_unlisted(&self.balancers, now, &mut self.effects);
             self.apply(&[], now);
         }
     }
 
-    fn handle_peer_members(&mut self, members: &[Listed], now: u64) {
+    fn handle_peer_members(&mut self, members: &[MemberEntry], now: u64) {
         let id = Id::MembersListed;
         tracing::info!(id = id as u16, name = id.name(), peer_members = members.len());
-        self.state.learn(members, now);
+        self.state.merge_members(members, now);
         self.add_balancers(members);
     }
 
     /// Applies zones out of service from the store or a peer.
-    fn put_zones(&mut self, news: ZonesOut) -> ZoneNews {
-        let change = self.state.put_zones(news, now_ms());
-        if change == ZoneNews::Changed {
+    fn update_zones(&mut self, news: ZonesOut) -> ZoneUpdateResult {
+        let change = self.state.update_zones(news, now_ms());
+        if change == ZoneUpdateResult::Changed {
             self.report_zones_out();
         }
         change
     }
 
     /// Returns zones to service whose entries the store lost and the operator did not write again.
-    pub(super) fn release_zones(&mut self, now: u64) {
-        if self.state.release_zones(now) {
+    pub(super) fn expire_lost_zones(&mut self, now: u64) {
+        if self.state.expire_lost_zones(now) {
             self.report_zones_out();
         }
     }
 
     fn report_zones_out(&mut self) {
-        let names = self.state.fleet().zone_names_out();
+        let names = self.state.fleet().out_of_service_zone_names();
         let at = self.state.fleet().zones_out().map(ZonesOut::revision).unwrap_or_default();
         let id = Id::ZonesOutChanged;
         let zones = names.join(" ");
@@ -251,20 +251,20 @@
     }
 
     /// Applies routes; returns whether they are newer than those in force.
-    fn put_routes(&mut self, routes: Routes, source: &str) -> bool {
-        let (stamp, count) = (routes.stamp(), routes.by_address.len());
-        let known = self.state.routes().stamp();
-        let newer = self.state.put_routes(routes);
-        if Some(stamp) == known {
+    fn update_routes(&mut self, routes: Routes, source: &str) -> bool {
+        let (config_version, count) = (routes.config_version(), routes.by_address.len());
+        let known = self.state.routes().config_version();
+        let newer = self.state.update_routes(routes);
+        if Some(config_version) == known {
             return false;
         }
         let id = if newer { Id::ConfigInForce } else { Id::ConfigOld };
         tracing::info!(
             id = id as u16,
             name = id.name(),
-            revision = stamp.revision.number,
-            era = stamp.revision.era,
-            version = stamp.version,
+            revision = config_version.revision.number,
+            era = config_version.revision.era,
+            version = config_version.version,
             source,
             before = known.map_or(0, |it| it.revision.number),
             known_era = known.map_or(0, |it| it.revision.era),
@@ -272,13 +272,13 @@
             routes = count,
         );
         if newer {
-            metrics::REVISION.set(stamp.revision.number as i64);
-            metrics::VERSION.set(stamp.version as i64);
+            metrics::REVISION.set(config_version.revision.number as i64);
+            metrics::VERSION.set(config_version.version as i64);
         }
         newer
     }
 
-    fn add_balancers(&mut self, members: &[Listed]) {
+    fn add_balancers(&mut self, members: &[MemberEntry]) {
         let balancers = members.iter().filter(|it| it.pool.is_none()).map(|it| it.address);
         self.balancers.extend(balancers.filter(|&it| it != self.own));
     }
--- a/crates/opaque/src/decision_log.rs
+++ b/crates/opaque/src/decision_log.rs
@@ -1,6 +1,6 @@
 //! Log lines and counters for decisions on flows.
 
-use camphorwinch_core::opaque::{FlowKey, effect::Decision, walk::Last};
+use camphorwinch_core::opaque::{FlowKey, candidate_list::LastResort, effect::Decision};
 
 use crate::{event::Id, log::Limiter, metrics};
 
@@ -77,14 +77,14 @@
         | Decision::Absent
         | Decision::Admitted { .. }
         | Decision::Held { .. } => Class::Step,
-        // The line of the accepting agent contains the whole walk.
-        Decision::PassedOn { .. } => Class::Detail,
-        Decision::NobodyAccepted { .. }
+        // The line of the accepting agent contains the whole candidate list.
+        Decision::Forwarded { .. } => Class::Detail,
+        Decision::NoCandidate { .. }
         | Decision::Refused
         | Decision::NotFound { .. }
         | Decision::UpstreamReset { .. }
-        | Decision::SetAside
-        | Decision::TakenBack
+        | Decision::BreakerOpened
+        | Decision::BreakerClosed
         | Decision::Reset(_)
         | Decision::Dropped(_) => Class::Outcome,
     }
@@ -93,10 +93,10 @@
 fn event_and_label(decision: &Decision) -> (Id, &'static str) {
     match decision {
         Decision::Placed { .. } => (Id::FlowPlaced, "placed"),
-        Decision::Accepted { last: Last::No, .. } => (Id::FlowAccepted, "accepted"),
-        Decision::Accepted { last: Last::Yes, .. } => (Id::FlowAccepted, "accepted-last"),
-        Decision::PassedOn { .. } => (Id::FlowPassed, "passed-on"),
-        Decision::NobodyAccepted { .. } => (Id::FlowUnplaced, "unplaced"),
+        Decision::Accepted { last: LastResort::No, .. } => (Id::FlowAccepted, "accepted"),
+        Decision::Accepted { last: LastResort::Yes, .. } => (Id::FlowAccepted, "accepted-last"),
+        Decision::Forwarded { .. } => (Id::FlowPassed, "passed-on"),
+        Decision::NoCandidate { .. } => (Id::FlowUnplaced, "unplaced"),
         Decision::Refused => (Id::FlowRefused, "refused"),
         Decision::Searched { .. } => (Id::FlowSearched, "searched"),
         Decision::Found { .. } => (Id::FlowFound, "found"),
@@ -105,10 +105,10 @@
         Decision::Admitted { .. } => (Id::RequestAdmitted, "admitted"),
         Decision::Held { .. } => (Id::FlowHeld, "held"),
         Decision::UpstreamReset { .. } => (Id::UpstreamReset, "upstream-reset"),
-        Decision::SetAside => (Id::UpstreamSetAside, "set-aside"),
-        Decision::TakenBack => (Id::UpstreamTakenBack, "taken-back"),
-        Decision::Reset(why) => (Id::FlowReset, why.as_str()),
-        Decision::Dropped(why) => (Id::PacketDropped, why.as_str()),
+        Decision::BreakerOpened => (Id::UpstreamSetAside, "set-aside"),
+        Decision::BreakerClosed => (Id::UpstreamTakenBack, "taken-back"),
+        Decision::Reset(reason) => (Id::FlowReset, reason.as_str()),
+        Decision::Dropped(reason) => (Id::PacketDropped, reason.as_str()),
     }
 }
 
@@ -119,14 +119,14 @@
         Decision::Placed { first, copies } => {
             tracing::info!(id, name, flow, agent = %first, copies);
         }
-        Decision::Accepted { load, last, walk } => {
-            let (last, limit) = (last == Last::Yes, walk.limit);
-            tracing::info!(id, name, flow, load, last, limit, walk = %walk);
+        Decision::Accepted { load, last, candidates } => {
+            let (last, limit) = (last == LastResort::Yes, candidates.limit);
+            tracing::info!(id, name, flow, load, last, limit, walk = %candidates);
         }
-        Decision::NobodyAccepted { walk } => {
-            tracing::warn!(id, name, flow, limit = walk.limit, walk = %walk);
+        Decision::NoCandidate { candidates } => {
+            tracing::warn!(id, name, flow, limit = candidates.limit, walk = %candidates);
         }
-        Decision::PassedOn { to, load, limit } => {
+        Decision::Forwarded { to, load, limit } => {
             tracing::debug!(id, name, flow, agent = %to, load, limit);
         }
         Decision::Searched { asked } => tracing::info!(id, name, flow, asked),
@@ -137,15 +137,15 @@
             let silent = silent.map(|it| it.to_string());
             tracing::warn!(id, name, flow, absent, asked, silent);
         }
-        Decision::Admitted { waited_ms, cause, waiting } => {
-            tracing::info!(id, name, flow, waited_ms, cause = cause.as_str(), waiting);
+        Decision::Admitted { waited_ms, reason, waiting } => {
+            tracing::info!(id, name, flow, waited_ms, cause = reason.as_str(), waiting);
         }
         Decision::Held { agent } => tracing::info!(id, name, flow, agent = %agent),
         Decision::UpstreamReset { passed } => tracing::warn!(id, name, flow, passed),
-        Decision::Reset(why) => tracing::warn!(id, name, flow, why = why.as_str()),
-        Decision::Dropped(why) => tracing::info!(id, name, flow, why = why.as_str()),
-        Decision::SetAside => tracing::warn!(id, name),
-        Decision::TakenBack => tracing::info!(id, name),
+        Decision::Reset(reason) => tracing::warn!(id, name, flow, why = reason.as_str()),
+        Decision::Dropped(reason) => tracing::info!(id, name, flow, why = reason.as_str()),
+        Decision::BreakerOpened => tracing::warn!(id, name),
+        Decision::BreakerClosed => tracing::info!(id, name),
         Decision::Refused | Decision::Absent => tracing::info!(id, name, flow),
     }
 }
--- a/crates/opaque/src/discovery.rs
+++ b/crates/opaque/src/discovery.rs
@@ -7,8 +7,8 @@
 
 use std::{net::SocketAddrV4, time::Duration};
 
-use camphorwinch_core::opaque::{fleet::Listed, route::Routes, zone::ZonesOut};
-use camphorwinch_wire::opaque::{Part, Question, Snapshot};
+use camphorwinch_core::opaque::{fleet::MemberEntry, route::Routes, zone::ZonesOut};
+use camphorwinch_wire::opaque::{Part, Snapshot, SnapshotRequest};
 use futures::{StreamExt, stream::FuturesUnordered};
 use rand::Rng;
 use tokio::{
@@ -23,7 +23,7 @@
 use crate::{
     event::Id,
     metrics,
-    snapshot::{self, QUERY_TIMEOUT},
+    snapshot::{self, REQUEST_TIMEOUT},
     store::{Members, Record, Store, StoreError},
 };
 
@@ -37,7 +37,7 @@
 const MAX_CALL_TIMEOUT: Duration = Duration::from_millis(2_800);
 /// Timeouts before the call timeout doubles.
 const TIMEOUTS_PER_DOUBLING: u32 = 6;
-/// Attempts to remove one member's object; must outlast an outage of several seconds.
+/// Attempts to withdraw one member; must outlast an outage of several seconds.
 const MAX_WITHDRAW_ATTEMPTS: u32 = 30;
 
 /// A piece of cluster state from the store or a peer.
@@ -56,7 +56,7 @@
     /// The complete list of members, or all balancers for an agent, and the number of the attempt that fetched it.
     Members(Members, u64),
     /// Members known to a peer.
-    PeerMembers(Vec<Listed>),
+    PeerMembers(Vec<MemberEntry>),
 }
 
 /// Jittered exponential backoff and adaptive call timeout for the store.
@@ -127,8 +127,8 @@
     }
 }
 
-/// Removes the members received through `gone` from the store.
-pub(crate) async fn remove_gone_members<S>(store: S, mut gone: mpsc::Receiver<Record>)
+/// Withdraws the members received through `gone` from the store.
+pub(crate) async fn withdraw_gone_members<S>(store: S, mut gone: mpsc::Receiver<Record>)
 where
     S: Store,
 {
@@ -145,7 +145,7 @@
     }
 }
 
-/// Removes a member's object, retrying transient errors.
+/// Withdraws a member, retrying transient errors.
 async fn withdraw<S>(store: &S, record: &Record) -> Result<(), StoreError>
 where
     S: Store,
@@ -166,15 +166,15 @@
     }
 }
 
-/// Queries all peers concurrently and applies the first answer.
-pub(crate) async fn query_any(
+/// Sends a request to all peers concurrently and applies the first answer.
+pub(crate) async fn request_any(
     peers: &[SocketAddrV4],
     own: SocketAddrV4,
-    query: &Question,
+    request: &SnapshotRequest,
     out: &mpsc::Sender<Update>,
 ) {
     let others = peers.iter().copied().filter(|&it| it != own);
-    let mut answers: FuturesUnordered<_> = others.map(|it| query_one(it, query)).collect();
+    let mut answers: FuturesUnordered<_> = others.map(|it| request_one(it, request)).collect();
     while let Some((peer, answer)) = answers.next().await {
         let id = Id::PeerAsked;
         let found = match answer {
@@ -195,12 +195,12 @@
     }
 }
 
-async fn query_one(
+async fn request_one(
     peer: SocketAddrV4,
-    query: &Question,
+    request: &SnapshotRequest,
 ) -> (SocketAddrV4, anyhow::Result<Vec<Update>>) {
-    let answer = snapshot::query(peer, query, QUERY_TIMEOUT).await;
-    let with_members = query.members() != Part::None;
+    let answer = snapshot::request(peer, request, REQUEST_TIMEOUT).await;
+    let with_members = request.members() != Part::None;
     (peer, answer.and_then(|it| Ok(updates(&it, with_members)?)))
 }
 
--- a/crates/opaque/src/discovery/join.rs
+++ b/crates/opaque/src/discovery/join.rs
@@ -4,15 +4,15 @@
 
 use std::{collections::BTreeSet, net::SocketAddrV4, sync::Arc, time::Duration};
 
-use camphorwinch_core::opaque::{fleet::Listed, listing::Need, revision::Revision};
-use camphorwinch_wire::opaque::Question;
+use camphorwinch_core::opaque::{fleet::MemberEntry, member_list::Freshness, revision::Revision};
+use camphorwinch_wire::opaque::SnapshotRequest;
 use tokio::{
     sync::{Notify, mpsc, watch},
     task::JoinHandle,
     time::{Instant, sleep, timeout},
 };
 
-use super::{Backoff, Update, count_call, jitter, query_any, reset_after};
+use super::{Backoff, Update, count_call, jitter, request_any, reset_after};
 use crate::{
     event::Id,
     lists::Lists,
@@ -21,7 +21,7 @@
 
 /// Interval between periodic reads of the member list.
 const LIST_INTERVAL: Duration = Duration::from_secs(45);
-/// Factor on the interval for agents, which need only the balancers and are greeted by those that list them.
+/// Factor on the interval for agents, which need only the balancers and are sent a hello by those that list them.
 const AGENT_INTERVAL_FACTOR: u32 = 10;
 /// Fleet size up to which the intervals apply; they grow in proportion above it.
 const BASELINE_MEMBERS: usize = 300;
@@ -33,7 +33,7 @@
 const NO_RESPONSE_TIMEOUT: Duration = Duration::from_millis(60);
 /// Time without a complete answer, after a peer has responded, before the process reads the store itself.
 const NO_ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
-/// Total time for querying peers before the process reads the store itself.
+/// Total time for requests to peers before the process reads the store itself.
 const PEERS_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// The same at the first start of the system, when the peers are starting too.
 const FIRST_START_PEERS_TIMEOUT: Duration = Duration::from_secs(5);
@@ -41,8 +41,8 @@
 /// Progress of the initial discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiscoveryState {
-    /// Querying peers.
-    Querying,
+    /// Requesting from peers.
+    Requesting,
     /// The configuration and the members came from a peer.
     FromPeer,
     /// The process must read all its state from the store.
@@ -59,10 +59,10 @@
     pub(crate) serves: watch::Receiver<bool>,
     /// Whether the system starts for the first time, so that no entry of an earlier run exists.
     pub(crate) first_start: bool,
-    /// Balancers to query first.
+    /// Balancers to request from first.
     pub(crate) seeds: watch::Receiver<Vec<SocketAddrV4>>,
-    /// Balancers that have sent a greeting to this process.
-    pub(crate) greeted: watch::Receiver<BTreeSet<SocketAddrV4>>,
+    /// Balancers that have sent a hello to this process.
+    pub(crate) hello_senders: watch::Receiver<BTreeSet<SocketAddrV4>>,
     /// Notified when this process is missing from the list or the list may have changed.
     pub(crate) relist: Arc<Notify>,
     /// The list as served to other processes.
@@ -76,7 +76,7 @@
 /// The store's list, and further members known to a peer, whose store entries may be lost.
 struct MemberList {
     members: Members,
-    unlisted: Vec<Listed>,
+    unlisted: Vec<MemberEntry>,
 }
 
 /// Why the list is read.
@@ -88,7 +88,7 @@
     Interval,
     /// A peer needs a current list, or the store was reset.
     Requested,
-    /// This process may have been removed from the list.
+    /// This process may have been withdrawn from the store.
     Rejoin,
 }
 
@@ -99,7 +99,7 @@
     /// Registers this process once it serves, and reads the list of members at the start, periodically and on request.
     pub(crate) async fn run(self) {
         let mut backoff = Backoff::new();
-        let mut seeds_query: Option<JoinHandle<()>> = None;
+        let mut seeds_request: Option<JoinHandle<()>> = None;
         // This process's store object as last announced; `None` if it must be announced again.
         let mut object = None;
         let mut withdrawn = self.first_start;
@@ -141,9 +141,9 @@
                 Err(e) => {
                     self.lists.fail_attempt(attempt);
                     self.set_state(DiscoveryState::FromStore);
-                    // An unreachable peer delays the answer by its timeout, so the queries run in the background.
-                    if seeds_query.as_ref().is_none_or(JoinHandle::is_finished) {
-                        seeds_query = Some(self.query_seeds());
+                    // An unreachable peer delays the answer by its timeout, so the requests run in the background.
+                    if seeds_request.as_ref().is_none_or(JoinHandle::is_finished) {
+                        seeds_request = Some(self.request_from_seeds());
                     }
                     backoff.wait_after_failure(&e).await;
                 }
@@ -154,7 +154,7 @@
     /// Records the outcome of the initial discovery; later calls have no effect.
     fn set_state(&self, state: DiscoveryState) {
         self.start.send_if_modified(|it| {
-            let pending = *it == DiscoveryState::Querying;
+            let pending = *it == DiscoveryState::Requesting;
             if pending {
                 *it = state;
             }
@@ -188,11 +188,11 @@
         }
     }
 
-    /// Queries the seeds in the background.
-    fn query_seeds(&self) -> JoinHandle<()> {
+    /// Sends a request to the seeds in the background.
+    fn request_from_seeds(&self) -> JoinHandle<()> {
         let seeds = self.seeds.borrow().clone();
         let (own, out) = (self.own.address, self.out.clone());
-        tokio::spawn(async move { query_any(&seeds, own, &Question::all(), &out).await })
+        tokio::spawn(async move { request_any(&seeds, own, &SnapshotRequest::all(), &out).await })
     }
 
     /// Returns the members, after registering this process if it serves.
@@ -208,7 +208,7 @@
     ) -> Result<Option<MemberList>, StoreError> {
         if !*self.serves.borrow() {
             if !*withdrawn {
-                // An entry of an earlier run, which could not remove it while the store was unavailable.
+                // An entry of an earlier run, which could not withdraw it while the store was unavailable.
                 count_call(
                     "withdraw",
                     self.store.withdraw(&self.own.name, None, call_timeout).await,
@@ -217,18 +217,18 @@
             }
             return Ok(None);
         }
-        let need = match object {
-            Some(_) if reason == Reason::Interval => Need::Any,
-            Some(_) => Need::Fresh,
+        let freshness = match object {
+            Some(_) if reason == Reason::Interval => Freshness::Any,
+            Some(_) => Freshness::Fresh,
             None => self.announce(object, call_timeout).await?,
         };
-        let list = self.members(need, call_timeout).await?;
+        let list = self.members(freshness, call_timeout).await?;
         if self.is_agent() || list.members.contains(&self.own) {
             return Ok(Some(list));
         }
-        // The entry was removed meanwhile, or lost by the store.
-        let need = self.announce(object, call_timeout).await?;
-        self.members(need, call_timeout).await.map(Some)
+        // The entry was withdrawn meanwhile, or lost in a reset of the store.
+        let freshness = self.announce(object, call_timeout).await?;
+        self.members(freshness, call_timeout).await.map(Some)
     }
 
     /// Writes this process's entry and returns how new a list has to be afterwards.
@@ -236,28 +236,32 @@
         &self,
         object: &mut Option<Announced>,
         call_timeout: Duration,
-    ) -> Result<Need, StoreError> {
+    ) -> Result<Freshness, StoreError> {
         let announced = count_call("announce", self.store.announce(&self.own, call_timeout).await)?;
         *object = Some(announced);
         let id = Id::Announced;
         let revision = announced.revision.map(|it| it.number);
         tracing::info!(id = id as u16, name = id.name(), revision, created = announced.created);
-        let since = announced.revision.map_or(Need::Fresh, Need::Since);
+        let since = announced.revision.map_or(Freshness::Fresh, Freshness::AtLeast);
         // Balancers listed after this one may not know of its restart, so only a current list shows the agents that
-        // joined meanwhile. Agents are greeted by the balancers that list them.
+        // joined meanwhile. Agents are sent a hello by the balancers that list them.
         let is_back = !announced.created && !self.is_agent();
-        Ok(if is_back { Need::Fresh } else { since })
+        Ok(if is_back { Freshness::Fresh } else { since })
     }
 
-    /// Returns the members from peers or the store. A seed always reads the store, as its peers query it.
-    async fn members(&self, need: Need, call_timeout: Duration) -> Result<MemberList, StoreError> {
+    /// Returns the members from peers or the store. A seed always reads the store, as its peers request from it.
+    async fn members(
+        &self,
+        freshness: Freshness,
+        call_timeout: Duration,
+    ) -> Result<MemberList, StoreError> {
         let seeds = self.seeds.borrow().clone();
         if seeds.contains(&self.own.address) {
             return self.read(call_timeout).await;
         }
         let responded = watch::Sender::new(false);
         let limit = if self.first_start { FIRST_START_PEERS_TIMEOUT } else { PEERS_TIMEOUT };
-        let from_peers = timeout(limit, self.members_from_peers(&seeds, need, &responded));
+        let from_peers = timeout(limit, self.members_from_peers(&seeds, freshness, &responded));
         tokio::select! {
             from_peers = from_peers => match from_peers {
                 Ok(Some(list)) => Ok(list),
--- a/crates/opaque/src/discovery/join/peer_list.rs
+++ b/crates/opaque/src/discovery/join/peer_list.rs
@@ -3,10 +3,10 @@
 use std::{net::SocketAddrV4, time::Duration};
 
 use camphorwinch_core::opaque::{
-    listing::{Need, ask_order},
+    member_list::{Freshness, query_order},
     revision::Revision,
 };
-use camphorwinch_wire::opaque::{Part, Question, Snapshot};
+use camphorwinch_wire::opaque::{Part, Snapshot, SnapshotRequest};
 use rand::seq::IteratorRandom;
 use tokio::{sync::watch, time::sleep};
 
@@ -17,7 +17,7 @@
 use crate::{
     event::Id,
     metrics,
-    snapshot::PendingQuery,
+    snapshot::PendingRequest,
     store::{Members, Record, Store},
 };
 
@@ -25,12 +25,12 @@
 const PEER_TIMEOUT: Duration = Duration::from_millis(200);
 /// The same at the first start of the system, when the peers are starting too.
 const FIRST_START_PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause before unavailable peers are queried again at the first start.
+/// Pause before unavailable peers are tried again at the first start.
 const FIRST_START_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Maximum length of a chain of referrals.
 const MAX_REFERRALS: usize = 4;
-/// Balancers that have greeted an agent and are queried before the seeds.
-const MAX_GREETED_QUERIED: usize = 2;
+/// Balancers that have sent an agent a hello and are tried before the seeds.
+const MAX_HELLO_SENDERS_TRIED: usize = 2;
 
 impl MemberList {
     /// Converts a peer's snapshot; `None` if the peer does not have the store's list.
@@ -54,33 +54,33 @@
 where
     S: Store,
 {
-    /// Returns the list from a peer that has it as new as `need` requires.
+    /// Returns the list from a peer that has it as new as `freshness` requires.
     pub(super) async fn members_from_peers(
         &self,
         seeds: &[SocketAddrV4],
-        need: Need,
+        freshness: Freshness,
         responded: &watch::Sender<bool>,
     ) -> Option<MemberList> {
         let own = self.own.address;
         let part = if self.is_agent() { Part::Balancers } else { Part::All };
-        let mut query = Question::default().with_members(part).with_need(need);
+        let mut request = SnapshotRequest::default().with_members(part).with_freshness(freshness);
         if !self.is_agent() {
-            query = query.with_config().with_asker(own);
+            request = request.with_config().with_requester(own);
         }
-        let mut peers = ask_order(own, seeds);
+        let mut peers = query_order(own, seeds);
         if self.is_agent() {
-            let greeted: Vec<_> = self.greeted.borrow().iter().copied().collect();
-            let mut nearby = ask_order(own, &greeted);
-            nearby.truncate(MAX_GREETED_QUERIED);
+            let hello_senders: Vec<_> = self.hello_senders.borrow().iter().copied().collect();
+            let mut nearby = query_order(own, &hello_senders);
+            nearby.truncate(MAX_HELLO_SENDERS_TRIED);
             nearby.append(&mut peers);
             peers = nearby;
         }
         loop {
             for &peer in &peers {
-                let Some(snapshot) = self.query_peer(peer, &query, responded).await else {
+                let Some(snapshot) = self.request_snapshot(peer, &request, responded).await else {
                     continue;
                 };
-                let list = MemberList::from_peer(&snapshot).filter(|_| snapshot.meets_need);
+                let list = MemberList::from_peer(&snapshot).filter(|_| snapshot.is_fresh);
                 self.forward_state(&snapshot, list.is_none()).await;
                 if list.is_some() {
                     return list;
@@ -93,41 +93,41 @@
         }
     }
 
-    /// Queries a peer and follows its referrals.
-    async fn query_peer(
+    /// Requests the list from a peer and follows its referrals.
+    async fn request_snapshot(
         &self,
         peer: SocketAddrV4,
-        query: &Question,
+        request: &SnapshotRequest,
         responded: &watch::Sender<bool>,
     ) -> Option<Snapshot> {
         let response_timeout =
             if self.first_start { FIRST_START_PEER_TIMEOUT } else { PEER_TIMEOUT };
-        let (mut to, mut next) = (peer, query.clone());
+        let (mut to, mut next) = (peer, request.clone());
         for _ in 0..MAX_REFERRALS {
-            let answer = match PendingQuery::new(to, &next, response_timeout).await {
-                Ok(asked) => {
+            let answer = match PendingRequest::new(to, &next, response_timeout).await {
+                Ok(pending) => {
                     responded.send_replace(true);
-                    asked.answer().await
+                    pending.answer().await
                 }
                 Err(e) => Err(e),
             };
-            log_list_query(to, &answer);
+            log_list_request(to, &answer);
             let snapshot = match answer {
-                Ok(it) if it.referred.is_empty() && (it.meets_need || to == peer) => {
+                Ok(it) if it.referrals.is_empty() && (it.is_fresh || to == peer) => {
                     return Some(it);
                 }
                 Ok(it) if to == peer => it,
                 // The referred process does not have the list or is gone.
                 Ok(_) | Err(_) if to != peer => {
-                    (to, next) = (peer, query.clone());
+                    (to, next) = (peer, request.clone());
                     continue;
                 }
                 Ok(_) | Err(_) => return None,
             };
-            let referral = snapshot.referred.iter().choose(&mut rand::rng()).copied();
+            let referral = snapshot.referrals.iter().choose(&mut rand::rng()).copied();
             to = referral.and_then(|it| SocketAddrV4::try_from(it).ok()).unwrap_or(peer);
-            let need = snapshot.listed_at().map_or(query.need(), Need::Since);
-            next = Question { referred: true, ..query.clone().with_need(need) };
+            let freshness = snapshot.listed_at().map_or(request.freshness(), Freshness::AtLeast);
+            next = SnapshotRequest { referred: true, ..request.clone().with_freshness(freshness) };
         }
         None
     }
@@ -150,7 +150,7 @@
     }
 }
 
-fn log_list_query(peer: SocketAddrV4, answer: &anyhow::Result<Snapshot>) {
+fn log_list_request(peer: SocketAddrV4, answer: &anyhow::Result<Snapshot>) {
     let id = Id::ListAsked;
     match answer {
         Ok(it) => tracing::info!(
@@ -160,8 +160,8 @@
             members = it.members.len(),
             revision = it.list_revision,
             era = it.list_era,
-            met = it.meets_need,
-            referred = it.referred.len(),
+            met = it.is_fresh,
+            referred = it.referrals.len(),
         ),
         Err(e) => {
             let error = format!("{e:#}");
@@ -169,8 +169,8 @@
         }
     }
     let result = match answer {
-        Ok(it) if !it.referred.is_empty() => "referred",
-        Ok(it) if it.meets_need => "told",
+        Ok(it) if !it.referrals.is_empty() => "referred",
+        Ok(it) if it.is_fresh => "told",
         Ok(_) => "old",
         Err(_) => "no-answer",
     };
--- a/crates/opaque/src/discovery/tests.rs
+++ b/crates/opaque/src/discovery/tests.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use camphorwinch_core::opaque::{
-    fleet::Listed,
+    fleet::MemberEntry,
     revision::Revision,
     route::Routes,
     zone::{ZoneId, ZonesOut},
@@ -168,7 +168,7 @@
     Follow { store, role, start, config_read, out }.run(topic).await;
 }
 
-/// Joins without any greeting received.
+/// Joins without any hello received.
 async fn join<S>(
     store: S,
     own: Member,
@@ -179,11 +179,22 @@
 ) where
     S: Store,
 {
-    let greeted = watch::Sender::default().subscribe();
-    let (lists, start) = (Arc::default(), watch::Sender::new(DiscoveryState::Querying));
-    Join { store, own, serves, first_start: false, seeds, greeted, relist, lists, start, out }
-        .run()
-        .await;
+    let hello_senders = watch::Sender::default().subscribe();
+    let (lists, start) = (Arc::default(), watch::Sender::new(DiscoveryState::Requesting));
+    Join {
+        store,
+        own,
+        serves,
+        first_start: false,
+        seeds,
+        hello_senders,
+        relist,
+        lists,
+        start,
+        out,
+    }
+    .run()
+    .await;
 }
 
 #[tokio::test]
@@ -316,14 +327,14 @@
 }
 
 #[tokio::test]
-async fn removal_is_retried_while_store_is_unavailable() {
+async fn withdrawal_is_retried_while_store_is_unavailable() {
     let store = HistoryStore::default();
     withdraw(&store, &record()).await.expect("removed");
     assert_eq!(store.calls(), [Some(7); 3]);
 }
 
 #[tokio::test]
-async fn removal_stops_if_object_has_changed() {
+async fn withdrawal_stops_if_object_has_changed() {
     let store = HistoryStore { compacts: true, ..HistoryStore::default() };
     let error = withdraw(&store, &record()).await.expect_err("it has changed");
     assert!(matches!(error, StoreError::Conflict { .. }), "{error}");
@@ -454,12 +465,12 @@
         Arc::new(Notify::new()),
         out,
     ));
-    let (_unanswered, _) = peer.accept().await.expect("a query for the list");
-    let (stream, _) = peer.accept().await.expect("a query for the state");
+    let (_unanswered, _) = peer.accept().await.expect("a request for the list");
+    let (stream, _) = peer.accept().await.expect("a request for the state");
     let first = timeout(Duration::from_millis(900), updates.recv()).await;
     let first = first.expect("in time").expect("the store's list");
     assert!(matches!(first, Update::Members(..)), "{first:?}");
-    // The query to the peer is still pending.
+    // The request to the peer is still pending.
     let snapshot = Bytes::from(Snapshot::default().encode_to_vec());
     frames(stream).send(snapshot).await.expect("the answer is sent");
     let second = updates.recv().await.expect("the peer's answer");
@@ -522,7 +533,7 @@
     drop(listener);
     let routes = Routes { revision: Revision::new(0, 3), version: 8, ..Routes::default() };
     // The zone of an unlisted member may be unknown.
-    let unlisted = Listed { zone: ZoneId(9), ..member().listed() };
+    let unlisted = MemberEntry { zone: ZoneId(9), ..member().listed() };
     let known = Snapshot::new(Some(&routes), &[unlisted]);
     let (newest, snapshots) = watch::channel(Arc::new(known));
     snapshot::serve(at, snapshots, Some(lists.clone())).expect("it listens");
@@ -539,10 +550,10 @@
     let store = MemberStore::default();
     let serving = watch::channel(true).1;
     let task = tokio::spawn(join(store.clone(), member(), serving, seeds, Arc::default(), out));
-    // The seed's list is older than the query.
+    // The seed's list is older than the request.
     timeout(Duration::from_secs(1), lists.refresh_requested.notified())
         .await
-        .expect("the seed is queried");
+        .expect("the seed receives a request");
     let attempt = lists.begin_attempt();
     lists.publish(Revision::new(0, STORE_AT), vec![record()], attempt);
     assert!(matches!(updates.recv().await, Some(Update::PeerRoutes(it)) if it.version == 8));
@@ -567,7 +578,7 @@
     let task = tokio::spawn(join(store.clone(), member(), serving, seeds, Arc::default(), out));
     timeout(Duration::from_secs(1), lists.refresh_requested.notified())
         .await
-        .expect("the seed is queried");
+        .expect("the seed receives a request");
     lists.fail_attempt(lists.begin_attempt());
     let members = async {
         loop {
--- a/crates/opaque/src/discovery/topic.rs
+++ b/crates/opaque/src/discovery/topic.rs
@@ -224,7 +224,7 @@
         let mut at = None;
         let mut freshness = Freshness::Current;
         let Ok(start) =
-            self.start.wait_for(|&it| it != DiscoveryState::Querying).await.map(|it| *it)
+            self.start.wait_for(|&it| it != DiscoveryState::Requesting).await.map(|it| *it)
         else {
             return;
         };
--- a/crates/opaque/src/lists.rs
+++ b/crates/opaque/src/lists.rs
@@ -14,10 +14,10 @@
 };
 
 use camphorwinch_core::opaque::{
-    listing::{Listing, Need, Reply},
+    member_list::{Freshness, ListReply, MemberListServer},
     revision::Revision,
 };
-use camphorwinch_wire::opaque::{MemberEntry, Part, Question, Snapshot};
+use camphorwinch_wire::opaque::{MemberEntry, Part, Snapshot, SnapshotRequest};
 use tokio::{
     sync::{Notify, watch},
     time::timeout,
@@ -25,7 +25,7 @@
 
 use crate::{clock::now_ms, store::Record};
 
-/// Longest wait for a refresh before a query is answered.
+/// Longest wait for a refresh before a request is answered.
 const REFRESH_WAIT: Duration = Duration::from_millis(900);
 /// Longest wait before a referred requester is answered; the list is already on its way to this process.
 const REFERRED_WAIT: Duration = Duration::from_millis(200);
@@ -40,7 +40,7 @@
     read: u64,
 }
 
-/// How a query for the member list is answered.
+/// How a request for the member list is answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Answer {
     /// With the known list; `met` says whether it is as new as requested.
@@ -55,7 +55,7 @@
 /// Member list shared by the snapshot server and the task that reads the list.
 #[derive(Debug, Default)]
 pub(crate) struct Lists {
-    listing: Mutex<Listing>,
+    server: Mutex<MemberListServer>,
     /// Number of attempts begun.
     begun: AtomicU64,
     known: watch::Sender<KnownList>,
@@ -76,7 +76,7 @@
 
     /// Publishes the list that an attempt read.
     pub(crate) fn publish(&self, at: Revision, records: Vec<Record>, attempt: u64) {
-        self.lock().take(at);
+        self.lock().record(at);
         self.known.send_modify(|it| {
             if it.at <= Some(at) {
                 it.at = Some(at);
@@ -87,41 +87,41 @@
         });
     }
 
-    /// Decides how to answer a query; `None` if the list has to be read first.
-    pub(crate) fn answer(&self, query: &Question) -> Option<Answer> {
-        let need = query.need();
-        if need == Need::Any {
+    /// Decides how to answer a request; `None` if the list has to be read first.
+    pub(crate) fn answer(&self, request: &SnapshotRequest) -> Option<Answer> {
+        let freshness = request.freshness();
+        if freshness == Freshness::Any {
             return Some(Answer::Respond { met: true });
         }
-        match self.lock().answer(requester(query), need, now_ms()) {
-            Reply::Tell => Some(Answer::Respond { met: true }),
-            Reply::Refer(others) => Some(Answer::Refer(others)),
-            Reply::Read => None,
+        match self.lock().handle_request(requester(request), freshness, now_ms()) {
+            ListReply::Send => Some(Answer::Respond { met: true }),
+            ListReply::Refer(others) => Some(Answer::Refer(others)),
+            ListReply::ReadStore => None,
         }
     }
 
     /// Decides how to answer once the list is new enough or a read has ended.
-    pub(crate) async fn answer_later(&self, query: &Question) -> Answer {
-        let need = query.need();
+    pub(crate) async fn answer_later(&self, request: &SnapshotRequest) -> Answer {
+        let freshness = request.freshness();
         let next = self.begun.load(Ordering::Relaxed) + 1;
-        let wait = if query.referred {
+        let wait = if request.referred {
             REFERRED_WAIT
         } else {
             self.refresh_requested.notify_one();
             REFRESH_WAIT
         };
         let mut known = self.known.subscribe();
-        let is_met = |it: &KnownList| it.ended >= next || need.is_met(it.at);
+        let is_met = |it: &KnownList| it.ended >= next || freshness.is_met_by(it.at);
         // After the timeout the known list is sent.
         let _ = timeout(wait, known.wait_for(is_met)).await;
         let known = known.borrow().clone();
-        let met = need.is_met(known.at) || known.read >= next;
+        let met = freshness.is_met_by(known.at) || known.read >= next;
         let Some(at) = known.at.filter(|_| met) else {
             return Answer::Respond { met: false };
         };
-        match self.lock().answer(requester(query), Need::Since(at), now_ms()) {
-            Reply::Refer(others) => Answer::Refer(others),
-            Reply::Tell | Reply::Read => Answer::Respond { met: true },
+        match self.lock().handle_request(requester(request), Freshness::AtLeast(at), now_ms()) {
+            ListReply::Refer(others) => Answer::Refer(others),
+            ListReply::Send | ListReply::ReadStore => Answer::Respond { met: true },
         }
     }
 
@@ -153,13 +153,13 @@
         snapshot
     }
 
-    fn lock(&self) -> MutexGuard<'_, Listing> {
+    fn lock(&self) -> MutexGuard<'_, MemberListServer> {
         // No code panics while holding the lock.
-        self.listing.lock().unwrap_or_else(PoisonError::into_inner)
+        self.server.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Address of the requester, if it can serve the list to others.
-fn requester(query: &Question) -> Option<SocketAddrV4> {
-    query.asker.and_then(|it| SocketAddrV4::try_from(it).ok())
+fn requester(request: &SnapshotRequest) -> Option<SocketAddrV4> {
+    request.requester.and_then(|it| SocketAddrV4::try_from(it).ok())
 }
--- a/crates/opaque/src/lists/tests.rs
+++ b/crates/opaque/src/lists/tests.rs
@@ -1,13 +1,13 @@
 use camphorwinch_core::opaque::{
     PoolId,
-    fleet::{Listed, ZoneId},
+    fleet::{self, ZoneId},
 };
 
 use super::*;
 
-fn listed(host: u8, pool: Option<u64>) -> Listed {
+fn listed(host: u8, pool: Option<u64>) -> fleet::MemberEntry {
     let address = SocketAddrV4::new([10, 0, 0, host].into(), 7720);
-    Listed { address, pool: pool.map(PoolId), zone: ZoneId(u64::from(host)) }
+    fleet::MemberEntry { address, pool: pool.map(PoolId), zone: ZoneId(u64::from(host)) }
 }
 
 fn record(host: u8, pool: Option<u64>) -> Record {
@@ -29,8 +29,8 @@
     let served = lists.complete(known.clone(), Part::All);
     assert_eq!(names(&served), ["", "process-1", "process-2"]);
     assert_eq!(served.listed_at(), Some(Revision::new(0, 9)));
-    let balancers = known.parts(&Question::default().with_members(Part::Balancers));
+    let balancers = known.select(&SnapshotRequest::default().with_members(Part::Balancers));
     assert_eq!(names(&lists.complete(balancers, Part::Balancers)), ["process-1"]);
-    let config = known.parts(&Question::default().with_config());
+    let config = known.select(&SnapshotRequest::default().with_config());
     assert!(lists.complete(config, Part::None).members.is_empty());
 }
--- a/crates/opaque/src/metrics.rs
+++ b/crates/opaque/src/metrics.rs
@@ -43,7 +43,7 @@
     register!(IntCounterVec::new(opts, &["step", "result"]))
 });
 
-/// Queries for the member list, by result.
+/// Requests for the member list, by result.
 pub static LIST_QUERIES: LazyLock<IntCounterVec> = LazyLock::new(|| {
     let opts = Opts::new(
         "camphorwinch_opaque_list_asks_total",
--- a/crates/opaque/src/peers.rs
+++ b/crates/opaque/src/peers.rs
@@ -4,7 +4,7 @@
 
 use camphorwinch_core::opaque::{
     FlowKey,
-    effect::{Answer, Relay, Verdict},
+    effect::{Answer, FlowStatus, RelayHeader},
 };
 use camphorwinch_wire::opaque::{self, Body, Control};
 use tokio::net::UdpSocket;
@@ -37,22 +37,22 @@
     }
 
     /// Sends a caller's packet to another process.
-    pub(crate) fn relay(&mut self, to: SocketAddrV4, relay: &Relay, packet: &[u8]) {
+    pub(crate) fn relay(&mut self, to: SocketAddrV4, relay: &RelayHeader, packet: &[u8]) {
         self.buffer.clear();
         opaque::encode_packet(relay, packet, &mut self.buffer);
         self.send_buffer(to, "relayed");
     }
 
     /// Sends a caller's packet to an agent that forwards it to `agents`.
-    pub(crate) fn spread(
+    pub(crate) fn fan_out(
         &mut self,
         to: SocketAddrV4,
-        relay: &Relay,
+        relay: &RelayHeader,
         agents: &[SocketAddrV4],
         packet: &[u8],
     ) {
         self.buffer.clear();
-        opaque::encode_spread(relay, agents, packet, &mut self.buffer);
+        opaque::encode_fan_out(relay, agents, packet, &mut self.buffer);
         self.send_buffer(to, "spread");
     }
 
@@ -83,10 +83,10 @@
         self.send_buffer(to, "query");
     }
 
-    /// Sends a balancer the verdicts on flows.
-    pub(crate) fn verdicts(&mut self, to: SocketAddrV4, verdicts: &[(FlowKey, Verdict)]) {
+    /// Sends a balancer the results of its query.
+    pub(crate) fn query_response(&mut self, to: SocketAddrV4, statuses: &[(FlowKey, FlowStatus)]) {
         self.buffer.clear();
-        opaque::encode_verdicts(verdicts, &mut self.buffer);
+        opaque::encode_query_response(statuses, &mut self.buffer);
         self.send_buffer(to, "verdicts");
     }
 
--- a/crates/opaque/src/snapshot.rs
+++ b/crates/opaque/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of a process's state, served and queried over TCP.
+//! Snapshots of a process's state, served and requested over TCP.
 
 #[cfg(test)]
 mod tests;
@@ -10,7 +10,7 @@
 use camphorwinch_core::opaque::revision::Revision;
 use camphorwinch_wire::{
     frame::{Frames, frames},
-    opaque::{Question, Snapshot},
+    opaque::{Snapshot, SnapshotRequest},
 };
 use futures::{SinkExt, StreamExt};
 use prost::Message;
@@ -25,8 +25,8 @@
     socket,
 };
 
-/// Timeout for sending a query or an answer: a round trip between regions plus the transfer of a large configuration.
-pub(crate) const QUERY_TIMEOUT: Duration = Duration::from_millis(600);
+/// Timeout for sending a request or an answer: a round trip between regions plus the transfer of a large configuration.
+pub(crate) const REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Bound on concurrent answers, which limits memory when a whole fleet restarts.
 const MAX_CONCURRENT_ANSWERS: usize = 16;
@@ -58,7 +58,7 @@
         let (newest, lists, permits) = (newest.clone(), lists.clone(), permits.clone());
         tokio::spawn(async move {
             if let Err(e) = answer(stream, &newest, lists.as_deref(), &permits).await {
-                tracing::debug!("failed to answer a snapshot query from {peer}: {e:#}");
+                tracing::debug!("failed to answer a snapshot request from {peer}: {e:#}");
             }
         });
     }
@@ -71,24 +71,24 @@
     permits: &Semaphore,
 ) -> anyhow::Result<()> {
     let mut frames = frames(stream);
-    let question = timeout(QUERY_TIMEOUT, frames.next()).await.context("no query received")?;
-    let question = question.ok_or_else(|| anyhow!("connection closed before a query"))?;
-    let query = Question::decode(question.context("receive")?).context("decode")?;
+    let request = timeout(REQUEST_TIMEOUT, frames.next()).await.context("no request received")?;
+    let request = request.ok_or_else(|| anyhow!("connection closed before a request"))?;
+    let request = SnapshotRequest::decode(request.context("receive")?).context("decode")?;
     let answer = match lists {
         None => Answer::Respond { met: true },
-        Some(lists) => decide(lists, &query, &mut frames).await?,
+        Some(lists) => decide(lists, &request, &mut frames).await?,
     };
     let _permit = permits.acquire().await.context("process is shutting down")?;
     let snapshot = match (answer, lists) {
         (Answer::Respond { met }, Some(lists)) => {
-            let parts = newest.borrow().parts(&query);
-            lists.complete(Snapshot { meets_need: met, ..parts }, query.members())
+            let parts = newest.borrow().select(&request);
+            lists.complete(Snapshot { is_fresh: met, ..parts }, request.members())
         }
         (Answer::Refer(others), Some(lists)) => refer(lists.at(), others),
-        (Answer::Respond { .. } | Answer::Refer(_), None) => newest.borrow().parts(&query),
+        (Answer::Respond { .. } | Answer::Refer(_), None) => newest.borrow().select(&request),
     };
     let bytes = Bytes::from(snapshot.encode_to_vec());
-    timeout(QUERY_TIMEOUT, frames.send(bytes))
+    timeout(REQUEST_TIMEOUT, frames.send(bytes))
         .await
         .context("timed out sending the answer")?
         .context("send")
@@ -98,42 +98,44 @@
 /// one.
 async fn decide(
     lists: &Lists,
-    query: &Question,
+    request: &SnapshotRequest,
     frames: &mut Frames<TcpStream>,
 ) -> anyhow::Result<Answer> {
     let pending = Snapshot { pending: true, ..Snapshot::default() };
     frames.send(Bytes::from(pending.encode_to_vec())).await.context("send")?;
-    Ok(match lists.answer(query) {
+    Ok(match lists.answer(request) {
         Some(answer) => answer,
-        None => lists.answer_later(query).await,
+        None => lists.answer_later(request).await,
     })
 }
 
 fn refer(at: Revision, others: Vec<SocketAddrV4>) -> Snapshot {
-    let referred = others.into_iter().map(Into::into).collect();
-    Snapshot { list_era: at.era, list_revision: at.number, referred, ..Snapshot::default() }
+    let referrals = others.into_iter().map(Into::into).collect();
+    Snapshot { list_era: at.era, list_revision: at.number, referrals, ..Snapshot::default() }
 }
 
-/// A query that a peer has acknowledged.
-pub(crate) struct PendingQuery {
+/// A request that a peer has acknowledged.
+pub(crate) struct PendingRequest {
     frames: Frames<TcpStream>,
     first: Snapshot,
 }
 
-impl PendingQuery {
-    /// Sends a query and waits up to `response_timeout` for the first response.
+impl PendingRequest {
+    /// Sends a request and waits up to `response_timeout` for the first response.
     pub(crate) async fn new(
         peer: SocketAddrV4,
-        query: &Question,
+        request: &SnapshotRequest,
         response_timeout: Duration,
-    ) -> anyhow::Result<PendingQuery> {
+    ) -> anyhow::Result<PendingRequest> {
         let exchange = async {
             let mut frames = frames(TcpStream::connect(peer).await.context("connect")?);
-            frames.send(Bytes::from(query.encode_to_vec())).await.context("send")?;
+            frames.send(Bytes::from(request.encode_to_vec())).await.context("send")?;
             let first = receive(&mut frames).await?;
-            Ok(PendingQuery { frames, first })
+            Ok(PendingRequest { frames, first })
         };
-        with_timeout(response_timeout, exchange).await.with_context(|| format!("query {peer}"))
+        with_timeout(response_timeout, exchange)
+            .await
+            .with_context(|| format!("request a snapshot from {peer}"))
     }
 
     /// Waits for the answer.
@@ -145,14 +147,14 @@
     }
 }
 
-/// Queries a peer; `response_timeout` bounds the wait for its first response.
-pub(crate) async fn query(
+/// Requests a snapshot from a peer; `response_timeout` bounds the wait for its first response.
+pub(crate) async fn request(
     peer: SocketAddrV4,
-    query: &Question,
+    request: &SnapshotRequest,
     response_timeout: Duration,
 ) -> anyhow::Result<Snapshot> {
-    let pending = PendingQuery::new(peer, query, response_timeout).await?;
-    pending.answer().await.with_context(|| format!("query {peer}"))
+    let pending = PendingRequest::new(peer, request, response_timeout).await?;
+    pending.answer().await.with_context(|| format!("request a snapshot from {peer}"))
 }
 
 async fn receive(frames: &mut Frames<TcpStream>) -> anyhow::Result<Snapshot> {
--- a/crates/opaque/src/snapshot/tests.rs
+++ b/crates/opaque/src/snapshot/tests.rs
@@ -6,11 +6,11 @@
 
 use super::*;
 
-/// Sends a query and reads the first response.
+/// Sends a request and reads the first response.
 async fn requester(at: SocketAddrV4) -> Frames<TcpStream> {
     let mut frames = frames(TcpStream::connect(at).await.expect("the server listens"));
-    let query = Bytes::from(Question::all().encode_to_vec());
-    frames.send(query).await.expect("the query is sent");
+    let request = Bytes::from(SnapshotRequest::all().encode_to_vec());
+    frames.send(request).await.expect("the request is sent");
     receive(&mut frames).await.expect("the first response");
     frames
 }
--- a/crates/opaque/src/store.rs
+++ b/crates/opaque/src/store.rs
@@ -4,7 +4,7 @@
 
 use camphorwinch_core::opaque::{
     PoolId,
-    fleet::{Listed, ZoneId},
+    fleet::{MemberEntry, ZoneId},
     revision::Revision,
     route::Routes,
     zone::ZonesOut,
@@ -27,8 +27,8 @@
 
 impl Member {
     /// The member as used by the decision logic.
-    pub fn listed(&self) -> Listed {
-        Listed {
+    pub fn listed(&self) -> MemberEntry {
+        MemberEntry {
             address: self.address,
             pool: self.pool.as_deref().map(PoolId::of),
             zone: ZoneId::of(&self.zone),
@@ -42,7 +42,7 @@
     /// Name of the process and of its store object.
     pub name: String,
     /// The member as used by the decision logic.
-    pub listed: Listed,
+    pub listed: MemberEntry,
     /// Revision of the object's last change.
     pub revision: Revision,
 }
--- a/crates/wire/src/opaque.rs
+++ b/crates/wire/src/opaque.rs
@@ -10,7 +10,7 @@
 //! 2 answer | result 1 | pool 8, for WrongPool | caller 6 | service 6 | returned packet, if any
 //! 3 control | Control
 //! 4 query | for each flow: caller 6, service 6
-//! 5 verdicts | for each flow: verdict 1, caller 6, service 6
+//! 5 query response | for each flow: status 1, caller 6, service 6
 //! 6 fan-out | pool 8 | balancer 6 | count 1 | agent 6 each | packet
 //! ```
 
@@ -19,10 +19,10 @@
 use bytes::{Buf, BufMut};
 use camphorwinch_core::opaque::{
     FlowKey, PoolId,
-    effect::{Answer, Ask, Relay, Verdict},
-    fleet::{self, Plan, Upstream, ZoneId},
+    candidate_list::{Candidate, CandidateList, MAX_CANDIDATES, PoolLoad},
+    effect::{Answer, FlowStatus, RelayAction, RelayHeader},
+    fleet::{self, AgentPlan, UpstreamState, ZoneId},
     route::Objective,
-    walk::{MAX_SEATS, PoolLoad, Seat, Walk},
 };
 use prost::{Enumeration, Message, Oneof};
 use thiserror::Error;
@@ -31,8 +31,8 @@
 const TYPE_ANSWER: u8 = 2;
 const TYPE_CONTROL: u8 = 3;
 const TYPE_QUERY: u8 = 4;
-const TYPE_VERDICTS: u8 = 5;
-const TYPE_SPREAD: u8 = 6;
+const TYPE_QUERY_RESPONSE: u8 = 5;
+const TYPE_FAN_OUT: u8 = 6;
 
 /// A decoded datagram.
 #[derive(Debug)]
@@ -40,7 +40,7 @@
     /// A caller's packet, forwarded by a balancer or an agent.
     Packet {
         /// What the receiver does with the packet.
-        relay: Relay,
+        relay: RelayHeader,
         /// The caller's packet.
         packet: &'a [u8],
     },
@@ -58,16 +58,16 @@
     /// Flows that a balancer queries.
     Query(Vec<FlowKey>),
     /// A caller's packet that the receiver forwards to other agents.
-    Spread {
+    FanOut {
         /// What these agents do with the packet.
-        relay: Relay,
+        relay: RelayHeader,
         /// Agents to forward the packet to.
         agents: Vec<SocketAddrV4>,
         /// The caller's packet.
         packet: &'a [u8],
     },
     /// An agent's reply to a query.
-    Verdicts(Vec<(FlowKey, Verdict)>),
+    QueryResponse(Vec<(FlowKey, FlowStatus)>),
 }
 
 /// Reason why a datagram or snapshot is rejected.
@@ -79,7 +79,7 @@
     /// Unknown datagram type.
     #[error("unknown datagram type {0}")]
     UnknownType(u8),
-    /// Unknown action, result or verdict.
+    /// Unknown action, result or status.
     #[error("unknown code {0}")]
     UnknownCode(u8),
     /// The candidate list is empty, too long, or its index is out of range.
@@ -99,26 +99,31 @@
 }
 
 /// Appends a caller's packet and the action for its receiver.
-pub fn encode_packet(relay: &Relay, packet: &[u8], out: &mut Vec<u8>) {
-    let (code, walk) = match &relay.ask {
-        Ask::Open(walk) => (0, Some(walk)),
-        Ask::Settle(walk) => (1, Some(walk)),
-        Ask::Deliver => (2, None),
-        Ask::Locate => (3, None),
+pub fn encode_packet(relay: &RelayHeader, packet: &[u8], out: &mut Vec<u8>) {
+    let (code, list) = match &relay.action {
+        RelayAction::Open(list) => (0, Some(list)),
+        RelayAction::Assign(list) => (1, Some(list)),
+        RelayAction::Deliver => (2, None),
+        RelayAction::Locate => (3, None),
     };
     out.put_u8(TYPE_PACKET);
     out.put_u8(code);
     out.put_u64(relay.pool.0);
     put_address(relay.balancer, out);
-    if let Some(walk) = walk {
-        put_walk(walk, out);
+    if let Some(list) = list {
+        put_candidates(list, out);
     }
     out.put_slice(packet);
 }
 
 /// Appends a caller's packet that the receiver forwards to `agents` to locate its flow.
-pub fn encode_spread(relay: &Relay, agents: &[SocketAddrV4], packet: &[u8], out: &mut Vec<u8>) {
-    out.put_u8(TYPE_SPREAD);
+pub fn encode_fan_out(
+    relay: &RelayHeader,
+    agents: &[SocketAddrV4],
+    packet: &[u8],
+    out: &mut Vec<u8>,
+) {
+    out.put_u8(TYPE_FAN_OUT);
     out.put_u64(relay.pool.0);
     put_address(relay.balancer, out);
     out.put_u8(agents.len() as u8);
@@ -159,13 +164,13 @@
 }
 
 /// Appends the reply to a query.
-pub fn encode_verdicts(verdicts: &[(FlowKey, Verdict)], out: &mut Vec<u8>) {
-    out.put_u8(TYPE_VERDICTS);
-    for (key, verdict) in verdicts {
-        out.put_u8(match verdict {
-            Verdict::Here => 0,
-            Verdict::Absent => 1,
-            Verdict::Unsure => 2,
+pub fn encode_query_response(statuses: &[(FlowKey, FlowStatus)], out: &mut Vec<u8>) {
+    out.put_u8(TYPE_QUERY_RESPONSE);
+    for (key, status) in statuses {
+        out.put_u8(match status {
+            FlowStatus::Here => 0,
+            FlowStatus::Absent => 1,
+            FlowStatus::Unknown => 2,
         });
         put_key(key, out);
     }
@@ -181,8 +186,8 @@
             message.map(Datagram::Control).map_err(|e| DecodeError::Message(e.to_string()))
         }
         TYPE_QUERY => decode_query(bytes),
-        TYPE_VERDICTS => decode_verdicts(bytes),
-        TYPE_SPREAD => decode_spread(bytes),
+        TYPE_QUERY_RESPONSE => decode_query_response(bytes),
+        TYPE_FAN_OUT => decode_fan_out(bytes),
         kind => Err(DecodeError::UnknownType(kind)),
     }
 }
@@ -195,41 +200,41 @@
     Ok(Datagram::Query(keys))
 }
 
-fn decode_verdicts(mut bytes: &[u8]) -> Result<Datagram<'_>, DecodeError> {
-    let mut verdicts = Vec::with_capacity(bytes.len() / 13);
+fn decode_query_response(mut bytes: &[u8]) -> Result<Datagram<'_>, DecodeError> {
+    let mut statuses = Vec::with_capacity(bytes.len() / 13);
     while !bytes.is_empty() {
-        let verdict = match take_u8(&mut bytes)? {
-            0 => Verdict::Here,
-            1 => Verdict::Absent,
-            2 => Verdict::Unsure,
+        let status = match take_u8(&mut bytes)? {
+            0 => FlowStatus::Here,
+            1 => FlowStatus::Absent,
+            2 => FlowStatus::Unknown,
             code => return Err(DecodeError::UnknownCode(code)),
         };
-        verdicts.push((take_key(&mut bytes)?, verdict));
+        statuses.push((take_key(&mut bytes)?, status));
     }
-    Ok(Datagram::Verdicts(verdicts))
+    Ok(Datagram::QueryResponse(statuses))
 }
 
-fn decode_spread(mut bytes: &[u8]) -> Result<Datagram<'_>, DecodeError> {
+fn decode_fan_out(mut bytes: &[u8]) -> Result<Datagram<'_>, DecodeError> {
     let pool = take_pool(&mut bytes)?;
     let balancer = take_address(&mut bytes)?;
     let count = take_u8(&mut bytes)?;
     let agents = (0..count).map(|_| take_address(&mut bytes)).collect::<Result<_, _>>()?;
-    let relay = Relay { ask: Ask::Locate, pool, balancer };
-    Ok(Datagram::Spread { relay, agents, packet: bytes })
+    let relay = RelayHeader { action: RelayAction::Locate, pool, balancer };
+    Ok(Datagram::FanOut { relay, agents, packet: bytes })
 }
 
 fn decode_packet(mut bytes: &[u8]) -> Result<Datagram<'_>, DecodeError> {
     let code = take_u8(&mut bytes)?;
     let pool = take_pool(&mut bytes)?;
     let balancer = take_address(&mut bytes)?;
-    let ask = match code {
-        0 => Ask::Open(take_walk(&mut bytes)?),
-        1 => Ask::Settle(take_walk(&mut bytes)?),
-        2 => Ask::Deliver,
-        3 => Ask::Locate,
+    let action = match code {
+        0 => RelayAction::Open(take_candidates(&mut bytes)?),
+        1 => RelayAction::Assign(take_candidates(&mut bytes)?),
+        2 => RelayAction::Deliver,
+        3 => RelayAction::Locate,
         code => return Err(DecodeError::UnknownCode(code)),
     };
-    Ok(Datagram::Packet { relay: Relay { ask, pool, balancer }, packet: bytes })
+    Ok(Datagram::Packet { relay: RelayHeader { action, pool, balancer }, packet: bytes })
 }
 
 fn decode_answer(mut bytes: &[u8]) -> Result<Datagram<'_>, DecodeError> {
@@ -254,28 +259,28 @@
     Ok(FlowKey { caller, service })
 }
 
-fn put_walk(walk: &Walk, out: &mut Vec<u8>) {
-    out.put_u16(walk.limit);
+fn put_candidates(list: &CandidateList, out: &mut Vec<u8>) {
+    out.put_u16(list.limit);
     // A timeout of 0 encodes an unknown objective.
     let unknown = Objective { priority: 0, latency_ms: 0, timeout_ms: 0, idempotent: false };
-    let objective = walk.objective.unwrap_or(unknown);
+    let objective = list.objective.unwrap_or(unknown);
     out.put_u32(objective.latency_ms);
     out.put_u32(objective.timeout_ms);
     out.put_u8(objective.priority);
     out.put_u8(u8::from(objective.idempotent));
-    out.put_u32(walk.pool.service_ms.unwrap_or(0));
-    out.put_u8(walk.pool.full_percent);
-    out.put_u8(walk.at());
-    out.put_u8(walk.seats().len() as u8);
-    for seat in walk.seats() {
-        put_address(seat.agent, out);
-        out.put_u16(seat.load);
+    out.put_u32(list.pool.service_ms.unwrap_or(0));
+    out.put_u8(list.pool.full_percent);
+    out.put_u8(list.position());
+    out.put_u8(list.candidates().len() as u8);
+    for candidate in list.candidates() {
+        put_address(candidate.agent, out);
+        out.put_u16(candidate.load);
     }
     // A rate of 0 encodes no limit.
-    out.put_u32(walk.cold_rate.unwrap_or(0));
+    out.put_u32(list.cold_rate.unwrap_or(0));
 }
 
-fn take_walk(bytes: &mut &[u8]) -> Result<Walk, DecodeError> {
+fn take_candidates(bytes: &mut &[u8]) -> Result<CandidateList, DecodeError> {
     let limit = take_u16(bytes)?;
     let objective = Objective {
         latency_ms: take_u32(bytes)?,
@@ -287,20 +292,20 @@
     let pool = PoolLoad { service_ms, full_percent: take_u8(bytes)? };
     let index = take_u8(bytes)?;
     let count = take_u8(bytes)?;
-    let mut seats = Vec::with_capacity(MAX_SEATS);
-    if usize::from(count) > MAX_SEATS {
+    let mut candidates = Vec::with_capacity(MAX_CANDIDATES);
+    if usize::from(count) > MAX_CANDIDATES {
         return Err(DecodeError::InvalidCandidates { count, index });
     }
     for _ in 0..count {
         let agent = take_address(bytes)?;
         let load = take_u16(bytes)?;
-        seats.push(Seat { agent, load });
+        candidates.push(Candidate { agent, load });
     }
-    let walk = Walk::from_parts(&seats, index, limit)
+    let list = CandidateList::from_parts(&candidates, index, limit)
         .ok_or(DecodeError::InvalidCandidates { count, index })?;
     let cold_rate = Some(take_u32(bytes)?).filter(|&it| it > 0);
-    let walk = walk.with_pool(pool).with_cold_rate(cold_rate);
-    Ok(walk.with_objective(Some(objective).filter(|it| it.timeout_ms > 0)))
+    let list = list.with_pool(pool).with_cold_rate(cold_rate);
+    Ok(list.with_objective(Some(objective).filter(|it| it.timeout_ms > 0)))
 }
 
 fn put_address(address: SocketAddrV4, out: &mut Vec<u8>) {
@@ -345,19 +350,19 @@
     Report(Report),
     /// Announcement of a balancer.
     #[prost(message, tag = "2")]
-    Greeting(Greeting),
+    Hello(Hello),
 }
 
 /// Announcement of a balancer to other balancers and to agents that send it no reports.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Greeting {
+pub struct Hello {
     /// Revision number of the sender's active configuration; 0 without one.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
     /// Whether the sender is stopping.
     #[prost(bool, tag = "2")]
     pub leaving: bool,
-    /// Whether the receiver's object was removed from the store.
+    /// Whether the receiver's entry was withdrawn from the store.
     #[prost(bool, tag = "3")]
     pub unlisted: bool,
     /// Zones out of service; `None` if the sender has no list of them.
@@ -365,7 +370,7 @@
     pub zones: Option<ZonesEntry>,
     /// Whether the receiver should keep a copy of the sender's snapshot.
     #[prost(bool, tag = "5")]
-    pub keep: bool,
+    pub keep_copy: bool,
     /// Operator-assigned version of the active configuration.
     #[prost(uint64, tag = "6")]
     pub version: u64,
@@ -417,7 +422,7 @@
     pub load: u32,
     /// Report interval, in milliseconds.
     #[prost(uint32, tag = "10")]
-    pub every_ms: u32,
+    pub interval_ms: u32,
     /// Mean service time, in milliseconds; 0 if unknown.
     #[prost(uint32, tag = "11")]
     pub service_ms: u32,
@@ -443,20 +448,20 @@
             pool: it.pool.0,
             zone: it.zone.0,
             upstream: match it.upstream {
-                Upstream::Unknown => 0,
-                Upstream::Ready => 1,
-                Upstream::Draining => 2,
-                Upstream::Ended => 3,
+                UpstreamState::Unknown => 0,
+                UpstreamState::Ready => 1,
+                UpstreamState::Draining => 2,
+                UpstreamState::Ended => 3,
             },
             plan: match it.plan {
-                Plan::Stay => 0,
-                Plan::Pause => 1,
-                Plan::Restart => 2,
-                Plan::Leave => 3,
+                AgentPlan::Stay => 0,
+                AgentPlan::Pause => 1,
+                AgentPlan::Restart => 2,
+                AgentPlan::Leave => 3,
             },
             slots: it.slots,
             load: u32::from(it.load),
-            every_ms: it.every_ms,
+            interval_ms: it.interval_ms,
             service_ms: it.service_ms.unwrap_or(0),
             full: it.full,
             copy_revision: 0,
@@ -476,22 +481,22 @@
             pool: PoolId(it.pool),
             zone: ZoneId(it.zone),
             upstream: match it.upstream {
-                0 => Upstream::Unknown,
-                1 => Upstream::Ready,
-                2 => Upstream::Draining,
-                3 => Upstream::Ended,
+                0 => UpstreamState::Unknown,
+                1 => UpstreamState::Ready,
+                2 => UpstreamState::Draining,
+                3 => UpstreamState::Ended,
                 _ => return Err(DecodeError::InvalidField("upstream")),
             },
             plan: match it.plan {
-                0 => Plan::Stay,
-                1 => Plan::Pause,
-                2 => Plan::Restart,
-                3 => Plan::Leave,
+                0 => AgentPlan::Stay,
+                1 => AgentPlan::Pause,
+                2 => AgentPlan::Restart,
+                3 => AgentPlan::Leave,
                 _ => return Err(DecodeError::InvalidField("plan")),
             },
             slots: it.slots,
             load: u16::try_from(it.load).map_err(|_| DecodeError::InvalidField("load"))?,
-            every_ms: it.every_ms,
+            interval_ms: it.interval_ms,
             service_ms: Some(it.service_ms).filter(|&it| it > 0),
             full: it.full,
         })
@@ -530,11 +535,11 @@
     pub list_era: u64,
     /// Other processes that can serve the member list, if the sender has reached its limit.
     #[prost(message, repeated, tag = "11")]
-    pub referred: Vec<PeerEntry>,
+    pub referrals: Vec<PeerEntry>,
     /// Whether the member list is as recent as requested.
     #[prost(bool, tag = "12")]
-    pub meets_need: bool,
-    /// Zones out of service whose entries were lost when the store was restored from a backup.
+    pub is_fresh: bool,
+    /// Zones out of service whose entries were lost in a reset of the store.
     #[prost(string, repeated, tag = "14")]
     pub lost_zones: Vec<String>,
     /// Whether the full snapshot follows in another frame.
@@ -555,7 +560,7 @@
 
 /// Request for a [`Snapshot`].
 #[derive(Clone, PartialEq, Message)]
-pub struct Question {
+pub struct SnapshotRequest {
     /// Whether to include the configuration and the zones out of service.
     #[prost(bool, tag = "1")]
     pub config: bool,
@@ -573,7 +578,7 @@
     pub era: u64,
     /// Address of the requester, if it can serve the member list to others.
     #[prost(message, optional, tag = "6")]
-    pub asker: Option<PeerEntry>,
+    pub requester: Option<PeerEntry>,
     /// Whether another process referred the requester to the receiver.
     #[prost(bool, tag = "7")]
     pub referred: bool,
@@ -591,7 +596,7 @@
     All = 2,
 }
 
-/// Required freshness of a member list; encoded form of [`camphorwinch_core::opaque::listing::Need`].
+/// Required freshness of a member list; encoded form of [`camphorwinch_core::opaque::member_list::Freshness`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Enumeration)]
 #[repr(i32)]
 pub enum Age {
--- a/crates/wire/src/opaque_convert.rs
+++ b/crates/wire/src/opaque_convert.rs
@@ -4,16 +4,16 @@
 
 use camphorwinch_core::opaque::{
     PoolId,
-    fleet::{Listed, ZoneId},
-    listing::Need,
+    fleet::{self, ZoneId},
+    member_list::Freshness,
     revision::Revision,
-    route::{Objective, Route, Routes, Share, Stamp},
+    route::{ConfigVersion, Objective, Route, Routes, WeightedPool},
     zone::{RegionId, ZonesOut},
 };
 
 use crate::opaque::{
-    Age, ColdRateEntry, DecodeError, Greeting, MemberEntry, Part, PeerEntry, Question, Report,
-    RouteEntry, ShareEntry, Snapshot, ZonesEntry,
+    Age, ColdRateEntry, DecodeError, Hello, MemberEntry, Part, PeerEntry, Report, RouteEntry,
+    ShareEntry, Snapshot, SnapshotRequest, ZonesEntry,
 };
 
 impl From<&ZonesOut> for ZonesEntry {
@@ -36,70 +36,70 @@
     }
 }
 
-impl Greeting {
+impl Hello {
     /// Creates an announcement with the sender's active configuration, if any.
-    pub fn new(config: Option<Stamp>) -> Greeting {
-        let (version, era, revision) = config.map_or_else(Default::default, stamp_fields);
-        Greeting { revision, version, era, ..Greeting::default() }
+    pub fn new(config: Option<ConfigVersion>) -> Hello {
+        let (version, era, revision) = config.map_or_else(Default::default, config_version_fields);
+        Hello { revision, version, era, ..Hello::default() }
     }
 
     /// Returns the sender's active configuration, if any.
-    pub fn config(&self) -> Option<Stamp> {
-        stamp(self.version, self.era, self.revision)
+    pub fn config(&self) -> Option<ConfigVersion> {
+        config_version(self.version, self.era, self.revision)
     }
 }
 
 impl Report {
     /// Sets the configuration that the agent keeps a copy of, if any.
-    pub fn with_kept(self, config: Option<Stamp>) -> Report {
+    pub fn with_config_copy(self, config: Option<ConfigVersion>) -> Report {
         let (copy_version, copy_era, copy_revision) =
-            config.map_or_else(Default::default, stamp_fields);
+            config.map_or_else(Default::default, config_version_fields);
         Report { copy_revision, copy_version, copy_era, ..self }
     }
 
     /// Returns the configuration that the agent keeps a copy of, if any.
-    pub fn kept_config(&self) -> Option<Stamp> {
-        stamp(self.copy_version, self.copy_era, self.copy_revision)
+    pub fn config_copy(&self) -> Option<ConfigVersion> {
+        config_version(self.copy_version, self.copy_era, self.copy_revision)
     }
 }
 
-impl Question {
+impl SnapshotRequest {
     /// Requests the configuration and all members, at any freshness.
-    pub fn all() -> Question {
-        Question::default().with_config().with_members(Part::All)
+    pub fn all() -> SnapshotRequest {
+        SnapshotRequest::default().with_config().with_members(Part::All)
     }
 
     /// Adds the configuration and the zones out of service to the request.
-    pub fn with_config(self) -> Question {
-        Question { config: true, ..self }
+    pub fn with_config(self) -> SnapshotRequest {
+        SnapshotRequest { config: true, ..self }
     }
 
     /// Sets which members to include.
-    pub fn with_members(self, members: Part) -> Question {
-        Question { members: members.into(), ..self }
+    pub fn with_members(self, members: Part) -> SnapshotRequest {
+        SnapshotRequest { members: members.into(), ..self }
     }
 
     /// Sets the required freshness of the member list.
-    pub fn with_need(self, need: Need) -> Question {
-        let (age, revision) = match need {
-            Need::Any => (Age::Any, Revision::default()),
-            Need::Since(revision) => (Age::Since, revision),
-            Need::Fresh => (Age::Fresh, Revision::default()),
+    pub fn with_freshness(self, freshness: Freshness) -> SnapshotRequest {
+        let (age, revision) = match freshness {
+            Freshness::Any => (Age::Any, Revision::default()),
+            Freshness::AtLeast(revision) => (Age::Since, revision),
+            Freshness::Fresh => (Age::Fresh, Revision::default()),
         };
-        Question { age: age.into(), era: revision.era, revision: revision.number, ..self }
+        SnapshotRequest { age: age.into(), era: revision.era, revision: revision.number, ..self }
     }
 
     /// Sets the address of a requester that can serve the member list to others.
-    pub fn with_asker(self, asker: SocketAddrV4) -> Question {
-        Question { asker: Some(asker.into()), ..self }
+    pub fn with_requester(self, requester: SocketAddrV4) -> SnapshotRequest {
+        SnapshotRequest { requester: Some(requester.into()), ..self }
     }
 
     /// Returns the required freshness of the member list.
-    pub fn need(&self) -> Need {
+    pub fn freshness(&self) -> Freshness {
         match self.age() {
-            Age::Any => Need::Any,
-            Age::Since => Need::Since(Revision::new(self.era, self.revision)),
-            Age::Fresh => Need::Fresh,
+            Age::Any => Freshness::Any,
+            Age::Since => Freshness::AtLeast(Revision::new(self.era, self.revision)),
+            Age::Fresh => Freshness::Fresh,
         }
     }
 }
@@ -124,9 +124,9 @@
         (self.list_revision > 0).then(|| Revision::new(self.list_era, self.list_revision))
     }
 
-    /// Returns the parts of the snapshot that `question` requests.
-    pub fn parts(&self, question: &Question) -> Snapshot {
-        let members = match question.members() {
+    /// Returns the requested parts of the snapshot.
+    pub fn select(&self, request: &SnapshotRequest) -> Snapshot {
+        let members = match request.members() {
             Part::None => Vec::new(),
             Part::Balancers => {
                 self.members.iter().filter(|it| it.pool.is_none()).cloned().collect()
@@ -134,7 +134,7 @@
             Part::All => self.members.clone(),
         };
         let Snapshot { list_era, list_revision, .. } = *self;
-        if !question.config {
+        if !request.config {
             return Snapshot { members, list_era, list_revision, ..Snapshot::default() };
         }
         Snapshot {
@@ -153,8 +153,8 @@
     }
 
     /// Returns the version and revision of the configuration, if any.
-    pub fn config(&self) -> Option<Stamp> {
-        stamp(self.version, self.era, self.revision)
+    pub fn config(&self) -> Option<ConfigVersion> {
+        config_version(self.version, self.era, self.revision)
     }
 
     /// Sets the zones out of service, if known.
@@ -163,14 +163,14 @@
     }
 
     /// Creates a snapshot of the active routes, if any, and the members.
-    pub fn new(routes: Option<&Routes>, members: &[Listed]) -> Snapshot {
+    pub fn new(routes: Option<&Routes>, members: &[fleet::MemberEntry]) -> Snapshot {
         let members = members.iter().map(MemberEntry::from).collect();
         let Some(routes) = routes else {
             return Snapshot { members, ..Snapshot::default() };
         };
         let cold_rates = routes.cold_rates.iter();
         let cold_rates = cold_rates.map(|(pool, &rate)| ColdRateEntry { pool: pool.0, rate });
-        let (version, era, revision) = stamp_fields(routes.stamp());
+        let (version, era, revision) = config_version_fields(routes.config_version());
         Snapshot {
             revision,
             version,
@@ -184,18 +184,19 @@
 
     /// Converts the routes; `None` without a configuration.
     pub fn routes(&self) -> Result<Option<Routes>, DecodeError> {
-        let Some(Stamp { version, revision }) = self.config() else {
+        let Some(ConfigVersion { version, revision }) = self.config() else {
             return Ok(None);
         };
         let mut routes = Routes { revision, version, ..Routes::default() };
         let cold_rates = self.cold_rates.iter();
         routes.cold_rates = cold_rates.map(|it| (PoolId(it.pool), it.rate)).collect();
         for entry in &self.routes {
-            let shares = entry.shares.iter();
-            let shares =
-                shares.map(|it| Share { pool: PoolId(it.pool), weight: it.weight }).collect();
+            let weighted_pools = entry.shares.iter();
+            let weighted_pools = weighted_pools
+                .map(|it| WeightedPool { pool: PoolId(it.pool), weight: it.weight })
+                .collect();
             let regions = entry.regions.iter().copied().map(RegionId).collect();
-            let route = Route::new(shares).with_regions(regions);
+            let route = Route::new(weighted_pools).with_regions(regions);
             let route = match objective(entry)? {
                 Some(it) => route.with_objective(it),
                 None => route,
@@ -206,15 +207,15 @@
     }
 
     /// Converts the members.
-    pub fn members(&self) -> Result<Vec<Listed>, DecodeError> {
+    pub fn members(&self) -> Result<Vec<fleet::MemberEntry>, DecodeError> {
         self.members.iter().map(MemberEntry::listed).collect()
     }
 }
 
 impl MemberEntry {
     /// Converts the entry; fails if the port is out of range.
-    pub fn listed(&self) -> Result<Listed, DecodeError> {
-        Ok(Listed {
+    pub fn listed(&self) -> Result<fleet::MemberEntry, DecodeError> {
+        Ok(fleet::MemberEntry {
             address: address(self.ip, self.port)?,
             pool: self.pool.map(PoolId),
             zone: ZoneId(self.zone),
@@ -222,17 +223,17 @@
     }
 }
 
-/// Returns version, era and revision number. Revision numbers start at 1; 0 encodes a missing stamp.
-fn stamp_fields(it: Stamp) -> (u64, u64, u64) {
+/// Returns version, era and revision number. Revision numbers start at 1; 0 encodes a missing version.
+fn config_version_fields(it: ConfigVersion) -> (u64, u64, u64) {
     (it.version, it.revision.era, it.revision.number)
 }
 
-fn stamp(version: u64, era: u64, number: u64) -> Option<Stamp> {
-    (number > 0).then(|| Stamp { version, revision: Revision::new(era, number) })
+fn config_version(version: u64, era: u64, number: u64) -> Option<ConfigVersion> {
+    (number > 0).then(|| ConfigVersion { version, revision: Revision::new(era, number) })
 }
 
-impl From<&Listed> for MemberEntry {
-    fn from(it: &Listed) -> MemberEntry {
+impl From<&fleet::MemberEntry> for MemberEntry {
+    fn from(it: &fleet::MemberEntry) -> MemberEntry {
         MemberEntry {
             ip: it.address.ip().to_bits(),
             port: u32::from(it.address.port()),
@@ -244,12 +245,14 @@
 }
 
 fn route_entry(at: SocketAddrV4, route: &Route) -> RouteEntry {
-    let shares = route.shares().iter();
+    let weighted_pools = route.weighted_pools().iter();
     let objective = route.objective();
     RouteEntry {
         ip: at.ip().to_bits(),
         port: u32::from(at.port()),
-        shares: shares.map(|it| ShareEntry { pool: it.pool.0, weight: it.weight }).collect(),
+        shares: weighted_pools
+            .map(|it| ShareEntry { pool: it.pool.0, weight: it.weight })
+            .collect(),
         latency_ms: objective.map_or(0, |it| it.latency_ms),
         timeout_ms: objective.map_or(0, |it| it.timeout_ms),
         priority: objective.map_or(0, |it| u32::from(it.priority)),
--- a/crates/wire/tests/opaque.rs
+++ b/crates/wire/tests/opaque.rs
@@ -4,16 +4,17 @@
 
 use camphorwinch_core::opaque::{
     FlowKey, PoolId,
-    effect::{Answer, Ask, Relay, Verdict},
-    fleet::{self, Listed, Plan, Upstream, ZoneId},
+    candidate_list::{CandidateList, PoolLoad},
+    effect::{Answer, FlowStatus, RelayAction, RelayHeader},
+    fleet::{self, AgentPlan, MemberEntry, UpstreamState, ZoneId},
     revision::Revision,
-    route::{Objective, Route, Routes, Share, Stamp},
-    walk::{PoolLoad, Walk},
+    route::{ConfigVersion, Objective, Route, Routes, WeightedPool},
     zone::{RegionId, ZonesOut},
 };
 use camphorwinch_wire::opaque::{
-    Body, Control, Datagram, DecodeError, Greeting, Report, Snapshot, ZonesEntry, decode,
-    encode_answer, encode_control, encode_packet, encode_query, encode_spread, encode_verdicts,
+    Body, Control, Datagram, DecodeError, Hello, Report, Snapshot, ZonesEntry, decode,
+    encode_answer, encode_control, encode_fan_out, encode_packet, encode_query,
+    encode_query_response,
 };
 use quickcheck::quickcheck;
 
@@ -28,16 +29,21 @@
     FlowKey { caller: address(host), service: address(200) }
 }
 
-fn relay(ask: Ask) -> Relay {
-    Relay { ask, pool: PoolId(u64::MAX - 3), balancer: address(9) }
+fn relay(action: RelayAction) -> RelayHeader {
+    RelayHeader { action, pool: PoolId(u64::MAX - 3), balancer: address(9) }
 }
 
-fn asks() -> [Ask; 4] {
-    let mut walk = Walk::new((1..=8).map(address), 1_234);
-    walk.pass(77);
+fn actions() -> [RelayAction; 4] {
+    let mut candidates = CandidateList::new((1..=8).map(address), 1_234);
+    candidates.advance(77);
     let pool = PoolLoad { service_ms: Some(70_000), full_percent: 99 };
-    let known = walk.with_objective(Some(OBJECTIVE)).with_pool(pool).with_cold_rate(Some(9));
-    [Ask::Open(walk), Ask::Settle(known), Ask::Deliver, Ask::Locate]
+    let known = candidates.with_objective(Some(OBJECTIVE)).with_pool(pool).with_cold_rate(Some(9));
+    [
+        RelayAction::Open(candidates),
+        RelayAction::Assign(known),
+        RelayAction::Deliver,
+        RelayAction::Locate,
+    ]
 }
 
 fn report() -> fleet::Report {
@@ -46,11 +52,11 @@
         seq: 8,
         pool: PoolId(9),
         zone: ZoneId(10),
-        upstream: Upstream::Draining,
-        plan: Plan::Restart,
+        upstream: UpstreamState::Draining,
+        plan: AgentPlan::Restart,
         slots: 11,
         load: 12,
-        every_ms: 13,
+        interval_ms: 13,
         service_ms: Some(14),
         full: true,
     }
@@ -58,19 +64,19 @@
 
 #[test]
 fn packets_round_trip() {
-    for ask in asks() {
+    for action in actions() {
         let mut bytes = Vec::new();
-        encode_packet(&relay(ask), b"a caller's packet", &mut bytes);
+        encode_packet(&relay(action), b"a caller's packet", &mut bytes);
         let Ok(Datagram::Packet { relay: read, packet }) = decode(&bytes) else {
-            panic!("{ask:?}")
+            panic!("{action:?}")
         };
-        assert_eq!(read, relay(ask));
+        assert_eq!(read, relay(action));
         assert_eq!(packet, b"a caller's packet");
     }
 }
 
 #[test]
-fn answers_queries_and_verdicts_round_trip() {
+fn answers_queries_and_query_responses_round_trip() {
     for answer in [Answer::Here, Answer::Absent, Answer::WrongPool(PoolId(u64::MAX - 1))] {
         let mut bytes = Vec::new();
         encode_answer(&key(1), answer, b"packet", &mut bytes);
@@ -82,22 +88,23 @@
     let mut bytes = Vec::new();
     encode_query(&[key(1), key(2)], &mut bytes);
     assert!(matches!(decode(&bytes), Ok(Datagram::Query(it)) if it == [key(1), key(2)]));
-    let verdicts = [(key(1), Verdict::Here), (key(2), Verdict::Absent), (key(3), Verdict::Unsure)];
+    let statuses =
+        [(key(1), FlowStatus::Here), (key(2), FlowStatus::Absent), (key(3), FlowStatus::Unknown)];
     bytes.clear();
-    encode_verdicts(&verdicts, &mut bytes);
-    assert!(matches!(decode(&bytes), Ok(Datagram::Verdicts(it)) if it == verdicts));
+    encode_query_response(&statuses, &mut bytes);
+    assert!(matches!(decode(&bytes), Ok(Datagram::QueryResponse(it)) if it == statuses));
 }
 
 #[test]
 fn a_fan_out_round_trips_and_fits_an_ethernet_frame() {
-    let relay = relay(Ask::Locate);
+    let relay = relay(RelayAction::Locate);
     let agents: Vec<_> = (1..=28).map(address).collect();
     let packet = [7; 1_232];
     let mut bytes = Vec::new();
-    encode_spread(&relay, &agents, &packet, &mut bytes);
+    encode_fan_out(&relay, &agents, &packet, &mut bytes);
     // Payload of a 1,500-byte Ethernet frame without the IP and UDP headers.
     assert!(bytes.len() <= 1_472, "{}", bytes.len());
-    let Ok(Datagram::Spread { relay: read, agents: listed, packet: carried }) = decode(&bytes)
+    let Ok(Datagram::FanOut { relay: read, agents: listed, packet: carried }) = decode(&bytes)
     else {
         panic!("{bytes:?}")
     };
@@ -109,22 +116,22 @@
 
 #[test]
 fn control_messages_round_trip() {
-    let greeting = Body::Greeting(Greeting {
+    let hello = Body::Hello(Hello {
         revision: 5,
         leaving: true,
         unlisted: true,
         zones: Some(ZonesEntry { revision: 7, names: vec!["a".to_owned()], era: 3 }),
-        keep: true,
+        keep_copy: true,
         version: 9,
         era: 2,
     });
-    let config = Stamp { version: 9, revision: Revision::new(2, 5) };
-    let kept = Report::from(report()).with_kept(Some(config));
-    assert_eq!(kept.kept_config(), Some(config));
-    assert_eq!(Report::from(report()).with_kept(None).kept_config(), None);
-    assert_eq!(Greeting::new(Some(config)).config(), Some(config));
-    assert_eq!(Greeting::new(None).config(), None);
-    for body in [Body::Report(report().into()), Body::Report(kept), greeting] {
+    let config = ConfigVersion { version: 9, revision: Revision::new(2, 5) };
+    let with_copy = Report::from(report()).with_config_copy(Some(config));
+    assert_eq!(with_copy.config_copy(), Some(config));
+    assert_eq!(Report::from(report()).with_config_copy(None).config_copy(), None);
+    assert_eq!(Hello::new(Some(config)).config(), Some(config));
+    assert_eq!(Hello::new(None).config(), None);
+    for body in [Body::Report(report().into()), Body::Report(with_copy), hello] {
         let mut bytes = Vec::new();
         encode_control(&Control { body: Some(body.clone()) }, &mut bytes);
         let Ok(Datagram::Control(read)) = decode(&bytes) else { panic!("{body:?}") };
@@ -145,7 +152,7 @@
     assert_eq!(decode(&[99]).err(), Some(DecodeError::UnknownType(99)));
     assert_eq!(decode(&[2, 7]).err(), Some(DecodeError::UnknownCode(7)));
     let mut bytes = Vec::new();
-    encode_packet(&relay(Ask::Deliver), b"", &mut bytes);
+    encode_packet(&relay(RelayAction::Deliver), b"", &mut bytes);
     bytes[1] = 44;
     assert_eq!(decode(&bytes).err(), Some(DecodeError::UnknownCode(44)));
 }
@@ -153,7 +160,7 @@
 #[test]
 fn an_inconsistent_candidate_list_is_rejected() {
     let mut bytes = Vec::new();
-    encode_packet(&relay(asks()[0]), b"", &mut bytes);
+    encode_packet(&relay(actions()[0]), b"", &mut bytes);
     // The index and the count follow type, action, pool, balancer, limit, objective and pool load.
     let (index_at, count_at) = (33, 34);
     let original = bytes.clone();
@@ -172,11 +179,11 @@
 
 #[test]
 fn truncated_opaque_datagrams_are_rejected() {
-    for ask in asks() {
+    for action in actions() {
         let mut bytes = Vec::new();
-        encode_packet(&relay(ask), b"", &mut bytes);
+        encode_packet(&relay(action), b"", &mut bytes);
         for len in 0..bytes.len() {
-            assert!(decode(&bytes[..len]).is_err(), "{ask:?} truncated to {len} bytes");
+            assert!(decode(&bytes[..len]).is_err(), "{action:?} truncated to {len} bytes");
         }
     }
 }
@@ -184,14 +191,17 @@
 #[test]
 fn snapshots_round_trip() {
     let mut routes = Routes { revision: Revision::new(2, 3), version: 2, ..Routes::default() };
-    let shares = vec![Share { pool: PoolId(1), weight: 9 }, Share { pool: PoolId(2), weight: 1 }];
-    let route = Route::new(shares).with_regions(vec![RegionId(7), RegionId(8)]);
+    let weighted_pools = vec![
+        WeightedPool { pool: PoolId(1), weight: 9 },
+        WeightedPool { pool: PoolId(2), weight: 1 },
+    ];
+    let route = Route::new(weighted_pools).with_regions(vec![RegionId(7), RegionId(8)]);
     routes.by_address.insert(address(2), route.clone().with_objective(OBJECTIVE));
     routes.by_address.insert(address(1), route);
     routes.cold_rates.insert(PoolId(2), 10);
     let members = [
-        Listed { address: address(2), pool: Some(PoolId(1)), zone: ZoneId(4) },
-        Listed { address: address(3), pool: None, zone: ZoneId(5) },
+        MemberEntry { address: address(2), pool: Some(PoolId(1)), zone: ZoneId(4) },
+        MemberEntry { address: address(3), pool: None, zone: ZoneId(5) },
     ];
     let snapshot = Snapshot::new(Some(&routes), &members);
     assert_eq!(snapshot.routes(), Ok(Some(routes)));
@@ -223,9 +233,9 @@
     }
 
     fn altered_opaque_datagrams_do_not_panic(at: usize, byte: u8) -> bool {
-        for ask in asks() {
+        for action in actions() {
             let mut bytes = Vec::new();
-            encode_packet(&relay(ask), b"packet", &mut bytes);
+            encode_packet(&relay(action), b"packet", &mut bytes);
             let at = at % bytes.len();
             bytes[at] = byte;
             let _ = decode(&bytes);
