--- a/crates/opaque/src/agent.rs
+++ b/crates/opaque/src/agent.rs
@@ -187,7 +187,7 @@
     S: Store,
 {
     if let Err(e) = store.withdraw(name, None, WITHDRAW_TIMEOUT).await {
-        tracing::warn!("failed to remove this process from the member list: {e}");
+        tracing::warn!("failed to withdraw this process from the store: {e}");
     }
 }
 
--- a/crates/opaque/src/discovery/tests.rs
+++ b/crates/opaque/src/discovery/tests.rs
@@ -329,7 +329,7 @@
 #[tokio::test]
 async fn withdrawal_is_retried_while_store_is_unavailable() {
     let store = HistoryStore::default();
-    withdraw(&store, &record()).await.expect("removed");
+    withdraw(&store, &record()).await.expect("withdrawn");
     assert_eq!(store.calls(), [Some(7); 3]);
 }
 
@@ -511,12 +511,12 @@
     let (out, mut updates) = mpsc::channel(16);
     let relist = Arc::new(Notify::new());
     let task = tokio::spawn(join(store.clone(), member(), serving, seeds, relist.clone(), out));
-    let removed = async {
+    let withdrawn = async {
         while !store.names().is_empty() {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(Duration::from_secs(1), removed).await.expect("the entry is removed");
+    timeout(Duration::from_secs(1), withdrawn).await.expect("the entry is withdrawn");
     serves.send_replace(true);
     relist.notify_one();
     updates.recv().await.expect("a list");
--- a/crates/opaque/src/store.rs
+++ b/crates/opaque/src/store.rs
@@ -186,7 +186,7 @@
         call_timeout: Duration,
     ) -> impl Future<Output = Result<Announced, StoreError>> + Send;
 
-    /// Removes a member; with a revision only if the object has not changed and the store has not been reset since.
+    /// Withdraws a member; with a revision only if the object has not changed and the store has not been reset since.
     fn withdraw(
         &self,
         name: &str,
