--- a/crates/standin/src/caller/verify.rs
+++ b/crates/standin/src/caller/verify.rs
@@ -2,7 +2,7 @@
 
 use http::{HeaderMap, header::CONTENT_LENGTH};
 
-use crate::answer::{self, AnswerError, FeedReader, Head};
+use crate::response::{self, FeedReader, ResponseError, ResponseHead};
 
 use super::{
     Target,
@@ -20,7 +20,7 @@
     check_length(headers, body)?;
     let head = match request.kind {
         RequestKind::Feed => read_feed(body),
-        RequestKind::Screen | RequestKind::Upload | RequestKind::Transfer => answer::read(body),
+        RequestKind::Screen | RequestKind::Upload | RequestKind::Transfer => response::read(body),
     };
     let head = head.map_err(failure_reason)?;
     check_origin(request, target, &head)?;
@@ -38,24 +38,24 @@
     Err(FailureReason::Truncated(format!("{} bytes, content-length {text:?}", body.len())))
 }
 
-fn read_feed(body: &[u8]) -> Result<Head, AnswerError> {
+fn read_feed(body: &[u8]) -> Result<ResponseHead, ResponseError> {
     let mut reader = FeedReader::new();
     reader.push(body)?;
     reader.finish().cloned()
 }
 
-fn failure_reason(error: AnswerError) -> FailureReason {
+fn failure_reason(error: ResponseError) -> FailureReason {
     match error {
-        AnswerError::Cut(_) => FailureReason::Truncated(error.to_string()),
-        AnswerError::Tick(..) => FailureReason::WrongRequest(error.to_string()),
-        AnswerError::Digest | AnswerError::Head(_) => FailureReason::Corrupt(error.to_string()),
+        ResponseError::Truncated(_) => FailureReason::Truncated(error.to_string()),
+        ResponseError::UnexpectedLine(..) => FailureReason::WrongRequest(error.to_string()),
+        ResponseError::Digest | ResponseError::Head(_) => FailureReason::Corrupt(error.to_string()),
     }
 }
 
 fn check_origin(
     request: &CallerRequest,
     target: &Target,
-    head: &Head,
+    head: &ResponseHead,
 ) -> Result<(), FailureReason> {
     if head.service != target.name || head.pool != target.pool {
         let text = format!("{} of pool {} at {}", head.service, head.pool, head.upstream);
@@ -74,12 +74,12 @@
     Ok(())
 }
 
-fn check_body(request: &CallerRequest, head: &Head) -> Result<(), FailureReason> {
+fn check_body(request: &CallerRequest, head: &ResponseHead) -> Result<(), FailureReason> {
     let size = request.size() as u64;
     if head.size != size {
         return Err(FailureReason::Corrupt(format!("{} of {size} body bytes received", head.size)));
     }
-    if size > 0 && head.digest != answer::to_hex(&request.digest()) {
+    if size > 0 && head.digest != response::to_hex(&request.digest()) {
         return Err(FailureReason::Corrupt("digest of the body differs".to_owned()));
     }
     Ok(())
--- a/crates/standin/src/capacity/decisions.rs
+++ b/crates/standin/src/capacity/decisions.rs
@@ -72,7 +72,7 @@
         let leaf = Authority::new("sizes")?.leaf("service-0", &[])?;
         let certificate = serde_json::to_value(objects::certificate(&leaf))
             .context("failed to serialize a certificate")?;
-        Ok(Config { certificate, keys: objects::keys(&mut StdRng::seed_from_u64(1)) })
+        Ok(Config { certificate, keys: objects::new_keys(&mut StdRng::seed_from_u64(1)) })
     }
 
     /// Builds a view with these numbers of services and members; one member in twelve is a balancer.
@@ -106,7 +106,7 @@
         kind: kind.as_str().to_owned(),
         name: name.to_owned(),
         version,
-        writer: objects::mark(),
+        writer: objects::new_writer_id(),
         spec,
     };
     Record::Object { kind, object }
--- a/crates/standin/src/capacity/fleet.rs
+++ b/crates/standin/src/capacity/fleet.rs
@@ -20,11 +20,11 @@
     caller::Target,
     platform::Counts,
     site::{
-        block::Block,
-        http::Http,
-        objects::{self, Objects},
+        block::AddressBlock,
+        http::HttpClient,
+        objects::{self, ObjectClient},
         pki::{Authority, Leaf},
-        process::{Launch, Process},
+        process::{LaunchSpec, Process},
     },
 };
 
@@ -57,7 +57,7 @@
     pub host: IpAddr,
     /// Address of the operator API.
     pub operator: SocketAddr,
-    launch: Launch,
+    launch: LaunchSpec,
     process: Option<Process>,
 }
 
@@ -99,7 +99,7 @@
     /// Platform calls per second.
     pub calls: f64,
     /// Bytes per second in responses of the platform.
-    pub answers: f64,
+    pub response_bytes: f64,
 }
 
 /// Mean resource usage of the balancers since the start of a window.
@@ -127,16 +127,16 @@
 /// A fleet of real processes.
 pub struct Fleet {
     /// HTTP client for the operator and admin APIs.
-    pub http: Http,
+    pub http: HttpClient,
     /// Client for writing objects to the platform.
-    pub objects: Objects,
+    pub objects: ObjectClient,
     /// Balancers.
     pub balancers: Vec<Daemon>,
     /// Agents.
     pub agents: Vec<Daemon>,
     /// Services.
     pub services: Vec<Target>,
-    block: Block,
+    block: AddressBlock,
     authority: Authority,
     log_dir: PathBuf,
     bin: PathBuf,
@@ -152,14 +152,14 @@
 impl Fleet {
     /// Starts the platform and one upstream, and writes the keys; there are no services and daemons yet.
     pub async fn start(bin: &Path, log_dir: &Path, zones: usize) -> anyhow::Result<Fleet> {
-        let mut block = Block::new()?;
+        let mut block = AddressBlock::new()?;
         let platform = SocketAddr::new(block.host()?, block.port(PORTS[0]));
         let upstream = SocketAddr::new(block.host()?, block.port(PORTS[1]));
         let fabric = SocketAddr::new(block.host()?, block.port(PORTS[2]));
         let service_host = block.host()?;
-        let http = Http::new();
+        let http = HttpClient::new();
         let mut fleet = Fleet {
-            objects: Objects::new(http.clone(), platform),
+            objects: ObjectClient::new(http.clone(), platform),
             http,
             balancers: Vec::new(),
             agents: Vec::new(),
@@ -177,7 +177,7 @@
             zones,
         };
         fleet.start_emulators().await?;
-        let keys = objects::keys(&mut StdRng::seed_from_u64(1));
+        let keys = objects::new_keys(&mut StdRng::seed_from_u64(1));
         fleet.objects.put(Kind::Keys, KEYS_NAME, &keys).await?;
         Ok(fleet)
     }
@@ -218,7 +218,7 @@
     fn start_emulator(&mut self, name: &'static str, args: &[&str]) -> anyhow::Result<()> {
         let mut all_args = vec![name.to_owned()];
         all_args.extend(args.iter().map(|it| (*it).to_owned()));
-        let launch = Launch {
+        let launch = LaunchSpec {
             name: name.to_owned(),
             program: self.bin.join(EMULATOR_BINARY),
             args: all_args,
@@ -317,7 +317,7 @@
             ("CAMPHORWINCH_FLEET_KEY".to_owned(), key),
         ];
         let launch =
-            Launch { name: name.clone(), program: self.bin.join(DAEMON_BINARY), args, env };
+            LaunchSpec { name: name.clone(), program: self.bin.join(DAEMON_BINARY), args, env };
         let process = Some(Process::start(&launch, &self.log_dir)?);
         let operator = SocketAddr::new(host, self.block.port(PORTS[4]));
         Ok(Daemon { name, host, operator, launch, process })
@@ -381,8 +381,8 @@
     }
 
     async fn is_healthy(&self, operator: SocketAddr) -> bool {
-        let answer = self.http.call(Method::GET, operator, "/health", None).await;
-        matches!(answer, Ok((StatusCode::OK, _)))
+        let response = self.http.call(Method::GET, operator, "/health", None).await;
+        matches!(response, Ok((StatusCode::OK, _)))
     }
 
     /// Returns the status of a daemon.
@@ -466,7 +466,7 @@
             balancer: mean(&all),
             agent: mean(&rates(&start.agents, &end.agents)),
             calls: (end.counts.total - start.counts.total) as f64 / seconds,
-            answers: (end.counts.bytes_out - start.counts.bytes_out) as f64 / seconds,
+            response_bytes: (end.counts.bytes_out - start.counts.bytes_out) as f64 / seconds,
         })
     }
 
--- a/crates/standin/src/capacity/inject.rs
+++ b/crates/standin/src/capacity/inject.rs
@@ -108,10 +108,10 @@
         pools: Vec::new(),
     };
     send(&mut link, Body::Hello(hello)).await?;
-    let Some(answer) = link.next().await else {
+    let Some(response) = link.next().await else {
         bail!("failed to open a link to {peer}: closed before the hello");
     };
-    Frame::parse(&answer.with_context(step)?).with_context(step)?;
+    Frame::parse(&response.with_context(step)?).with_context(step)?;
     Ok(link)
 }
 
--- a/crates/standin/src/capacity/output.rs
+++ b/crates/standin/src/capacity/output.rs
@@ -7,12 +7,12 @@
 use super::{
     fit::{Estimate, format_count, format_number},
     plot,
-    series::{Measured, Series, Total},
+    series::{Measurements, Series, Total},
 };
 
 /// Metadata of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Circumstances {
+pub struct RunInfo {
     /// Commit of the binaries.
     pub commit: String,
     /// Number of CPU cores of the machine.
@@ -28,27 +28,27 @@
 /// Writes all output files into a directory; an error if a name contains a comma.
 pub fn write(
     dir: &Path,
-    run: &Circumstances,
-    measured: &Measured,
+    run: &RunInfo,
+    measurements: &Measurements,
     totals: &[Total],
 ) -> anyhow::Result<()> {
-    if let Some(name) = name_with_comma(measured, totals) {
+    if let Some(name) = name_with_comma(measurements, totals) {
         bail!("failed to write {}: the name {name:?} contains a comma", dir.display());
     }
     fs::create_dir_all(dir).with_context(|| format!("failed to create {}", dir.display()))?;
-    write_file(&dir.join("points.csv"), &points_csv(measured))?;
-    write_file(&dir.join("slopes.csv"), &slopes_csv(measured))?;
+    write_file(&dir.join("points.csv"), &points_csv(measurements))?;
+    write_file(&dir.join("slopes.csv"), &slopes_csv(measurements))?;
     write_file(&dir.join("totals.csv"), &totals_csv(totals))?;
-    write_file(&dir.join("tables.md"), &tables(run, measured, totals))?;
-    for series in &measured.series {
+    write_file(&dir.join("tables.md"), &tables(run, measurements, totals))?;
+    for series in &measurements.series {
         plot::draw(&dir.join(format!("{}.svg", series.id)), series)?;
     }
     Ok(())
 }
 
 /// Returns a name with a comma, which the unquoted CSV fields do not allow.
-fn name_with_comma(measured: &Measured, totals: &[Total]) -> Option<String> {
-    let series = measured.series.iter().flat_map(|it| [it.id, it.axis, it.unit]);
+fn name_with_comma(measurements: &Measurements, totals: &[Total]) -> Option<String> {
+    let series = measurements.series.iter().flat_map(|it| [it.id, it.axis, it.unit]);
     let names = totals.iter().flat_map(|it| [it.role, it.resource, it.unit]);
     series.chain(names).find(|it| it.contains(',')).map(str::to_owned)
 }
@@ -57,9 +57,9 @@
     fs::write(path, text).with_context(|| format!("failed to write {}", path.display()))
 }
 
-fn points_csv(measured: &Measured) -> String {
+fn points_csv(measurements: &Measurements) -> String {
     let mut text = "series,ground,axis,size,value,unit\n".to_owned();
-    for it in &measured.series {
+    for it in &measurements.series {
         for point in &it.points {
             let source = it.source.as_str();
             let (x, y) = (point.x, point.y);
@@ -72,10 +72,10 @@
     text
 }
 
-fn slopes_csv(measured: &Measured) -> String {
+fn slopes_csv(measurements: &Measurements) -> String {
     let head = "series,ground,axis,unit,sizes,points,slope,slope_error,base,base_error,r2\n";
     let mut text = head.to_owned();
-    for it in &measured.series {
+    for it in &measurements.series {
         let Some(fit) = it.fit() else {
             continue;
         };
@@ -127,7 +127,7 @@
     text
 }
 
-fn tables(run: &Circumstances, measured: &Measured, totals: &[Total]) -> String {
+fn tables(run: &RunInfo, measurements: &Measurements, totals: &[Total]) -> String {
     let mut text = String::new();
     push_line(&mut text, format_args!("# Figures of one run of `camphorwinch-standin capacity`\n"));
     let kind = if run.quick { "quick" } else { "full" };
@@ -144,7 +144,7 @@
         format_args!("| series | what | against | sizes | slope | at size 0 | R2 | on |"),
     );
     push_line(&mut text, format_args!("| --- | --- | --- | --- | --- | --- | --- | --- |"));
-    for it in &measured.series {
+    for it in &measurements.series {
         slope_row(&mut text, it);
     }
     push_line(&mut text, format_args!("\n## At the size designed for\n"));
--- a/crates/standin/src/capacity/scale.rs
+++ b/crates/standin/src/capacity/scale.rs
@@ -74,7 +74,7 @@
             (x, window.seed.limited),
             (x, window.seed.rss),
             (x, window.calls),
-            (x, window.answers),
+            (x, window.response_bytes),
         ];
         push(&mut set, &values);
     }
@@ -200,7 +200,7 @@
             (x, window.seed.control),
             (x, window.seed.rss),
             (x, window.calls),
-            (x, window.answers),
+            (x, window.response_bytes),
         ];
         push(&mut set, &values);
     }
--- a/crates/standin/src/capacity/series.rs
+++ b/crates/standin/src/capacity/series.rs
@@ -74,12 +74,12 @@
 
 /// All series of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Measured {
+pub struct Measurements {
     /// Series in the order of measurement.
     pub series: Vec<Series>,
 }
 
-impl Measured {
+impl Measurements {
     /// Returns the series with this name.
     pub fn get(&self, id: &str) -> Option<&Series> {
         self.series.iter().find(|it| it.id == id)
@@ -140,8 +140,8 @@
     }
 
     /// Adds the intercept of a series, that is its cost at size 0.
-    pub fn intercept(mut self, measured: &Measured, id: &str) -> Total {
-        match measured.fit(id) {
+    pub fn intercept(mut self, measurements: &Measurements, id: &str) -> Total {
+        match measurements.fit(id) {
             Some(fit) => self.push(format!("base of {id}"), fit.intercept),
             None => self.missing.push(id.to_owned()),
         }
@@ -149,8 +149,8 @@
     }
 
     /// Adds the slope of a series multiplied by a count.
-    pub fn slope(mut self, measured: &Measured, id: &str, count: f64) -> Total {
-        match measured.fit(id) {
+    pub fn slope(mut self, measurements: &Measurements, id: &str, count: f64) -> Total {
+        match measurements.fit(id) {
             Some(fit) => self.push(
                 format!("{} x slope of {id}", fit::format_count(count)),
                 fit.slope.times(count),
@@ -161,8 +161,8 @@
     }
 
     /// Adds the fitted cost of a series at a size, multiplied by `times`.
-    pub fn at(mut self, measured: &Measured, id: &str, size: f64, times: f64) -> Total {
-        match measured.fit(id) {
+    pub fn at(mut self, measurements: &Measurements, id: &str, size: f64, times: f64) -> Total {
+        match measurements.fit(id) {
             Some(fit) => {
                 let value = fit.at(size).times(times);
                 let times = if times == 1.0 {
--- a/crates/standin/src/capacity/size.rs
+++ b/crates/standin/src/capacity/size.rs
@@ -1,6 +1,6 @@
 //! Design size and budgets, and the usage of each role extrapolated from the fitted lines.
 
-use super::series::{Measured, Total};
+use super::series::{Measurements, Total};
 
 /// Number of balancers.
 pub const BALANCERS: f64 = 520.0;
@@ -67,172 +67,172 @@
 }
 
 /// Returns the usage of each role at the design size.
-pub fn totals(measured: &Measured) -> Vec<Total> {
+pub fn totals(measurements: &Measurements) -> Vec<Total> {
     vec![
-        balancer_cpu(measured),
-        balancer_bytes(measured),
-        balancer_memory(measured),
-        lease_holder_cpu(measured),
-        lease_holder_bytes(measured),
-        lease_holder_memory(measured),
-        agent_cpu(measured),
-        agent_bytes(measured),
-        agent_memory(measured),
-        agent_flows(measured),
-        platform_calls(measured),
-        platform_answers(measured),
-        apply_time(measured),
-        start_bytes(measured),
-        storm_cpu(measured),
-        storm_bytes(measured),
+        balancer_cpu(measurements),
+        balancer_bytes(measurements),
+        balancer_memory(measurements),
+        lease_holder_cpu(measurements),
+        lease_holder_bytes(measurements),
+        lease_holder_memory(measurements),
+        agent_cpu(measurements),
+        agent_bytes(measurements),
+        agent_memory(measurements),
+        agent_flows(measurements),
+        platform_calls(measurements),
+        platform_response_bytes(measurements),
+        apply_time(measurements),
+        start_bytes(measurements),
+        storm_cpu(measurements),
+        storm_bytes(measurements),
     ]
 }
 
-fn balancer_cpu(measured: &Measured) -> Total {
+fn balancer_cpu(measurements: &Measurements) -> Total {
     let total = Total::new("balancer", "time for control", "% of a core", CPU_BUDGET_PERCENT);
-    add_balancer_cpu(total.at(measured, "plain-cpu-members", MEMBERS, 1.0), measured)
+    add_balancer_cpu(total.at(measurements, "plain-cpu-members", MEMBERS, 1.0), measurements)
 }
 
 /// Adds the CPU time that every balancer uses for its agents, services, changes and events.
-fn add_balancer_cpu(total: Total, measured: &Measured) -> Total {
+fn add_balancer_cpu(total: Total, measurements: &Measurements) -> Total {
     total
-        .slope(measured, "plain-cpu-agents", AGENTS / BALANCERS)
-        .slope(measured, "plain-cpu-services", SERVICES - SIMULATED_FLEET_SERVICES)
-        .slope(measured, "balancer-cpu-changes", changes_per_s())
-        .slope(measured, "balancer-cpu-events", events_per_s())
-        .at(measured, "snapshot", MEMBERS, rebuilds_per_s() * PERCENT_PER_US_PER_S)
-        .at(measured, "placer", MEMBERS, rebuilds_per_s() * PERCENT_PER_US_PER_S)
+        .slope(measurements, "plain-cpu-agents", AGENTS / BALANCERS)
+        .slope(measurements, "plain-cpu-services", SERVICES - SIMULATED_FLEET_SERVICES)
+        .slope(measurements, "balancer-cpu-changes", changes_per_s())
+        .slope(measurements, "balancer-cpu-events", events_per_s())
+        .at(measurements, "snapshot", MEMBERS, rebuilds_per_s() * PERCENT_PER_US_PER_S)
+        .at(measurements, "placer", MEMBERS, rebuilds_per_s() * PERCENT_PER_US_PER_S)
 }
 
-fn balancer_bytes(measured: &Measured) -> Total {
+fn balancer_bytes(measurements: &Measurements) -> Total {
     let total = Total::new("balancer", "control", "bytes/s", TRAFFIC_BUDGET_BYTES_PER_S);
-    add_balancer_bytes(total.at(measured, "plain-bytes-members", MEMBERS, 1.0), measured)
+    add_balancer_bytes(total.at(measurements, "plain-bytes-members", MEMBERS, 1.0), measurements)
 }
 
-fn add_balancer_bytes(total: Total, measured: &Measured) -> Total {
+fn add_balancer_bytes(total: Total, measurements: &Measurements) -> Total {
     total
-        .slope(measured, "plain-bytes-agents", AGENTS / BALANCERS)
-        .slope(measured, "balancer-bytes-changes", changes_per_s())
-        .slope(measured, "balancer-bytes-events", events_per_s())
+        .slope(measurements, "plain-bytes-agents", AGENTS / BALANCERS)
+        .slope(measurements, "balancer-bytes-changes", changes_per_s())
+        .slope(measurements, "balancer-bytes-events", events_per_s())
 }
 
-fn balancer_memory(measured: &Measured) -> Total {
+fn balancer_memory(measurements: &Measurements) -> Total {
     let total = Total::new("balancer", "memory", "MiB", MEMORY_BUDGET_MIB);
-    add_balancer_memory(total.at(measured, "plain-memory-members", MEMBERS, 1.0), measured)
+    add_balancer_memory(total.at(measurements, "plain-memory-members", MEMBERS, 1.0), measurements)
 }
 
-fn add_balancer_memory(total: Total, measured: &Measured) -> Total {
-    total.slope(measured, "plain-memory-agents", AGENTS / BALANCERS).slope(
-        measured,
+fn add_balancer_memory(total: Total, measurements: &Measurements) -> Total {
+    total.slope(measurements, "plain-memory-agents", AGENTS / BALANCERS).slope(
+        measurements,
         "plain-memory-services",
         SERVICES - SIMULATED_FLEET_SERVICES,
     )
 }
 
-fn lease_holder_cpu(measured: &Measured) -> Total {
+fn lease_holder_cpu(measurements: &Measurements) -> Total {
     let total = Total::new("lease holder", "time for control", "% of a core", CPU_BUDGET_PERCENT);
-    let total = total.at(measured, "seed-cpu-members", MEMBERS, 1.0).slope(
-        measured,
+    let total = total.at(measurements, "seed-cpu-members", MEMBERS, 1.0).slope(
+        measurements,
         "seed-cpu-balancers",
         BALANCERS / ZONES - SIMULATED_FLEET_BALANCERS,
     );
-    add_balancer_cpu(total, measured)
+    add_balancer_cpu(total, measurements)
 }
 
-fn lease_holder_bytes(measured: &Measured) -> Total {
+fn lease_holder_bytes(measurements: &Measurements) -> Total {
     let total = Total::new("lease holder", "control", "bytes/s", TRAFFIC_BUDGET_BYTES_PER_S);
     let total = total
-        .at(measured, "seed-bytes-members", MEMBERS, 1.0)
-        .slope(measured, "seed-bytes-balancers", BALANCERS / ZONES - SIMULATED_FLEET_BALANCERS)
+        .at(measurements, "seed-bytes-members", MEMBERS, 1.0)
+        .slope(measurements, "seed-bytes-balancers", BALANCERS / ZONES - SIMULATED_FLEET_BALANCERS)
         .constant("limit of the whole report", REPORT_LIMIT_BYTES_PER_S)
         .constant("limit of the timeline", TIMELINE_LIMIT_BYTES_PER_S);
-    add_balancer_bytes(total, measured)
+    add_balancer_bytes(total, measurements)
 }
 
-fn lease_holder_memory(measured: &Measured) -> Total {
+fn lease_holder_memory(measurements: &Measurements) -> Total {
     let total = Total::new("lease holder", "memory", "MiB", MEMORY_BUDGET_MIB);
-    let total = total.at(measured, "seed-memory-members", MEMBERS, 1.0).slope(
-        measured,
+    let total = total.at(measurements, "seed-memory-members", MEMBERS, 1.0).slope(
+        measurements,
         "seed-memory-balancers",
         BALANCERS / ZONES - SIMULATED_FLEET_BALANCERS,
     );
-    add_balancer_memory(total, measured)
+    add_balancer_memory(total, measurements)
 }
 
-fn agent_cpu(measured: &Measured) -> Total {
+fn agent_cpu(measurements: &Measurements) -> Total {
     Total::new("agent", "time for control", "% of a core", CPU_BUDGET_PERCENT)
-        .at(measured, "agent-cpu-services", SERVICES, 1.0)
-        .slope(measured, "agent-cpu-changes", changes_per_s())
+        .at(measurements, "agent-cpu-services", SERVICES, 1.0)
+        .slope(measurements, "agent-cpu-changes", changes_per_s())
 }
 
-fn agent_bytes(measured: &Measured) -> Total {
+fn agent_bytes(measurements: &Measurements) -> Total {
     Total::new("agent", "control", "bytes/s", TRAFFIC_BUDGET_BYTES_PER_S)
-        .at(measured, "agent-bytes-services", SERVICES, 1.0)
-        .slope(measured, "agent-bytes-changes", changes_per_s())
+        .at(measurements, "agent-bytes-services", SERVICES, 1.0)
+        .slope(measurements, "agent-bytes-changes", changes_per_s())
 }
 
-fn agent_memory(measured: &Measured) -> Total {
+fn agent_memory(measurements: &Measurements) -> Total {
     Total::new("agent", "memory for control", "MiB", MEMORY_BUDGET_MIB).at(
-        measured,
+        measurements,
         "agent-memory-services",
         SERVICES,
         1.0,
     )
 }
 
-fn agent_flows(measured: &Measured) -> Total {
+fn agent_flows(measurements: &Measurements) -> Total {
     Total::new("agent", "memory with its flows", "MiB", MEMORY_BUDGET_MIB)
-        .at(measured, "agent-memory-services", SERVICES, 1.0)
-        .slope(measured, "agent-memory-flows", FLOWS / AGENTS)
+        .at(measurements, "agent-memory-services", SERVICES, 1.0)
+        .slope(measurements, "agent-memory-flows", FLOWS / AGENTS)
 }
 
-fn platform_calls(measured: &Measured) -> Total {
+fn platform_calls(measurements: &Measurements) -> Total {
     Total::new("platform", "calls", "calls/s", READ_BUDGET_PER_S)
-        .at(measured, "calls-balancers", 0.0, ZONES)
-        .slope(measured, "calls-balancers", BALANCERS)
-        .slope(measured, "calls-agents", AGENTS)
+        .at(measurements, "calls-balancers", 0.0, ZONES)
+        .slope(measurements, "calls-balancers", BALANCERS)
+        .slope(measurements, "calls-agents", AGENTS)
         .constant(
             "watches that return (one for each change and holder)",
             changes_per_s() * LEASE_HOLDERS,
         )
 }
 
-fn platform_answers(measured: &Measured) -> Total {
+fn platform_response_bytes(measurements: &Measurements) -> Total {
     Total::new("platform", "answers", "bytes/s", TRAFFIC_BUDGET_BYTES_PER_S * LEASE_HOLDERS)
-        .at(measured, "answers-balancers", 0.0, ZONES)
-        .slope(measured, "answers-balancers", BALANCERS)
+        .at(measurements, "answers-balancers", 0.0, ZONES)
+        .slope(measurements, "answers-balancers", BALANCERS)
 }
 
-fn apply_time(measured: &Measured) -> Total {
+fn apply_time(measurements: &Measurements) -> Total {
     Total::new("fleet", "worst time of a change to be in force", "s", APPLY_BUDGET_S).at(
-        measured,
+        measurements,
         "in-force-worst",
         MEMBERS,
         1.0,
     )
 }
 
-fn start_bytes(measured: &Measured) -> Total {
+fn start_bytes(measurements: &Measurements) -> Total {
     Total::new(
         "agent",
         "control at its start (budget of a minute)",
         "bytes",
         MINUTE_S * TRAFFIC_BUDGET_BYTES_PER_S,
     )
-    .at(measured, "agent-start-bytes", SERVICES, 1.0)
+    .at(measurements, "agent-start-bytes", SERVICES, 1.0)
 }
 
-fn storm_cpu(measured: &Measured) -> Total {
+fn storm_cpu(measurements: &Measurements) -> Total {
     let budget = MINUTE_S * CPU_BUDGET_PERCENT / 100.0;
     Total::new("balancer", "time while all agents start in a minute", "s", budget)
-        .slope(measured, "storm-cpu", AGENTS)
-        .at(measured, "snapshot", MEMBERS, MINUTE_S / REBUILD_INTERVAL_S * 1e-6)
+        .slope(measurements, "storm-cpu", AGENTS)
+        .at(measurements, "snapshot", MEMBERS, MINUTE_S / REBUILD_INTERVAL_S * 1e-6)
 }
 
-fn storm_bytes(measured: &Measured) -> Total {
+fn storm_bytes(measurements: &Measurements) -> Total {
     let budget = MINUTE_S * TRAFFIC_BUDGET_BYTES_PER_S;
     Total::new("balancer", "control while all agents start in a minute", "bytes", budget).slope(
-        measured,
+        measurements,
         "storm-bytes",
         AGENTS,
     )
--- a/crates/standin/src/cmd/capacity.rs
+++ b/crates/standin/src/cmd/capacity.rs
@@ -13,8 +13,8 @@
 use crate::{
     capacity::{
         Part, Plan,
-        output::{self, Circumstances},
-        series::Measured,
+        output::{self, RunInfo},
+        series::Measurements,
         size,
         usage::load_average,
     },
@@ -52,7 +52,7 @@
         let commit = commit();
         let parts = if self.part.is_empty() { Part::ALL.to_vec() } else { self.part.clone() };
         let mut stop = StopSignal::new()?;
-        let (measured, failed) = tokio::select! {
+        let (measurements, failed) = tokio::select! {
             it = measure(&plan, &parts) => it,
             // Dropping the measurement kills its processes.
             () = stop.wait() => {
@@ -60,14 +60,14 @@
                 return Ok(ExitCode::FAILURE);
             }
         };
-        let run = Circumstances {
+        let run = RunInfo {
             commit,
             cores: std::thread::available_parallelism().map_or(0, usize::from),
             load: [load, load_average()],
             quick: self.quick,
             seconds: start.elapsed().as_secs(),
         };
-        output::write(&self.out, &run, &measured, &size::totals(&measured))?;
+        output::write(&self.out, &run, &measurements, &size::totals(&measurements))?;
         if failed {
             eprintln!("logs of the processes: {}", plan.logs.display());
             return Ok(ExitCode::FAILURE);
@@ -86,15 +86,15 @@
 }
 
 /// Measures the parts in sequence; reports and skips those that fail.
-async fn measure(plan: &Plan, parts: &[Part]) -> (Measured, bool) {
-    let mut measured = Measured::default();
+async fn measure(plan: &Plan, parts: &[Part]) -> (Measurements, bool) {
+    let mut measurements = Measurements::default();
     let mut failed = false;
     for part in parts {
         let start = Instant::now();
         match part.measure(plan).await {
             Ok(series) => {
                 eprintln!("{}: {} s", part.as_str(), start.elapsed().as_secs());
-                measured.extend(series);
+                measurements.extend(series);
             }
             Err(error) => {
                 eprintln!("{}: failed: {error:#}", part.as_str());
@@ -102,7 +102,7 @@
             }
         }
     }
-    (measured, failed)
+    (measurements, failed)
 }
 
 fn commit() -> String {
--- a/crates/standin/src/fabric/admin.rs
+++ b/crates/standin/src/fabric/admin.rs
@@ -17,7 +17,7 @@
     faults::Faults,
     service::{Service, ServiceConfig},
 };
-use crate::server::{self, Body, Refusal, Server};
+use crate::server::{self, Body, HttpError, Server};
 
 const MAX_BODY_BYTES: usize = 1 << 20;
 
@@ -56,7 +56,7 @@
             let state = state.clone();
             move |request| {
                 let state = state.clone();
-                async move { Ok(state.handle(request).await.unwrap_or_else(|it| it.answer())) }
+                async move { Ok(state.handle(request).await.unwrap_or_else(|it| it.to_response())) }
             }
         };
         Ok(Fabric { server: Server::start(admin, handle).await?, state })
@@ -104,24 +104,26 @@
         Counts { services: services.iter().map(|(addr, it)| (*addr, it.counts())).collect() }
     }
 
-    async fn handle(&self, request: Request<Incoming>) -> Result<Response<Body>, Refusal> {
+    async fn handle(&self, request: Request<Incoming>) -> Result<Response<Body>, HttpError> {
         match (request.method(), request.uri().path()) {
-            (&Method::GET, "/counts") => Ok(server::json(StatusCode::OK, &self.counts())),
-            (&Method::GET, "/routes") => Ok(server::json(StatusCode::OK, &self.routes())),
-            (&Method::GET, "/faults") => Ok(server::json(StatusCode::OK, &**self.faults.borrow())),
+            (&Method::GET, "/counts") => Ok(server::json_response(StatusCode::OK, &self.counts())),
+            (&Method::GET, "/routes") => Ok(server::json_response(StatusCode::OK, &self.routes())),
+            (&Method::GET, "/faults") => {
+                Ok(server::json_response(StatusCode::OK, &**self.faults.borrow()))
+            }
             (&Method::PUT, "/routes") => {
                 let routes: Routes = server::read_json(request.into_body(), MAX_BODY_BYTES).await?;
-                let conflict = |error| Refusal::new(StatusCode::CONFLICT, format!("{error:#}"));
+                let conflict = |error| HttpError::new(StatusCode::CONFLICT, format!("{error:#}"));
                 self.set_routes(&routes).map_err(conflict)?;
-                Ok(server::json(StatusCode::OK, &routes))
+                Ok(server::json_response(StatusCode::OK, &routes))
             }
             (&Method::PUT, "/faults") => {
                 let faults: Faults = server::read_json(request.into_body(), MAX_BODY_BYTES).await?;
-                faults.check().map_err(Refusal::bad)?;
+                faults.check().map_err(HttpError::bad_request)?;
                 self.faults.send_replace(Arc::new(faults.clone()));
-                Ok(server::json(StatusCode::OK, &faults))
+                Ok(server::json_response(StatusCode::OK, &faults))
             }
-            (_, path) => Err(Refusal::unknown(path)),
+            (_, path) => Err(HttpError::not_found(path)),
         }
     }
 }
--- a/crates/standin/src/platform/api.rs
+++ b/crates/standin/src/platform/api.rs
@@ -20,7 +20,7 @@
     rate_limit::RateLimiter,
     store::{Store, StoreError},
 };
-use crate::server::{self, Answer, Body, Dropped, Refusal, Server};
+use crate::server::{self, Body, Dropped, HandlerResult, HttpError, Server};
 
 /// Response header with the number of restores from the backup.
 const STORE_ERA: HeaderName = HeaderName::from_static("store-era");
@@ -70,9 +70,9 @@
 }
 
 impl Call {
-    fn parse(request: &Request<Incoming>) -> Result<Call, Refusal> {
+    fn parse(request: &Request<Incoming>) -> Result<Call, HttpError> {
         let path = request.uri().path();
-        let pairs = server::pairs(request.uri().query());
+        let pairs = server::query_pairs(request.uri().query());
         let parts: Vec<&str> = path.split('/').skip(1).collect();
         match (request.method(), &parts[..]) {
             (&Method::GET, ["v1", "objects"]) => Ok(Call::List(None)),
@@ -84,21 +84,23 @@
                 Ok(Call::Put { kind: parse_name(kind)?, name: parse_name(name)? })
             }
             (&Method::DELETE, ["v1", "objects", kind, name]) => {
-                let version = server::value(&pairs, "version")?
-                    .ok_or_else(|| Refusal::bad("query version is missing"))?;
+                let version = server::query_value(&pairs, "version")?
+                    .ok_or_else(|| HttpError::bad_request("query version is missing"))?;
                 Ok(Call::Delete { kind: parse_name(kind)?, name: parse_name(name)?, version })
             }
             (&Method::GET, ["v1", "watch"]) => Call::parse_watch(&pairs),
-            _ => Err(Refusal::unknown(path)),
+            _ => Err(HttpError::not_found(path)),
         }
     }
 
-    fn parse_watch(pairs: &[(&str, &str)]) -> Result<Call, Refusal> {
-        let since =
-            server::value(pairs, "since")?.ok_or_else(|| Refusal::bad("query since is missing"))?;
-        let wait = server::value(pairs, "wait")?.unwrap_or(0);
+    fn parse_watch(pairs: &[(&str, &str)]) -> Result<Call, HttpError> {
+        let since = server::query_value(pairs, "since")?
+            .ok_or_else(|| HttpError::bad_request("query since is missing"))?;
+        let wait = server::query_value(pairs, "wait")?.unwrap_or(0);
         if wait > MAX_WATCH_WAIT_S {
-            return Err(Refusal::bad(format!("query wait={wait}: at most {MAX_WATCH_WAIT_S}")));
+            return Err(HttpError::bad_request(format!(
+                "query wait={wait}: at most {MAX_WATCH_WAIT_S}"
+            )));
         }
         let kinds = pairs.iter().filter(|(key, _)| *key == "kind");
         let kinds = kinds.map(|(_, kind)| parse_name(kind)).collect::<Result<_, _>>()?;
@@ -133,14 +135,16 @@
     }
 }
 
-fn parse_name(name: &str) -> Result<String, Refusal> {
+fn parse_name(name: &str) -> Result<String, HttpError> {
     let is_alphanumeric = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit();
     let ends_valid = name.starts_with(is_alphanumeric) && name.ends_with(is_alphanumeric);
     let chars_valid = name.chars().all(|c| is_alphanumeric(c) || c == '.' || c == '-');
     if ends_valid && chars_valid && name.len() <= MAX_NAME_BYTES {
         return Ok(name.to_owned());
     }
-    Err(Refusal::bad(format!("{name:?} is no name: [a-z0-9]([a-z0-9.-]{{0,61}}[a-z0-9])?")))
+    Err(HttpError::bad_request(format!(
+        "{name:?} is no name: [a-z0-9]([a-z0-9.-]{{0,61}}[a-z0-9])?"
+    )))
 }
 
 /// Request body of a put.
@@ -180,54 +184,57 @@
         }
     }
 
-    async fn handle(&self, request: Request<Incoming>) -> Answer {
+    async fn handle(&self, request: Request<Incoming>) -> HandlerResult {
         if request.uri().path().starts_with("/admin/") {
-            return Ok(self.handle_admin(request).await.unwrap_or_else(|refusal| refusal.answer()));
+            return Ok(self
+                .handle_admin(request)
+                .await
+                .unwrap_or_else(|error| error.to_response()));
         }
-        let mut answer = match Call::parse(&request) {
+        let mut response = match Call::parse(&request) {
             Ok(call) => self.handle_call(call, request.into_body()).await?,
-            Err(refusal) => refusal.answer(),
+            Err(error) => error.to_response(),
         };
-        answer.headers_mut().insert(STORE_ERA, self.store.lock().era().into());
-        self.counts.lock().bytes_out += answer.body().size_hint().lower();
-        Ok(answer)
+        response.headers_mut().insert(STORE_ERA, self.store.lock().era().into());
+        self.counts.lock().bytes_out += response.body().size_hint().lower();
+        Ok(response)
     }
 
-    async fn handle_admin(&self, request: Request<Incoming>) -> Result<Response<Body>, Refusal> {
+    async fn handle_admin(&self, request: Request<Incoming>) -> Result<Response<Body>, HttpError> {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/admin/counts") => {
                 let mut counts = self.counts.lock().clone();
                 counts.uptime_ms = self.started.elapsed().as_millis() as u64;
-                Ok(server::json(StatusCode::OK, &counts))
+                Ok(server::json_response(StatusCode::OK, &counts))
             }
             (&Method::GET, "/admin/faults") => {
-                Ok(server::json(StatusCode::OK, &*self.faults.borrow()))
+                Ok(server::json_response(StatusCode::OK, &*self.faults.borrow()))
             }
             (&Method::PUT, "/admin/faults") => {
                 let faults: Faults =
                     server::read_json(request.into_body(), MAX_ADMIN_BODY_BYTES).await?;
-                faults.check().map_err(Refusal::bad)?;
+                faults.check().map_err(HttpError::bad_request)?;
                 self.faults.send_replace(faults.clone());
-                Ok(server::json(StatusCode::OK, &faults))
+                Ok(server::json_response(StatusCode::OK, &faults))
             }
             (&Method::PUT, "/admin/copy") => {
                 self.store.lock().save_backup();
-                Ok(server::json(StatusCode::OK, &Value::Null))
+                Ok(server::json_response(StatusCode::OK, &Value::Null))
             }
             (&Method::PUT, "/admin/reset") => {
                 self.store.lock().restore();
                 let revision = self.store.lock().revision();
                 self.revision.send_replace(revision);
-                Ok(server::json(StatusCode::OK, &Value::Null))
+                Ok(server::json_response(StatusCode::OK, &Value::Null))
             }
-            (_, path) => Err(Refusal::unknown(path)),
+            (_, path) => Err(HttpError::not_found(path)),
         }
     }
 
-    async fn handle_call(&self, call: Call, body: Incoming) -> Answer {
+    async fn handle_call(&self, call: Call, body: Incoming) -> HandlerResult {
         self.counts.lock().count_call(call.method(), call.kind());
-        if let Some(answer) = self.outage().await? {
-            return Ok(answer);
+        if let Some(response) = self.outage().await? {
+            return Ok(response);
         }
         if !self.acquire_token(&call) {
             return Ok(rate_limited());
@@ -235,18 +242,18 @@
         let body = match &call {
             Call::Put { .. } => match server::read_json::<Write>(body, MAX_PUT_BODY_BYTES).await {
                 Ok(body) => Some(body),
-                Err(refusal) => return Ok(refusal.answer()),
+                Err(error) => return Ok(error.to_response()),
             },
             _ => None,
         };
         sleep(self.random_delay()).await;
-        if let Some(answer) = self.outage().await? {
-            return Ok(answer);
+        if let Some(response) = self.outage().await? {
+            return Ok(response);
         }
-        let answer = self.execute(call, body).await?;
+        let response = self.execute(call, body).await?;
         let answer_ms = self.faults.borrow().answer_ms;
         sleep(Duration::from_millis(answer_ms)).await;
-        Ok(answer)
+        Ok(response)
     }
 
     /// Response of a call during an outage; `None` if there is no outage.
@@ -256,8 +263,8 @@
         self.counts.lock().outage += 1;
         match outage {
             Outage::Error => {
-                let refusal = Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "outage");
-                Ok(Some(refusal.answer()))
+                let error = HttpError::new(StatusCode::SERVICE_UNAVAILABLE, "outage");
+                Ok(Some(error.to_response()))
             }
             Outage::Refuse => Err(Dropped),
             Outage::Hang => {
@@ -293,39 +300,42 @@
         probability > 0.0 && self.rng.lock().random_bool(probability)
     }
 
-    async fn execute(&self, call: Call, body: Option<Write>) -> Answer {
+    async fn execute(&self, call: Call, body: Option<Write>) -> HandlerResult {
         match (call, body) {
-            (Call::List(kind), _) => {
-                Ok(server::json_text(StatusCode::OK, self.store.lock().list(kind.as_deref())))
-            }
+            (Call::List(kind), _) => Ok(server::json_text_response(
+                StatusCode::OK,
+                self.store.lock().list(kind.as_deref()),
+            )),
             (Call::Get { kind, name }, _) => {
                 let found = self.store.lock().get(&kind, &name);
                 Ok(self.response(found.map(|text| text.to_string())))
             }
             (Call::Put { kind, name }, Some(body)) => self.put(kind, name, body),
-            (Call::Put { .. }, None) => Ok(Refusal::bad("a put needs a body").answer()),
+            (Call::Put { .. }, None) => {
+                Ok(HttpError::bad_request("a put needs a body").to_response())
+            }
             (Call::Delete { kind, name, version }, _) => self.delete(&kind, &name, version),
             (Call::Watch { since, wait, kinds }, _) => self.watch(since, wait, &kinds).await,
         }
     }
 
-    fn put(&self, kind: String, name: String, body: Write) -> Answer {
+    fn put(&self, kind: String, name: String, body: Write) -> HandlerResult {
         if body.writer.is_empty() || body.writer.len() > MAX_WRITER_BYTES {
             let text = format!("writer: must have 1 to {MAX_WRITER_BYTES} characters");
-            return Ok(Refusal::bad(text).answer());
+            return Ok(HttpError::bad_request(text).to_response());
         }
         let Write { version, writer, spec } = body;
         let result = self.store.lock().put(Object { kind, name, version, writer, spec });
         self.finish_write(result.map(|text| text.to_string()))
     }
 
-    fn delete(&self, kind: &str, name: &str, version: u64) -> Answer {
+    fn delete(&self, kind: &str, name: &str, version: u64) -> HandlerResult {
         let result = self.store.lock().delete(kind, name, version);
         self.finish_write(result.map(|revision| format!(r#"{{"revision":{revision}}}"#)))
     }
 
     /// Notifies the watches after a write, then responds, or closes the connection if a lost response is injected.
-    fn finish_write(&self, result: Result<String, StoreError>) -> Answer {
+    fn finish_write(&self, result: Result<String, StoreError>) -> HandlerResult {
         if result.is_ok() {
             let revision = self.store.lock().revision();
             self.revision.send_if_modified(|it| {
@@ -353,14 +363,14 @@
 
     fn response(&self, result: Result<String, StoreError>) -> Response<Body> {
         match result {
-            Ok(text) => server::json_text(StatusCode::OK, text),
+            Ok(text) => server::json_text_response(StatusCode::OK, text),
             Err(StoreError::NotFound) => {
-                Refusal::new(StatusCode::NOT_FOUND, "no such object").answer()
+                HttpError::new(StatusCode::NOT_FOUND, "no such object").to_response()
             }
             Err(StoreError::Gone) => {
                 self.counts.lock().gone += 1;
                 let text = "the history does not hold this revision: list again";
-                Refusal::new(StatusCode::GONE, text).answer()
+                HttpError::new(StatusCode::GONE, text).to_response()
             }
             Err(StoreError::Conflict(current)) => {
                 self.counts.lock().conflicts += 1;
@@ -368,12 +378,12 @@
                 let text = format!(
                     r#"{{"error":"the version is not the stored one","current":{current}}}"#
                 );
-                server::json_text(StatusCode::CONFLICT, text)
+                server::json_text_response(StatusCode::CONFLICT, text)
             }
         }
     }
 
-    async fn watch(&self, since: u64, wait_s: u64, kinds: &[String]) -> Answer {
+    async fn watch(&self, since: u64, wait_s: u64, kinds: &[String]) -> HandlerResult {
         let mut end = Instant::now() + Duration::from_secs(wait_s);
         let probability = self.faults.borrow().watch_close;
         let close_early = self.random_bool(probability);
@@ -396,7 +406,7 @@
             };
             let events = match found {
                 Ok(events) => events,
-                Err(refused) => return Ok(self.response(Err(refused))),
+                Err(error) => return Ok(self.response(Err(error))),
             };
             if !events.is_empty() {
                 return Ok(self.watch_response(now, since, kinds, events));
@@ -408,8 +418,8 @@
                 }
             };
             let ended = timeout_at(end, event).await.is_err();
-            if let Some(answer) = self.outage().await? {
-                return Ok(answer);
+            if let Some(response) = self.outage().await? {
+                return Ok(response);
             }
             if ended && close_early {
                 self.counts.lock().closed += 1;
@@ -452,14 +462,15 @@
             kept.push(event);
         }
         let text = format!(r#"{{"revision":{revision},"events":[{}]}}"#, kept.join(","));
-        server::json_text(StatusCode::OK, text)
+        server::json_text_response(StatusCode::OK, text)
     }
 }
 
 fn rate_limited() -> Response<Body> {
-    let mut answer = Refusal::new(StatusCode::TOO_MANY_REQUESTS, "too many calls").answer();
-    answer.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from_static("1"));
-    answer
+    let mut response =
+        HttpError::new(StatusCode::TOO_MANY_REQUESTS, "too many calls").to_response();
+    response.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from_static("1"));
+    response
 }
 
 /// Counts a watch as waiting until it is dropped.
--- a/crates/standin/src/platform/counts.rs
+++ b/crates/standin/src/platform/counts.rs
@@ -16,7 +16,7 @@
     pub waiting: u64,
     /// Peak number of concurrent watches.
     pub waiting_peak: u64,
-    /// Calls answered with 429.
+    /// Calls rejected with 429.
     pub limited: u64,
     /// Calls affected by an injected outage.
     pub outage: u64,
--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/response.rs
@@ -17,7 +17,7 @@
 /// Header with the time left until the deadline, in milliseconds.
 pub const DEADLINE: &str = "camphorwinch-deadline-ms";
 /// Header with the caller's idempotency key.
-pub const KEY: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// Response header that says the request was not started.
 pub const NOT_RUN: &str = "camphorwinch-not-run";
 
@@ -26,7 +26,8 @@
 
 /// First line of a response: identifies the upstream and the request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
+#[serde(rename = "Head")] // the name in parse errors, which reach the caller's report
+pub struct ResponseHead {
     /// Name of the upstream.
     pub upstream: String,
     /// Pool of the upstream.
@@ -51,10 +52,10 @@
 
 /// Why a response is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum AnswerError {
+pub enum ResponseError {
     /// It is empty, truncated, or not UTF-8.
     #[error("the response is truncated after {0} bytes")]
-    Cut(usize),
+    Truncated(usize),
     /// The digest does not match.
     #[error("the response's digest does not match its bytes")]
     Digest,
@@ -63,7 +64,7 @@
     Head(String),
     /// A line of a feed is out of order or belongs to another request.
     #[error("line {0:?} does not follow line {1} of this feed")]
-    Tick(String, u64),
+    UnexpectedLine(String, u64),
 }
 
 /// SHA-256 in hex.
@@ -81,57 +82,57 @@
 }
 
 /// Writes a response with `padding` bytes of padding.
-pub fn write(head: &Head, padding: usize) -> String {
+pub fn write(head: &ResponseHead, padding: usize) -> String {
     let mut text = first_line(head);
     if padding > 0 {
         text.extend(std::iter::repeat_n('.', padding));
         text.push('\n');
     }
-    let digest = sum_line(text.as_bytes());
+    let digest = digest_line(text.as_bytes());
     text.push_str(&digest);
     text
 }
 
 /// Verifies that a response is complete and returns its head.
-pub fn read(bytes: &[u8]) -> Result<Head, AnswerError> {
-    let truncated = AnswerError::Cut(bytes.len());
+pub fn read(bytes: &[u8]) -> Result<ResponseHead, ResponseError> {
+    let truncated = ResponseError::Truncated(bytes.len());
     let text = std::str::from_utf8(bytes).map_err(|_| truncated.clone())?;
     let body = text.strip_suffix('\n').ok_or(truncated.clone())?;
     let last_line = body.rfind('\n').ok_or(truncated.clone())? + 1;
     if !body[last_line..].starts_with(DIGEST_PREFIX) {
         return Err(truncated);
     }
-    if text[last_line..] != sum_line(&bytes[..last_line]) {
-        return Err(AnswerError::Digest);
+    if text[last_line..] != digest_line(&bytes[..last_line]) {
+        return Err(ResponseError::Digest);
     }
     let line = text.lines().next().ok_or(truncated)?;
     read_head(line)
 }
 
 /// First line of a response.
-pub fn first_line(head: &Head) -> String {
+pub fn first_line(head: &ResponseHead) -> String {
     let mut line = serde_json::to_string(head).unwrap_or_default();
     line.push('\n');
     line
 }
 
 /// Parses the first line of a response.
-pub fn read_head(line: &str) -> Result<Head, AnswerError> {
-    serde_json::from_str(line).map_err(|e| AnswerError::Head(e.to_string()))
+pub fn read_head(line: &str) -> Result<ResponseHead, ResponseError> {
+    serde_json::from_str(line).map_err(|e| ResponseError::Head(e.to_string()))
 }
 
 /// Last line of a response, with the digest of `bytes`, all bytes before it.
-pub fn sum_line(bytes: &[u8]) -> String {
-    sum_text(&hex_digest(bytes))
+pub fn digest_line(bytes: &[u8]) -> String {
+    digest_line_from_hex(&hex_digest(bytes))
 }
 
 /// Last line of a response, from a digest in hex.
-pub fn sum_text(digest: &str) -> String {
+pub fn digest_line_from_hex(digest: &str) -> String {
     format!("{DIGEST_PREFIX}{digest}\n")
 }
 
 /// Line `count` of a feed.
-pub fn tick_line(count: u64, echo: &str) -> String {
+pub fn feed_line(count: u64, echo: &str) -> String {
     format!("{LINE_PREFIX}{count} {echo}\n")
 }
 
@@ -140,7 +141,7 @@
 pub struct FeedReader {
     digest: Sha256,
     line: Vec<u8>,
-    head: Option<Head>,
+    head: Option<ResponseHead>,
     count: u64,
     ended: bool,
     bytes: usize,
@@ -153,7 +154,7 @@
     }
 
     /// Parses the next bytes; fails at the first invalid line.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<(), AnswerError> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<(), ResponseError> {
         self.bytes += bytes.len();
         for &byte in bytes {
             self.line.push(byte);
@@ -167,7 +168,7 @@
     }
 
     /// The first line, once received.
-    pub fn head(&self) -> Option<&Head> {
+    pub fn head(&self) -> Option<&ResponseHead> {
         self.head.as_ref()
     }
 
@@ -177,16 +178,16 @@
     }
 
     /// Verifies that the feed is complete and returns its head.
-    pub fn finish(&self) -> Result<&Head, AnswerError> {
+    pub fn finish(&self) -> Result<&ResponseHead, ResponseError> {
         match &self.head {
             Some(head) if self.ended && self.line.is_empty() => Ok(head),
-            _ => Err(AnswerError::Cut(self.bytes)),
+            _ => Err(ResponseError::Truncated(self.bytes)),
         }
     }
 
-    fn parse_line(&mut self, line: &[u8]) -> Result<(), AnswerError> {
+    fn parse_line(&mut self, line: &[u8]) -> Result<(), ResponseError> {
         let text = String::from_utf8_lossy(line);
-        let unexpected = || AnswerError::Tick(text.trim_end().to_owned(), self.count);
+        let unexpected = || ResponseError::UnexpectedLine(text.trim_end().to_owned(), self.count);
         if self.ended {
             return Err(unexpected());
         }
@@ -196,13 +197,13 @@
             return Ok(());
         };
         if text.starts_with(DIGEST_PREFIX) {
-            if text != sum_text(&to_hex(&self.digest.clone().finalize())) {
-                return Err(AnswerError::Digest);
+            if text != digest_line_from_hex(&to_hex(&self.digest.clone().finalize())) {
+                return Err(ResponseError::Digest);
             }
             self.ended = true;
             return Ok(());
         }
-        if text != tick_line(self.count + 1, &head.echo) {
+        if text != feed_line(self.count + 1, &head.echo) {
             return Err(unexpected());
         }
         self.count += 1;
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -24,7 +24,7 @@
 /// Response body.
 pub type Body = BoxBody<Bytes, Dropped>;
 /// Result of a handler: a response, or a connection closed without one.
-pub type Answer = Result<Response<Body>, Dropped>;
+pub type HandlerResult = Result<Response<Body>, Dropped>;
 
 /// The connection is closed deliberately, before or during a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -33,39 +33,39 @@
 
 /// An HTTP error with its status and message.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{status}: {text}")]
-pub struct Refusal {
+#[error("{status}: {message}")]
+pub struct HttpError {
     /// Response status.
     pub status: StatusCode,
     /// Error message.
-    pub text: String,
+    pub message: String,
 }
 
-impl Refusal {
+impl HttpError {
     /// An error with this status.
-    pub fn new<S>(status: StatusCode, text: S) -> Refusal
+    pub fn new<S>(status: StatusCode, message: S) -> HttpError
     where
         S: Into<String>,
     {
-        Refusal { status, text: text.into() }
+        HttpError { status, message: message.into() }
     }
 
     /// 400 Bad Request.
-    pub fn bad<S>(text: S) -> Refusal
+    pub fn bad_request<S>(message: S) -> HttpError
     where
         S: Into<String>,
     {
-        Refusal::new(StatusCode::BAD_REQUEST, text)
+        HttpError::new(StatusCode::BAD_REQUEST, message)
     }
 
     /// 404 Not Found for an unknown path or method.
-    pub fn unknown(path: &str) -> Refusal {
-        Refusal::new(StatusCode::NOT_FOUND, format!("no such path or method: {path}"))
+    pub fn not_found(path: &str) -> HttpError {
+        HttpError::new(StatusCode::NOT_FOUND, format!("no such path or method: {path}"))
     }
 
     /// The response with the message as JSON.
-    pub fn answer(&self) -> Response<Body> {
-        json(self.status, &serde_json::json!({ "error": self.text }))
+    pub fn to_response(&self) -> Response<Body> {
+        json_response(self.status, &serde_json::json!({ "error": self.message }))
     }
 }
 
@@ -81,7 +81,7 @@
     pub async fn start<H, F>(listen: SocketAddr, handle: H) -> anyhow::Result<Server>
     where
         H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
-        F: Future<Output = Answer> + Send + 'static,
+        F: Future<Output = HandlerResult> + Send + 'static,
     {
         let listener =
             TcpListener::bind(listen).await.with_context(|| format!("listen on {listen}"))?;
@@ -100,7 +100,7 @@
 async fn accept<H, F>(listener: TcpListener, handle: H, mut closed: oneshot::Receiver<()>)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
-    F: Future<Output = Answer> + Send + 'static,
+    F: Future<Output = HandlerResult> + Send + 'static,
 {
     let mut connections = JoinSet::new();
     loop {
@@ -122,7 +122,7 @@
 pub async fn serve<H, F>(stream: TcpStream, handle: H)
 where
     H: Fn(Request<Incoming>) -> F,
-    F: Future<Output = Answer>,
+    F: Future<Output = HandlerResult>,
 {
     let (_open, closing) = watch::channel(false);
     serve_until(stream, handle, closing).await;
@@ -132,7 +132,7 @@
 pub async fn serve_until<H, F>(stream: TcpStream, handle: H, mut closing: watch::Receiver<bool>)
 where
     H: Fn(Request<Incoming>) -> F,
-    F: Future<Output = Answer>,
+    F: Future<Output = HandlerResult>,
 {
     let _ = stream.set_nodelay(true);
     let connection =
@@ -140,7 +140,7 @@
     let mut connection = pin!(connection);
     let served = tokio::select! {
         served = &mut connection => served,
-        () = turned_on(&mut closing) => {
+        () = wait_until_true(&mut closing) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
@@ -151,12 +151,12 @@
 }
 
 /// Waits until the value is true or the sender is dropped.
-pub async fn turned_on(switch: &mut watch::Receiver<bool>) {
+pub async fn wait_until_true(switch: &mut watch::Receiver<bool>) {
     let _ = switch.wait_for(|on| *on).await;
 }
 
 /// Reads and drops a body, for a limited time, so that an early response is not lost to a connection reset.
-pub fn discard(mut body: Incoming) {
+pub fn discard_body(mut body: Incoming) {
     tokio::spawn(timeout(
         DISCARD_LIMIT,
         async move { while let Some(Ok(_)) = body.frame().await {} },
@@ -164,7 +164,7 @@
 }
 
 /// A body from bytes in memory.
-pub fn full<B>(bytes: B) -> Body
+pub fn full_body<B>(bytes: B) -> Body
 where
     B: Into<Bytes>,
 {
@@ -172,11 +172,11 @@
 }
 
 /// A response with JSON text.
-pub fn json_text<B>(status: StatusCode, text: B) -> Response<Body>
+pub fn json_text_response<B>(status: StatusCode, text: B) -> Response<Body>
 where
     B: Into<Bytes>,
 {
-    let mut response = Response::new(full(text));
+    let mut response = Response::new(full_body(text));
     *response.status_mut() = status;
     let json = header::HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
@@ -184,47 +184,49 @@
 }
 
 /// A response with a value serialized as JSON.
-pub fn json<T>(status: StatusCode, value: &T) -> Response<Body>
+pub fn json_response<T>(status: StatusCode, value: &T) -> Response<Body>
 where
     T: Serialize,
 {
     match serde_json::to_vec(value) {
-        Ok(text) => json_text(status, text),
-        Err(error) => {
-            json_text(StatusCode::INTERNAL_SERVER_ERROR, format!("{{\"error\":\"{error}\"}}"))
-        }
+        Ok(text) => json_text_response(status, text),
+        Err(error) => json_text_response(
+            StatusCode::INTERNAL_SERVER_ERROR,
+            format!("{{\"error\":\"{error}\"}}"),
+        ),
     }
 }
 
 /// Reads a JSON body of at most `limit` bytes; fails with 413 or 400.
-pub async fn read_json<T>(body: Incoming, limit: usize) -> Result<T, Refusal>
+pub async fn read_json<T>(body: Incoming, limit: usize) -> Result<T, HttpError>
 where
     T: DeserializeOwned,
 {
     let body = Limited::new(body, limit).collect().await.map_err(|error| {
         if error.is::<http_body_util::LengthLimitError>() {
             let text = format!("the body is larger than {limit} bytes");
-            return Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, text);
+            return HttpError::new(StatusCode::PAYLOAD_TOO_LARGE, text);
         }
-        Refusal::bad(format!("the body is incomplete: {error}"))
+        HttpError::bad_request(format!("the body is incomplete: {error}"))
     })?;
-    serde_json::from_slice(&body.to_bytes()).map_err(|e| Refusal::bad(format!("body: {e}")))
+    serde_json::from_slice(&body.to_bytes())
+        .map_err(|e| HttpError::bad_request(format!("body: {e}")))
 }
 
 /// Splits a query into its pairs, without percent-decoding.
-pub fn pairs(query: Option<&str>) -> Vec<(&str, &str)> {
+pub fn query_pairs(query: Option<&str>) -> Vec<(&str, &str)> {
     let parts = query.unwrap_or_default().split('&').filter(|part| !part.is_empty());
     parts.map(|part| part.split_once('=').unwrap_or((part, ""))).collect()
 }
 
 /// Parses a value of the query, if present; fails with 400.
-pub fn value<T>(pairs: &[(&str, &str)], name: &str) -> Result<Option<T>, Refusal>
+pub fn query_value<T>(pairs: &[(&str, &str)], name: &str) -> Result<Option<T>, HttpError>
 where
     T: FromStr,
 {
     let Some((_, text)) = pairs.iter().find(|(key, _)| *key == name) else {
         return Ok(None);
     };
-    let invalid = |_| Refusal::bad(format!("query {name}={text:?} can't be parsed"));
+    let invalid = |_| HttpError::bad_request(format!("query {name}={text:?} can't be parsed"));
     text.parse().map(Some).map_err(invalid)
 }
--- a/crates/standin/src/site/block.rs
+++ b/crates/standin/src/site/block.rs
@@ -15,20 +15,20 @@
 
 /// A block of addresses `127.A.B.C`, one per VM.
 #[derive(Clone, Debug)]
-pub struct Block {
+pub struct AddressBlock {
     base: u32,
     next_host: u32,
     port: u16,
 }
 
-impl Block {
+impl AddressBlock {
     /// Finds a free block by binding at random addresses; fails if none is free.
-    pub fn new() -> anyhow::Result<Block> {
+    pub fn new() -> anyhow::Result<AddressBlock> {
         let mut rng = rand::rng();
         for _ in 0..MAX_TRIES {
             let (a, b) = (rng.random_range(16..250_u8), rng.random_range(0..250_u8) & 0xfc);
             let base = u32::from(Ipv4Addr::new(127, a, b, 0));
-            let block = Block { base, next_host: 1, port: rng.random_range(BASE_PORTS) };
+            let block = AddressBlock { base, next_host: 1, port: rng.random_range(BASE_PORTS) };
             if block.probe().is_ok() {
                 return Ok(block);
             }
--- a/crates/standin/src/site/faults/configure.rs
+++ b/crates/standin/src/site/faults/configure.rs
@@ -108,7 +108,7 @@
     }
 
     async fn write(&self, name: &str, version: u64, spec: &Value) -> anyhow::Result<StatusCode> {
-        let body = json!({ "version": version, "writer": objects::mark(), "spec": spec });
+        let body = json!({ "version": version, "writer": objects::new_writer_id(), "spec": spec });
         let platform = self.shared.launcher.lock().await.platform;
         let path = objects::path(Kind::Service, name);
         let (status, _) = self.shared.http.call(Method::PUT, platform, &path, Some(&body)).await?;
--- a/crates/standin/src/site/fleet.rs
+++ b/crates/standin/src/site/fleet.rs
@@ -9,7 +9,7 @@
 use anyhow::{Context, bail};
 use futures::future::join_all;
 
-use super::process::{Launch, Process};
+use super::process::{LaunchSpec, Process};
 
 /// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -42,7 +42,7 @@
     /// Operator address of a daemon, admin address of an emulator.
     pub admin: SocketAddr,
     /// Command to start it.
-    pub launch: Launch,
+    pub launch: LaunchSpec,
     /// The running process.
     pub process: Option<Process>,
 }
--- a/crates/standin/src/site/http.rs
+++ b/crates/standin/src/site/http.rs
@@ -18,20 +18,20 @@
 
 /// HTTP client with connection reuse.
 #[derive(Clone, Debug)]
-pub struct Http {
+pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-impl Default for Http {
-    fn default() -> Http {
-        Http::new()
+impl Default for HttpClient {
+    fn default() -> HttpClient {
+        HttpClient::new()
     }
 }
 
-impl Http {
+impl HttpClient {
     /// Creates a client.
-    pub fn new() -> Http {
-        Http { client: Client::builder(TokioExecutor::new()).build_http() }
+    pub fn new() -> HttpClient {
+        HttpClient { client: Client::builder(TokioExecutor::new()).build_http() }
     }
 
     /// Sends a request and reads the complete response; fails after a timeout.
--- a/crates/standin/src/site/journal.rs
+++ b/crates/standin/src/site/journal.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     caller::{outcome::Outcome, stats::Attempt},
-    upstream::{Entry, Event, read_journal},
+    upstream::{JournalEntry, JournalEvent, read_journal},
 };
 
 const EXTENSION: &str = "journal";
@@ -27,7 +27,7 @@
 }
 
 /// Reads all journals in the folder.
-pub fn read(folder: &Path) -> anyhow::Result<Vec<Entry>> {
+pub fn read(folder: &Path) -> anyhow::Result<Vec<JournalEntry>> {
     let step = || format!("read the journals in {}", folder.display());
     let mut entries = Vec::new();
     for file in fs::read_dir(folder).with_context(step)? {
@@ -40,12 +40,12 @@
 }
 
 /// Checks the attempts of requests that are not idempotent against the journals.
-pub fn check(attempts: &[Attempt], entries: &[Entry]) -> JournalCheck {
+pub fn check(attempts: &[Attempt], entries: &[JournalEntry]) -> JournalCheck {
     let mut result = JournalCheck::default();
-    let mut keys: BTreeMap<&str, Vec<&Entry>> = BTreeMap::new();
+    let mut keys: BTreeMap<&str, Vec<&JournalEntry>> = BTreeMap::new();
     let mut tokens = BTreeSet::new();
     for entry in entries {
-        if entry.event != Event::Start || entry.method != "POST" {
+        if entry.event != JournalEvent::Start || entry.method != "POST" {
             continue;
         }
         result.runs += 1;
@@ -70,10 +70,10 @@
     result
 }
 
-fn describe_runs(key: &str, runs: &[&Entry]) -> String {
+fn describe_runs(key: &str, runs: &[&JournalEntry]) -> String {
     let mut text = format!("key {key} ran {} times:", runs.len());
     for run in runs {
-        let Entry { upstream, at_ms, request, echo, .. } = run;
+        let JournalEntry { upstream, at_ms, request, echo, .. } = run;
         text.push_str(&format!(" {upstream} at {at_ms} (request {request}, token {echo})"));
     }
     text
--- a/crates/standin/src/site/launch.rs
+++ b/crates/standin/src/site/launch.rs
@@ -7,11 +7,11 @@
 };
 
 use super::{
-    block::Block,
+    block::AddressBlock,
     deployment::Deployment,
     fleet::{Fleet, Instance, Role},
     pki::Authority,
-    process::Launch,
+    process::LaunchSpec,
 };
 
 const PLATFORM_PORT: u16 = 0;
@@ -32,7 +32,7 @@
 pub struct Launcher {
     deployment: &'static Deployment,
     authority: Authority,
-    block: Block,
+    block: AddressBlock,
     bin_dir: PathBuf,
     /// Address of the platform.
     pub platform: SocketAddr,
@@ -53,7 +53,7 @@
         bin_dir: PathBuf,
         seed: u64,
     ) -> anyhow::Result<Launcher> {
-        let mut block = Block::new()?;
+        let mut block = AddressBlock::new()?;
         let platform = SocketAddr::new(block.host()?, block.port(PLATFORM_PORT));
         let fabric = SocketAddr::new(block.host()?, block.port(FABRIC_PORT));
         let mut services = Vec::new();
@@ -292,8 +292,8 @@
         program: &str,
         args: Vec<String>,
         env: Vec<(String, String)>,
-    ) -> Launch {
-        Launch { name: name.to_owned(), program: self.bin_dir.join(program), args, env }
+    ) -> LaunchSpec {
+        LaunchSpec { name: name.to_owned(), program: self.bin_dir.join(program), args, env }
     }
 }
 
--- a/crates/standin/src/site/metrics.rs
+++ b/crates/standin/src/site/metrics.rs
@@ -1,6 +1,6 @@
 //! Reads metrics exported by the daemons.
 
-use super::{fleet::Fleet, http::Http};
+use super::{fleet::Fleet, http::HttpClient};
 
 /// Metric with the control traffic of a process in bytes.
 pub const CONTROL_BYTES: &str = "camphorwinch_control_bytes_total";
@@ -17,7 +17,7 @@
 }
 
 /// Metrics of all running daemons, and the names of those that did not respond.
-pub async fn read(http: &Http, fleet: &Fleet) -> (Vec<ProcessMetrics>, Vec<String>) {
+pub async fn read(http: &HttpClient, fleet: &Fleet) -> (Vec<ProcessMetrics>, Vec<String>) {
     let mut samples = Vec::new();
     let mut unreachable = Vec::new();
     for (name, instance) in fleet.instances() {
--- a/crates/standin/src/site/objects.rs
+++ b/crates/standin/src/site/objects.rs
@@ -10,22 +10,22 @@
 use serde_json::{Value, json};
 use tokio::time;
 
-use super::{http::Http, pki::Leaf};
+use super::{http::HttpClient, pki::Leaf};
 
 const MAX_TRIES: u32 = 80;
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Client for the platform's object API.
 #[derive(Clone, Debug)]
-pub struct Objects {
-    http: Http,
+pub struct ObjectClient {
+    http: HttpClient,
     address: SocketAddr,
 }
 
-impl Objects {
+impl ObjectClient {
     /// Creates a client for the platform at this address.
-    pub fn new(http: Http, address: SocketAddr) -> Objects {
-        Objects { http, address }
+    pub fn new(http: HttpClient, address: SocketAddr) -> ObjectClient {
+        ObjectClient { http, address }
     }
 
     /// Reads an object; `None` if it does not exist.
@@ -56,7 +56,7 @@
         S: Serialize,
     {
         let spec = serde_json::to_value(spec).with_context(|| format!("write {kind}/{name}"))?;
-        let writer = mark();
+        let writer = new_writer_id();
         let mut last = anyhow::anyhow!("not tried");
         for _ in 0..MAX_TRIES {
             match self.try_put(kind, name, &spec, &writer).await {
@@ -114,7 +114,7 @@
 }
 
 /// Generates the keys of a fleet.
-pub fn keys(rng: &mut StdRng) -> Keys {
+pub fn new_keys(rng: &mut StdRng) -> Keys {
     let mut reset = [0; 32];
     rng.fill_bytes(&mut reset);
     Keys { reset, keys: vec![key(rng, 1, KeyUse::Seal)] }
@@ -143,6 +143,6 @@
 }
 
 /// Generates a writer id.
-pub fn mark() -> String {
+pub fn new_writer_id() -> String {
     format!("{:032x}", rand::rng().random::<u128>())
 }
--- a/crates/standin/src/site/process.rs
+++ b/crates/standin/src/site/process.rs
@@ -22,7 +22,7 @@
 
 /// Command to start a process.
 #[derive(Clone, Debug)]
-pub struct Launch {
+pub struct LaunchSpec {
     /// Name, unique within the deployment.
     pub name: String,
     /// Path of the program.
@@ -43,7 +43,7 @@
 
 impl Process {
     /// Starts the process with its output appended to a log file in the folder.
-    pub fn start(launch: &Launch, folder: &Path) -> anyhow::Result<Process> {
+    pub fn start(launch: &LaunchSpec, folder: &Path) -> anyhow::Result<Process> {
         let step = || format!("start {}", launch.name);
         let path = folder.join(format!("{}.log", launch.name));
         let log = File::options().create(true).append(true).open(&path).with_context(step)?;
--- a/crates/standin/src/site/run.rs
+++ b/crates/standin/src/site/run.rs
@@ -20,11 +20,11 @@
     deployment::Deployment,
     faults::{Attribution, FaultKinds, FaultLog, FaultPlan, Injector, attribute_incidents},
     fleet::{Fleet, Role},
-    http::Http,
+    http::HttpClient,
     journal::{self, JournalCheck},
     launch::{Launcher, PLATFORM},
     metrics::{self, ProcessMetrics},
-    objects::{self, Objects},
+    objects::{self, ObjectClient},
     outcome::Summary,
     pki::Authority,
     print,
@@ -131,11 +131,11 @@
         let mut fleet = Fleet::new(folder);
         launcher.add_all(&mut fleet, settings.balancers)?;
         println!("platform at http://{}", launcher.platform);
-        let http = Http::new();
+        let http = HttpClient::new();
         let shared = Shared {
             deployment: settings.deployment,
             fleet: Mutex::new(fleet),
-            objects: Objects::new(http.clone(), launcher.platform),
+            objects: ObjectClient::new(http.clone(), launcher.platform),
             launcher: Mutex::new(launcher),
             unrouted: SyncMutex::default(),
             retired_records: SyncMutex::default(),
@@ -180,7 +180,7 @@
     async fn create_objects(&self) -> anyhow::Result<()> {
         let objects = &self.shared.objects;
         let mut rng = StdRng::seed_from_u64(self.settings.seed);
-        objects.put(Kind::Keys, objects::keys_name(), &objects::keys(&mut rng)).await?;
+        objects.put(Kind::Keys, objects::keys_name(), &objects::new_keys(&mut rng)).await?;
         let addresses = self.shared.launcher.lock().await.services.clone();
         for (service, address) in self.settings.deployment.services.iter().zip(addresses) {
             let certificate = format!("{}-cert", service.name);
--- a/crates/standin/src/site/shared.rs
+++ b/crates/standin/src/site/shared.rs
@@ -19,10 +19,10 @@
 use super::{
     deployment::Deployment,
     fleet::{Fleet, Role},
-    http::Http,
+    http::HttpClient,
     launch::Launcher,
     metrics::ProcessMetrics,
-    objects::Objects,
+    objects::ObjectClient,
     pki::Authority,
     process::STOP_LIMIT,
 };
@@ -46,9 +46,9 @@
     /// Last metrics of processes stopped or killed during the run.
     pub final_metrics: SyncMutex<Vec<ProcessMetrics>>,
     /// Client for admin and operator addresses.
-    pub http: Http,
+    pub http: HttpClient,
     /// Client for the platform's objects.
-    pub objects: Objects,
+    pub objects: ObjectClient,
     /// CA that callers trust.
     pub authority: Authority,
     /// Statistics of the callers.
--- a/crates/standin/src/upstream/admin.rs
+++ b/crates/standin/src/upstream/admin.rs
@@ -20,7 +20,7 @@
     settings::Settings,
     state::State,
 };
-use crate::server::{self, Body, Refusal, Server};
+use crate::server::{self, Body, HttpError, Server};
 
 const MAX_BODY_BYTES: usize = 1 << 20;
 const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -57,7 +57,9 @@
             let state = state.clone();
             move |request| {
                 let state = state.clone();
-                async move { Ok(handle_admin(&state, request).await.unwrap_or_else(|it| it.answer())) }
+                async move {
+                    Ok(handle_admin(&state, request).await.unwrap_or_else(|it| it.to_response()))
+                }
             }
         };
         let admin = Server::start(admin, handle).await?;
@@ -117,7 +119,7 @@
     let closed = closing.clone();
     loop {
         tokio::select! {
-            () = server::turned_on(&mut closing) => break,
+            () = server::wait_until_true(&mut closing) => break,
             Some(_) = connections.join_next() => {}
             accepted = listener.accept() => {
                 let Ok((stream, _)) = accepted else {
@@ -145,27 +147,29 @@
 async fn handle_admin(
     state: &State,
     request: Request<Incoming>,
-) -> Result<Response<Body>, Refusal> {
+) -> Result<Response<Body>, HttpError> {
     match (request.method(), request.uri().path()) {
-        (&Method::GET, "/record") => Ok(server::json(StatusCode::OK, &state.record())),
-        (&Method::GET, "/faults") => Ok(server::json(StatusCode::OK, &*state.faults.borrow())),
+        (&Method::GET, "/record") => Ok(server::json_response(StatusCode::OK, &state.record())),
+        (&Method::GET, "/faults") => {
+            Ok(server::json_response(StatusCode::OK, &*state.faults.borrow()))
+        }
         (&Method::PUT, "/faults") => {
             let faults: Faults = server::read_json(request.into_body(), MAX_BODY_BYTES).await?;
-            faults.check().map_err(Refusal::bad)?;
+            faults.check().map_err(HttpError::bad_request)?;
             state.faults.send_replace(faults.clone());
-            Ok(server::json(StatusCode::OK, &faults))
+            Ok(server::json_response(StatusCode::OK, &faults))
         }
         (&Method::PUT, "/services") => {
             let services: Vec<String> =
                 server::read_json(request.into_body(), MAX_BODY_BYTES).await?;
             *state.services.lock() = services.clone();
-            Ok(server::json(StatusCode::OK, &services))
+            Ok(server::json_response(StatusCode::OK, &services))
         }
         (&Method::PUT, "/drain") => {
             let drain: Drain = server::read_json(request.into_body(), MAX_BODY_BYTES).await?;
             state.drain.send_replace(drain.on);
-            Ok(server::json(StatusCode::OK, &serde_json::json!({ "on": drain.on })))
+            Ok(server::json_response(StatusCode::OK, &serde_json::json!({ "on": drain.on })))
         }
-        (_, path) => Err(Refusal::unknown(path)),
+        (_, path) => Err(HttpError::not_found(path)),
     }
 }
--- a/crates/standin/src/upstream/feed.rs
+++ b/crates/standin/src/upstream/feed.rs
@@ -15,14 +15,14 @@
 
 use super::{
     admission::{GaugeGuard, GaugeName},
-    journal::Event,
+    journal::JournalEvent,
     request::Task,
     run::Run,
     state::State,
 };
 use crate::{
-    answer,
-    server::{Body, Dropped, turned_on},
+    response,
+    server::{Body, Dropped, wait_until_true},
 };
 
 /// Ticks sent before a feed that is to be truncated is cut.
@@ -57,7 +57,7 @@
     let end = now + duration.unwrap_or(UNLIMITED);
     let feed = Feed {
         echo: task.head.echo.clone(),
-        first_line: Some(answer::first_line(&task.head)),
+        first_line: Some(response::first_line(&task.head)),
         digest: Sha256::new(),
         tick_count: 0,
         ticks,
@@ -88,18 +88,18 @@
         tokio::select! {
             _ = self.ticks.tick() => {
                 self.tick_count += 1;
-                let line = answer::tick_line(self.tick_count, &self.echo);
+                let line = response::feed_line(self.tick_count, &self.echo);
                 self.digest.update(&line);
                 Some(Ok(line))
             }
             _ = sleep_until(self.end) => self.last_line(),
-            () = turned_on(&mut self.stop) => self.last_line(),
+            () = wait_until_true(&mut self.stop) => self.last_line(),
         }
     }
 
     fn last_line(&mut self) -> Option<Result<String, Dropped>> {
-        self.run.take()?.end(Event::Finish);
+        self.run.take()?.end(JournalEvent::Finish);
         let digest = std::mem::take(&mut self.digest);
-        Some(Ok(answer::sum_text(&answer::to_hex(&digest.finalize()))))
+        Some(Ok(response::digest_line_from_hex(&response::to_hex(&digest.finalize()))))
     }
 }
--- a/crates/standin/src/upstream/journal.rs
+++ b/crates/standin/src/upstream/journal.rs
@@ -14,7 +14,7 @@
 /// Lifecycle event of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Event {
+pub enum JournalEvent {
     /// Started.
     Start,
     /// Completed.
@@ -27,11 +27,11 @@
 
 /// A line of the journal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct JournalEntry {
     /// Milliseconds since the Unix epoch.
     pub at_ms: u64,
     /// Event.
-    pub event: Event,
+    pub event: JournalEvent,
     /// Name of the upstream.
     pub upstream: String,
     /// Service named by the agent.
@@ -63,7 +63,7 @@
     }
 
     /// Appends a line with one unbuffered write, so that it survives a kill of the process.
-    pub(super) fn append(&self, entry: &Entry) -> anyhow::Result<()> {
+    pub(super) fn append(&self, entry: &JournalEntry) -> anyhow::Result<()> {
         let mut line = serde_json::to_vec(entry).context("failed to write the journal")?;
         line.push(b'\n');
         self.file.lock().write_all(&line).context("failed to write the journal")
@@ -71,7 +71,7 @@
 }
 
 /// Reads a journal, skipping an incomplete last line.
-pub fn read_journal(path: &Path) -> anyhow::Result<Vec<Entry>> {
+pub fn read_journal(path: &Path) -> anyhow::Result<Vec<JournalEntry>> {
     let step = || format!("failed to read the journal {}", path.display());
     let text = fs::read_to_string(path).with_context(step)?;
     let complete = text.rfind('\n').map_or("", |end| &text[..end]);
--- a/crates/standin/src/upstream/mod.rs
+++ b/crates/standin/src/upstream/mod.rs
@@ -16,7 +16,7 @@
 pub use self::{
     admin::Upstream,
     faults::{Faults, LoadOverride, faults},
-    journal::{Entry, Event, read_journal},
+    journal::{JournalEntry, JournalEvent, read_journal},
     load::{Load, LoadState},
     record::{Record, Runs},
     settings::{Settings, settings},
--- a/crates/standin/src/upstream/run.rs
+++ b/crates/standin/src/upstream/run.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::{
-    journal::{Entry, Event, now_ms},
+    journal::{JournalEntry, JournalEvent, now_ms},
     request::Task,
     state::State,
 };
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub(super) struct Run {
     state: Arc<State>,
-    entry: Entry,
+    entry: JournalEntry,
     non_idempotent: bool,
     ended: bool,
 }
@@ -21,9 +21,9 @@
     /// Records the start; the journal line is written before any work is done.
     pub(super) fn new(state: &Arc<State>, task: &Task) -> anyhow::Result<Run> {
         let head = &task.head;
-        let entry = Entry {
+        let entry = JournalEntry {
             at_ms: now_ms(),
-            event: Event::Start,
+            event: JournalEvent::Start,
             upstream: head.upstream.clone(),
             service: head.service.clone(),
             request: head.request.clone(),
@@ -45,11 +45,11 @@
         Ok(run)
     }
 
-    pub(super) fn end(mut self, event: Event) {
+    pub(super) fn end(mut self, event: JournalEvent) {
         self.record_end(event);
     }
 
-    fn record_end(&mut self, event: Event) {
+    fn record_end(&mut self, event: JournalEvent) {
         self.ended = true;
         self.entry.at_ms = now_ms();
         self.entry.event = event;
@@ -64,16 +64,16 @@
     fn count(&self) {
         let mut record = self.state.record.lock();
         match self.entry.event {
-            Event::Start => record.started += 1,
-            Event::Finish => record.finished += 1,
-            Event::Cancel => record.cancelled += 1,
-            Event::Expire => record.expired += 1,
+            JournalEvent::Start => record.started += 1,
+            JournalEvent::Finish => record.finished += 1,
+            JournalEvent::Cancel => record.cancelled += 1,
+            JournalEvent::Expire => record.expired += 1,
         }
         if !self.non_idempotent {
             return;
         }
-        let started = u64::from(self.entry.event == Event::Start);
-        let finished = u64::from(self.entry.event == Event::Finish);
+        let started = u64::from(self.entry.event == JournalEvent::Start);
+        let finished = u64::from(self.entry.event == JournalEvent::Finish);
         for (name, by_key) in [(&self.entry.key, true), (&self.entry.request, false)] {
             if name.is_empty() {
                 continue;
@@ -89,7 +89,7 @@
 impl Drop for Run {
     fn drop(&mut self) {
         if !self.ended {
-            self.record_end(Event::Cancel);
+            self.record_end(JournalEvent::Cancel);
         }
     }
 }
--- a/crates/standin/src/upstream/state.rs
+++ b/crates/standin/src/upstream/state.rs
@@ -19,7 +19,7 @@
     admission::{Admission, RejectReason},
     faults::{Faults, LoadOverride},
     feed,
-    journal::{Event, Journal},
+    journal::{Journal, JournalEvent},
     load::{Load, LoadState},
     record::Record,
     request::{Resource, Task},
@@ -27,8 +27,8 @@
     settings::Settings,
 };
 use crate::{
-    answer,
-    server::{self, Answer, Body, Dropped, Refusal},
+    response,
+    server::{self, Body, Dropped, HandlerResult, HttpError},
 };
 
 const RETRY_AFTER_S: &str = "1";
@@ -91,19 +91,19 @@
         self: &Arc<State>,
         request: Request<Incoming>,
         over_limit: bool,
-    ) -> Answer {
+    ) -> HandlerResult {
         if request.uri().path() == "/load" {
-            return Ok(server::json(StatusCode::OK, &self.reported_load()));
+            return Ok(server::json_response(StatusCode::OK, &self.reported_load()));
         }
         let task = match Task::new(&request, &self.settings) {
             Ok(task) => task,
-            Err(refusal) => return Ok(refusal.answer()),
+            Err(error) => return Ok(error.to_response()),
         };
         self.count_service(&task.head.service);
         let rejected =
             if over_limit { Some(RejectReason::Connections) } else { self.reject_reason(&task) };
         if let Some(reason) = rejected {
-            server::discard(request.into_body());
+            server::discard_body(request.into_body());
             return Ok(self.reject(&task, reason));
         }
         match task.resource {
@@ -190,12 +190,13 @@
     fn reject(&self, task: &Task, reason: RejectReason) -> Response<Body> {
         self.record.lock().count_rejected(reason.as_str());
         let text = format!("not run: {}", reason.as_str());
-        let mut answer = Refusal::new(StatusCode::SERVICE_UNAVAILABLE, text).answer();
-        let headers = answer.headers_mut();
-        headers.insert(HeaderName::from_static(answer::NOT_RUN), HeaderValue::from_static("true"));
+        let mut response = HttpError::new(StatusCode::SERVICE_UNAVAILABLE, text).to_response();
+        let headers = response.headers_mut();
+        headers
+            .insert(HeaderName::from_static(response::NOT_RUN), HeaderValue::from_static("true"));
         headers.insert(header::RETRY_AFTER, HeaderValue::from_static(RETRY_AFTER_S));
-        echo_request(&mut answer, task);
-        answer
+        echo_request(&mut response, task);
+        response
     }
 
     fn random_bool(&self, probability: f64) -> bool {
@@ -214,7 +215,7 @@
         task: &Task,
         duration: Option<Duration>,
         period: Duration,
-    ) -> Answer {
+    ) -> HandlerResult {
         let run = match self.start(task) {
             Ok(run) => run,
             Err(reason) => return Ok(self.reject(task, reason)),
@@ -222,13 +223,13 @@
         let probability = self.faults.borrow().cut;
         let truncate = self.random_bool(probability);
         self.record.lock().cut += u64::from(truncate);
-        let mut answer = Response::new(feed::body(self, task, run, duration, period, truncate));
-        echo_request(&mut answer, task);
-        Ok(answer)
+        let mut response = Response::new(feed::body(self, task, run, duration, period, truncate));
+        echo_request(&mut response, task);
+        Ok(response)
     }
 
     /// Runs a request that needs a slot before it starts; its body is read while it holds the slot.
-    async fn run_in_slot(self: &Arc<State>, mut task: Task, body: Incoming) -> Answer {
+    async fn run_in_slot(self: &Arc<State>, mut task: Task, body: Incoming) -> HandlerResult {
         let slot = match self.admission.acquire(self, task.deadline).await {
             Ok(slot) => slot,
             Err(reason) => return Ok(self.reject(&task, reason)),
@@ -249,7 +250,7 @@
     }
 
     /// Runs an upload: it starts at once, reads its body, then takes a slot for the work.
-    async fn upload(self: &Arc<State>, mut task: Task, body: Incoming) -> Answer {
+    async fn upload(self: &Arc<State>, mut task: Task, body: Incoming) -> HandlerResult {
         let run = match self.start(&task) {
             Ok(run) => run,
             Err(reason) => return Ok(self.reject(&task, reason)),
@@ -283,15 +284,15 @@
         1.0 + (self.settings.cold_factor - 1.0) * (1.0 - since_ms / cold_ms)
     }
 
-    async fn finish(&self, task: Task, run: Run, result: Result<(), WorkError>) -> Answer {
+    async fn finish(&self, task: Task, run: Run, result: Result<(), WorkError>) -> HandlerResult {
         match result {
-            Ok(()) => run.end(Event::Finish),
+            Ok(()) => run.end(JournalEvent::Finish),
             Err(WorkError::DeadlineExceeded) => {
-                run.end(Event::Expire);
+                run.end(JournalEvent::Expire);
                 let text = "the deadline passed";
-                let mut answer = Refusal::new(StatusCode::GATEWAY_TIMEOUT, text).answer();
-                echo_request(&mut answer, &task);
-                return Ok(answer);
+                let mut response = HttpError::new(StatusCode::GATEWAY_TIMEOUT, text).to_response();
+                echo_request(&mut response, &task);
+                return Ok(response);
             }
             Err(WorkError::Dropped) => return Err(Dropped),
         }
@@ -308,15 +309,15 @@
             Resource::Screen { padding } => padding,
             _ => 0,
         };
-        let text = answer::write(&task.head, padding);
-        let mut answer = if self.random_bool(faults.cut) {
+        let text = response::write(&task.head, padding);
+        let mut response = if self.random_bool(faults.cut) {
             self.record.lock().cut += 1;
             truncated(text)
         } else {
-            Response::new(server::full(text))
+            Response::new(server::full_body(text))
         };
-        echo_request(&mut answer, &task);
-        Ok(answer)
+        echo_request(&mut response, &task);
+        Ok(response)
     }
 }
 
@@ -345,7 +346,7 @@
     if size == 0 {
         return Ok((0, String::new()));
     }
-    Ok((size, answer::to_hex(&digest.finalize())))
+    Ok((size, response::to_hex(&digest.finalize())))
 }
 
 /// A response whose connection is closed after half of its body.
@@ -353,13 +354,13 @@
     let length = text.len();
     let half = Bytes::from(text).slice(..length / 2);
     let parts = stream::iter([Ok(Frame::data(half)), Err(Dropped)]);
-    let mut answer = Response::new(BodyExt::boxed(StreamBody::new(parts)));
-    answer.headers_mut().insert(header::CONTENT_LENGTH, length.into());
-    answer
+    let mut response = Response::new(BodyExt::boxed(StreamBody::new(parts)));
+    response.headers_mut().insert(header::CONTENT_LENGTH, length.into());
+    response
 }
 
-fn echo_request(answer: &mut Response<Body>, task: &Task) {
+fn echo_request(response: &mut Response<Body>, task: &Task) {
     if let Ok(value) = HeaderValue::from_str(&task.head.request) {
-        answer.headers_mut().insert(HeaderName::from_static(answer::REQUEST), value);
+        response.headers_mut().insert(HeaderName::from_static(response::REQUEST), value);
     }
 }
--- a/crates/standin/tests/caller.rs
+++ b/crates/standin/tests/caller.rs
@@ -9,7 +9,6 @@
 };
 
 use camphorwinch_standin::{
-    answer::{self, Head},
     caller::{
         Target,
         flow::{Flow, FlowEnd, FlowState, RequestResult},
@@ -19,6 +18,7 @@
         stats::LoadStats,
         verify,
     },
+    response::{self, ResponseHead},
 };
 use http::HeaderMap;
 use rand::{SeedableRng, rngs::StdRng};
@@ -202,16 +202,16 @@
         pool: "ledger".into(),
     };
     let first = CallerRequest::transfer(rng, Duration::ZERO);
-    let head = Head {
+    let head = ResponseHead {
         pool: "ledger".into(),
         service: "ledger".into(),
         echo: first.token.clone(),
         key: first.key.clone().unwrap(),
         size: first.size() as u64,
-        digest: answer::to_hex(&first.digest()),
-        ..Head::default()
+        digest: response::to_hex(&first.digest()),
+        ..ResponseHead::default()
     };
-    let body = answer::write(&head, 0);
+    let body = response::write(&head, 0);
     let headers = HeaderMap::new();
     let check =
         |request: &CallerRequest| verify::check(request, &target, &headers, body.as_bytes());
--- a/crates/standin/tests/capacity.rs
+++ b/crates/standin/tests/capacity.rs
@@ -4,11 +4,11 @@
     fit::{Estimate, Fit, Point},
     fleet::sum_metric,
     output::format_estimate,
-    series::{Measured, Series, Source, Total},
+    series::{Measurements, Series, Source, Total},
     usage::Usage,
 };
 use camphorwinch_standin::capacity::{
-    output::{self, Circumstances},
+    output::{self, RunInfo},
     size,
 };
 use quickcheck::quickcheck;
@@ -60,14 +60,14 @@
 
 #[test]
 fn totals_add_independent_errors_and_list_missing_series() {
-    let mut measured = Measured::default();
-    measured.extend([series("a", &[(1.0, 2.0), (2.0, 3.0), (3.0, 5.0), (4.0, 6.0)])]);
+    let mut measurements = Measurements::default();
+    measurements.extend([series("a", &[(1.0, 2.0), (2.0, 3.0), (3.0, 5.0), (4.0, 6.0)])]);
     let total = Total::new("role", "time", "s", 28.0)
-        .at(&measured, "a", 10.0, 1.0)
-        .slope(&measured, "a", 10.0)
-        .intercept(&measured, "b")
+        .at(&measurements, "a", 10.0, 1.0)
+        .slope(&measurements, "a", 10.0)
+        .intercept(&measurements, "b")
         .constant("known", -0.5);
-    let fit = measured.fit("a").unwrap();
+    let fit = measurements.fit("a").unwrap();
     assert!((total.value().mean - 28.0).abs() < 1e-9);
     let error = fit.at(10.0).error.hypot(10.0 * fit.slope.error);
     assert!((total.value().error - error).abs() < 1e-12);
@@ -77,11 +77,11 @@
 
 #[test]
 fn a_repeated_series_replaces_the_previous_one() {
-    let mut measured = Measured::default();
-    measured.extend([series("a", &[(1.0, 1.0)]), series("b", &[])]);
-    measured.extend([series("a", &[(2.0, 2.0), (2.0, 3.0)])]);
-    assert_eq!(measured.series.len(), 2);
-    assert_eq!(measured.get("a").unwrap().sizes(), [2.0]);
+    let mut measurements = Measurements::default();
+    measurements.extend([series("a", &[(1.0, 1.0)]), series("b", &[])]);
+    measurements.extend([series("a", &[(2.0, 2.0), (2.0, 3.0)])]);
+    assert_eq!(measurements.series.len(), 2);
+    assert_eq!(measurements.get("a").unwrap().sizes(), [2.0]);
 }
 
 #[test]
@@ -116,10 +116,10 @@
 #[test]
 fn output_files_are_well_formed() {
     let dir = std::env::temp_dir().join(format!("camphorwinch-capacity-{}", std::process::id()));
-    let mut measured = Measured::default();
-    measured.extend([series("links", &[(1.0, 2.0), (2.0, 3.0), (3.0, 5.0), (4.0, 6.0)])]);
-    let totals = size::totals(&measured);
-    output::write(&dir, &Circumstances::default(), &measured, &totals).unwrap();
+    let mut measurements = Measurements::default();
+    measurements.extend([series("links", &[(1.0, 2.0), (2.0, 3.0), (3.0, 5.0), (4.0, 6.0)])]);
+    let totals = size::totals(&measurements);
+    output::write(&dir, &RunInfo::default(), &measurements, &totals).unwrap();
     let read = |name: &str| std::fs::read_to_string(dir.join(name)).unwrap();
     for name in ["points.csv", "slopes.csv", "totals.csv"] {
         let text = read(name);
@@ -131,7 +131,7 @@
     let partial = read("tables.md").lines().filter(|it| it.contains("(partial)")).count();
     assert_eq!(partial, totals.len(), "totals with missing series are marked as partial");
     let comma = Series::new("a,b", "cost", "s", "size", Source::Decisions);
-    measured.extend([comma]);
-    assert!(output::write(&dir, &Circumstances::default(), &measured, &totals).is_err());
+    measurements.extend([comma]);
+    assert!(output::write(&dir, &RunInfo::default(), &measurements, &totals).is_err());
     std::fs::remove_dir_all(dir).unwrap();
 }
--- a/crates/standin/tests/client/mod.rs
+++ b/crates/standin/tests/client/mod.rs
@@ -19,13 +19,13 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub headers: HeaderMap,
     pub body: Bytes,
 }
 
-impl Answer {
+impl Response {
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap()
     }
@@ -40,15 +40,15 @@
         Client { addr }
     }
 
-    pub async fn get(&self, path: &str) -> anyhow::Result<Answer> {
+    pub async fn get(&self, path: &str) -> anyhow::Result<Response> {
         self.call(Method::GET, path, &[], Vec::new()).await
     }
 
-    pub async fn delete(&self, path: &str) -> anyhow::Result<Answer> {
+    pub async fn delete(&self, path: &str) -> anyhow::Result<Response> {
         self.call(Method::DELETE, path, &[], Vec::new()).await
     }
 
-    pub async fn put(&self, path: &str, body: &Value) -> anyhow::Result<Answer> {
+    pub async fn put(&self, path: &str, body: &Value) -> anyhow::Result<Response> {
         self.call(Method::PUT, path, &[], body.to_string().into_bytes()).await
     }
 
@@ -58,11 +58,11 @@
         path: &str,
         headers: &[(&str, &str)],
         body: Vec<u8>,
-    ) -> anyhow::Result<Answer> {
+    ) -> anyhow::Result<Response> {
         let response = self.open(method, path, headers, body).await?;
         let (parts, body) = response.into_parts();
         let body = body.collect().await.context("read the body")?.to_bytes();
-        Ok(Answer { status: parts.status.as_u16(), headers: parts.headers, body })
+        Ok(Response { status: parts.status.as_u16(), headers: parts.headers, body })
     }
 
     pub async fn open(
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -20,8 +20,8 @@
 }
 
 async fn set_faults(client: &Client, faults: &Faults) {
-    let answer = client.put("/admin/faults", &json!(faults)).await.unwrap();
-    assert_eq!(answer.status, 200, "{answer:?}");
+    let response = client.put("/admin/faults", &json!(faults)).await.unwrap();
+    assert_eq!(response.status, 200, "{response:?}");
 }
 
 async fn counts(client: &Client) -> Counts {
@@ -165,10 +165,10 @@
     let (_platform, client) = start(16, faults).await;
     let mut limited = 0;
     for version in 0..10 {
-        let answer =
+        let response =
             client.put("/v1/objects/service/s", &put_body(version, version)).await.unwrap();
-        if answer.status == 429 {
-            assert_eq!(answer.header("retry-after"), Some("1"));
+        if response.status == 429 {
+            assert_eq!(response.header("retry-after"), Some("1"));
             limited += 1;
         }
         assert_eq!(client.get("/v1/objects").await.unwrap().status, 200);
--- a/crates/standin/tests/process.rs
+++ b/crates/standin/tests/process.rs
@@ -10,8 +10,8 @@
 };
 
 use camphorwinch_standin::{
-    answer,
-    upstream::{Event, read_journal},
+    response,
+    upstream::{JournalEvent, read_journal},
 };
 use client::Client;
 use http::Method;
@@ -104,7 +104,7 @@
     .await;
     let (client, admin) = (Client::new(addrs[0]), Client::new(addrs[1]));
     let request = tokio::spawn(async move {
-        let headers = [(answer::KEY, "killed")];
+        let headers = [(response::IDEMPOTENCY_KEY, "killed")];
         client.call(Method::POST, "/transfer?work_ms=60000", &headers, Vec::new()).await
     });
     while admin.get("/record").await.unwrap().json()["started"] == 0 {
@@ -115,7 +115,7 @@
     let entries = read_journal(&path).unwrap();
     fs::remove_file(&path).unwrap();
     assert_eq!(entries.len(), 1);
-    assert_eq!((entries[0].event, entries[0].key.as_str()), (Event::Start, "killed"));
+    assert_eq!((entries[0].event, entries[0].key.as_str()), (JournalEvent::Start, "killed"));
 }
 
 #[tokio::test]
--- a/crates/standin/tests/promises/fencing.rs
+++ b/crates/standin/tests/promises/fencing.rs
@@ -5,7 +5,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
 
-use crate::client::{Answer, Client};
+use crate::client::{Client, Response};
 
 const WRITERS: usize = 3;
 const STEPS: usize = 150;
@@ -78,7 +78,7 @@
         let body = json!({ "version": version, "writer": "0".repeat(32), "spec": spec });
         self.sent += 1;
         match self.client.put(&path(attempt.number), &body).await {
-            Ok(Answer { status: 200, body, .. }) => {
+            Ok(Response { status: 200, body, .. }) => {
                 let object: Value = serde_json::from_slice(&body).unwrap();
                 let version = object["version"].as_u64().unwrap();
                 self.writers[writer].keeper.written(self.now, attempt, version);
--- a/crates/standin/tests/server/mod.rs
+++ b/crates/standin/tests/server/mod.rs
@@ -10,8 +10,8 @@
 
 use bytes::{Buf, Bytes};
 use camphorwinch_standin::{
-    answer::{self, Head},
     caller::{Target, client},
+    response::{self, ResponseHead},
     site::pki::Authority,
 };
 use h3::{error::Code, server::RequestStream};
@@ -176,15 +176,15 @@
     let query = request.uri().query().unwrap_or_default();
     let echo = query.split('&').find_map(|it| it.strip_prefix("echo=")).unwrap_or_default();
     let key = request.headers().get("idempotency-key").map(|it| it.to_str().unwrap());
-    let mut head = Head {
+    let mut head = ResponseHead {
         upstream: "ledger-1".into(),
         pool: "ledger".into(),
         service: "ledger".into(),
         echo: echo.into(),
         key: key.unwrap_or_default().into(),
         size: body.len() as u64,
-        digest: if body.is_empty() { String::new() } else { answer::hex_digest(body) },
-        ..Head::default()
+        digest: if body.is_empty() { String::new() } else { response::hex_digest(body) },
+        ..ResponseHead::default()
     };
     match behaviour {
         Behaviour::WrongRequest => head.echo = "another".into(),
@@ -193,10 +193,10 @@
         _ => {}
     }
     if request.uri().path() == "/feed" {
-        let mut text = answer::first_line(&head);
-        text += &answer::tick_line(1, &head.echo);
-        text += &answer::sum_line(text.as_bytes());
+        let mut text = response::first_line(&head);
+        text += &response::feed_line(1, &head.echo);
+        text += &response::digest_line(text.as_bytes());
         return text;
     }
-    answer::write(&head, 100)
+    response::write(&head, 100)
 }
--- a/crates/standin/tests/site.rs
+++ b/crates/standin/tests/site.rs
@@ -10,24 +10,24 @@
     },
     site::{
         balance,
-        block::Block,
+        block::AddressBlock,
         faults::{FaultKind, FaultKinds, InjectedFault, attribute_incidents},
         fleet::{Fleet, Instance, Role},
         journal, metrics,
         outcome::Summary,
-        process::Launch,
+        process::LaunchSpec,
     },
-    upstream::{Entry, Event, Record},
+    upstream::{JournalEntry, JournalEvent, Record},
 };
 
 fn attempt(key: &str, token: &str, outcome: Outcome) -> Attempt {
     Attempt { key: key.into(), token: token.into(), service: "ledger".into(), outcome }
 }
 
-fn start(key: &str, echo: &str, upstream: &str) -> Entry {
-    Entry {
+fn start(key: &str, echo: &str, upstream: &str) -> JournalEntry {
+    JournalEntry {
         at_ms: 1,
-        event: Event::Start,
+        event: JournalEvent::Start,
         upstream: upstream.into(),
         service: "ledger".into(),
         request: "r".into(),
@@ -57,7 +57,7 @@
 #[test]
 fn only_starts_of_requests_that_are_not_idempotent_count() {
     let mut finish = start("k", "a", "ledger-1");
-    finish.event = Event::Finish;
+    finish.event = JournalEvent::Finish;
     let mut upload = start("k", "a", "ledger-1");
     upload.method = "PUT".into();
     let result = journal::check(&[], &[start("k", "a", "ledger-1"), finish, upload]);
@@ -201,13 +201,13 @@
     assert!("kill,flood".parse::<FaultKinds>().unwrap_err().contains("flood"));
 }
 
-fn fleet() -> (Fleet, Block, PathBuf) {
+fn fleet() -> (Fleet, AddressBlock, PathBuf) {
     let folder = std::env::temp_dir().join(format!("site-test-{:x}", rand::random::<u64>()));
     std::fs::create_dir(&folder).unwrap();
-    (Fleet::new(folder.clone()), Block::new().unwrap(), folder)
+    (Fleet::new(folder.clone()), AddressBlock::new().unwrap(), folder)
 }
 
-fn instance(block: &mut Block, name: &str, program: &str) -> Instance {
+fn instance(block: &mut AddressBlock, name: &str, program: &str) -> Instance {
     let host = block.host().unwrap();
     let admin = std::net::SocketAddr::new(host, block.port(0));
     Instance {
@@ -217,7 +217,7 @@
         host,
         service: None,
         admin,
-        launch: Launch {
+        launch: LaunchSpec {
             name: name.into(),
             program: program.into(),
             args: vec!["platform".into(), "--listen".into(), admin.to_string()],
--- a/crates/standin/tests/upstream.rs
+++ b/crates/standin/tests/upstream.rs
@@ -5,10 +5,12 @@
 use std::{env, fs, process, time::Duration};
 
 use camphorwinch_standin::{
-    answer::{self, FeedReader},
-    upstream::{Entry, Event, Faults, Record, Runs, Settings, Upstream, read_journal},
+    response::{self, FeedReader, ResponseHead},
+    upstream::{
+        Faults, JournalEntry, JournalEvent, Record, Runs, Settings, Upstream, read_journal,
+    },
 };
-use client::{Answer, Client};
+use client::{Client, Response};
 use futures::future::join_all;
 use http::Method;
 use http_body_util::BodyExt;
@@ -28,10 +30,13 @@
     (upstream, client, admin)
 }
 
-async fn transfer(client: &Client, key: &str, query: &str) -> anyhow::Result<Answer> {
+async fn transfer(client: &Client, key: &str, query: &str) -> anyhow::Result<Response> {
     let request = format!("request-of-{key}");
-    let headers =
-        [(answer::SERVICE, "ledger"), (answer::KEY, key), (answer::REQUEST, request.as_str())];
+    let headers = [
+        (response::SERVICE, "ledger"),
+        (response::IDEMPOTENCY_KEY, key),
+        (response::REQUEST, request.as_str()),
+    ];
     client.call(Method::POST, &format!("/transfer?{query}"), &headers, Vec::new()).await
 }
 
@@ -48,50 +53,50 @@
     upstream.record()
 }
 
-fn assert_not_run(answer: &Answer) {
-    assert_eq!(answer.status, 503);
-    assert_eq!(answer.header(answer::NOT_RUN), Some("true"));
-    assert!(answer.header("retry-after").is_some());
+fn assert_not_run(response: &Response) {
+    assert_eq!(response.status, 503);
+    assert_eq!(response.header(response::NOT_RUN), Some("true"));
+    assert!(response.header("retry-after").is_some());
 }
 
 #[tokio::test]
 async fn responses_are_complete_and_name_their_upstream() {
     let (_upstream, client, _) = start(settings()).await;
     let page = client.get("/screen?echo=t1&size=1000").await.unwrap();
-    let head = answer::read(&page.body).unwrap();
+    let head = response::read(&page.body).unwrap();
     assert_eq!((head.upstream.as_str(), head.pool.as_str()), ("ledger-1", "ledger"));
     assert_eq!((head.path.as_str(), head.echo.as_str()), ("/screen", "t1"));
     assert!(page.body.len() > 1000);
 
     let done = transfer(&client, "k1", "echo=t2").await.unwrap();
-    let head = answer::read(&done.body).unwrap();
+    let head = response::read(&done.body).unwrap();
     assert_eq!((head.key.as_str(), head.service.as_str()), ("k1", "ledger"));
     assert_eq!(head.request, "request-of-k1");
-    assert_eq!(done.header(answer::REQUEST), Some("request-of-k1"));
+    assert_eq!(done.header(response::REQUEST), Some("request-of-k1"));
 
     let sent = vec![7; 300_000];
-    let digest = answer::hex_digest(&sent);
+    let digest = response::hex_digest(&sent);
     let stored = client.call(Method::PUT, "/upload?echo=t3", &[], sent).await.unwrap();
-    let head = answer::read(&stored.body).unwrap();
+    let head = response::read(&stored.body).unwrap();
     assert_eq!((head.size, head.digest), (300_000, digest));
 
     let paid = client.call(Method::POST, "/transfer?echo=t4", &[], b"amount=5".to_vec()).await;
-    let head = answer::read(&paid.unwrap().body).unwrap();
-    assert_eq!((head.size, head.digest), (8, answer::hex_digest(b"amount=5")));
+    let head = response::read(&paid.unwrap().body).unwrap();
+    assert_eq!((head.size, head.digest), (8, response::hex_digest(b"amount=5")));
 }
 
 #[test]
 fn truncated_and_modified_responses_are_detected() {
-    let head = answer::Head { echo: "t".to_owned(), ..answer::Head::default() };
-    let text = answer::write(&head, 20).into_bytes();
-    assert_eq!(answer::read(&text), Ok(head));
+    let head = ResponseHead { echo: "t".to_owned(), ..ResponseHead::default() };
+    let text = response::write(&head, 20).into_bytes();
+    assert_eq!(response::read(&text), Ok(head));
     for end in 0..text.len() {
-        assert!(answer::read(&text[..end]).is_err(), "truncated at {end}");
+        assert!(response::read(&text[..end]).is_err(), "truncated at {end}");
     }
     for at in 0..text.len() {
         let mut changed = text.clone();
         changed[at] ^= 1;
-        assert!(answer::read(&changed).is_err(), "changed at {at}");
+        assert!(response::read(&changed).is_err(), "changed at {at}");
     }
 }
 
@@ -134,11 +139,11 @@
         let client = client.clone();
         async move { transfer(&client, &format!("over{i}"), "work_ms=1").await.unwrap() }
     }));
-    for answer in rejected.await {
-        assert_not_run(&answer);
+    for response in rejected.await {
+        assert_not_run(&response);
     }
-    for answer in join_all(held).await {
-        assert_eq!(answer.unwrap().unwrap().status, 200);
+    for response in join_all(held).await {
+        assert_eq!(response.unwrap().unwrap().status, 200);
     }
     let record = upstream.record();
     let once = Runs { started: 1, finished: 1 };
@@ -173,11 +178,11 @@
 #[tokio::test]
 async fn a_deadline_stops_work_and_a_closed_connection_cancels_it() {
     let (upstream, client, _) = start(Settings { slots: 1, ..settings() }).await;
-    let headers = [(answer::DEADLINE, "60"), (answer::KEY, "late")];
+    let headers = [(response::DEADLINE, "60"), (response::IDEMPOTENCY_KEY, "late")];
     let path = "/transfer?work_ms=60000";
     let late = client.call(Method::POST, path, &headers, Vec::new()).await.unwrap();
     assert_eq!(late.status, 504);
-    assert_eq!(late.header(answer::NOT_RUN), None);
+    assert_eq!(late.header(response::NOT_RUN), None);
 
     let held = tokio::spawn({
         let client = client.clone();
@@ -191,7 +196,7 @@
     assert_eq!(record.keys["late"], Runs { started: 1, finished: 0 });
     assert_eq!(record.keys["held"], Runs { started: 1, finished: 0 });
     assert_eq!((record.expired, record.refused["deadline"]), (1, 1));
-    let invalid = [(answer::DEADLINE, "soon")];
+    let invalid = [(response::DEADLINE, "soon")];
     let invalid = client.call(Method::POST, path, &invalid, Vec::new()).await.unwrap();
     assert_eq!(invalid.status, 400);
 }
@@ -278,10 +283,14 @@
     let entries = read_journal(&path).unwrap();
     fs::remove_file(&path).unwrap();
     held.abort();
-    let summary = |it: &Entry| (it.event, it.key.clone(), it.request.clone());
+    let summary = |it: &JournalEntry| (it.event, it.key.clone(), it.request.clone());
     let events: Vec<_> = entries.iter().map(summary).collect();
     let line = |event, key: &str| (event, key.to_owned(), format!("request-of-{key}"));
-    let expected = [line(Event::Start, "k"), line(Event::Finish, "k"), line(Event::Start, "held")];
+    let expected = [
+        line(JournalEvent::Start, "k"),
+        line(JournalEvent::Finish, "k"),
+        line(JournalEvent::Start, "held"),
+    ];
     assert_eq!(events, expected);
     assert_eq!((entries[0].echo.as_str(), entries[0].service.as_str()), ("t", "ledger"));
 }
