--- a/crates/standin/src/caller/load.rs
+++ b/crates/standin/src/caller/load.rs
@@ -200,15 +200,16 @@
         let period = period(self.load.held_flows, self.load.requests_per_s);
         for _ in 0..self.load.held_flows {
             let session = self.session(&mut rng);
-            let first = period.mul_f64(rng.random_range(0.0..1.0)).min(Duration::from_secs(2));
-            tasks.spawn(self.clone().run_held_flow(session, first, period));
+            let first_delay =
+                period.mul_f64(rng.random_range(0.0..1.0)).min(Duration::from_secs(2));
+            tasks.spawn(self.clone().run_held_flow(session, first_delay, period));
         }
         while tasks.join_next().await.is_some() {}
     }
 
     /// Holds one flow open and sends a request once per period.
-    async fn run_held_flow(self, mut session: Session, first: Duration, period: Duration) {
-        self.wait(&mut session, first).await;
+    async fn run_held_flow(self, mut session: Session, first_delay: Duration, period: Duration) {
+        self.wait(&mut session, first_delay).await;
         while !self.is_over() {
             let kind = self.load.mix.pick(session.rng());
             self.send_next(&mut session, kind).await;
--- a/crates/standin/src/caller/stats.rs
+++ b/crates/standin/src/caller/stats.rs
@@ -333,8 +333,8 @@
     fn record_latency(&mut self, request: &CallerRequest, latency: Duration) {
         let histogram = self.latency.entry(request.kind).or_insert_with(histogram);
         let Some(histogram) = histogram else { return };
-        let own = latency.saturating_sub(request.expected_duration);
-        histogram.saturating_record(own.as_micros() as u64);
+        let overhead = latency.saturating_sub(request.expected_duration);
+        histogram.saturating_record(overhead.as_micros() as u64);
     }
 
     fn push_incident(&mut self, incident: Incident) {
--- a/crates/standin/src/capacity/fleet.rs
+++ b/crates/standin/src/capacity/fleet.rs
@@ -259,8 +259,8 @@
     }
 
     /// Updates the connection limit of a service; returns the new version of the object.
-    pub async fn update_service(&self, number: usize, connections: u32) -> anyhow::Result<u64> {
-        let target = &self.services[number % self.services.len()];
+    pub async fn update_service(&self, index: usize, connections: u32) -> anyhow::Result<u64> {
+        let target = &self.services[index % self.services.len()];
         let mut spec = service_spec(target);
         spec["connections"] = json!(connections);
         Ok(self.objects.put(Kind::Service, &target.name, &spec).await?.version)
@@ -323,8 +323,8 @@
         Ok(Daemon { name, host, operator, launch, process })
     }
 
-    fn common_args(&self, name: &str, number: usize, host: IpAddr) -> Vec<String> {
-        let zone = number % self.zones;
+    fn common_args(&self, name: &str, index: usize, host: IpAddr) -> Vec<String> {
+        let zone = index % self.zones;
         let mut args = Vec::new();
         for (flag, value) in [
             ("--name", name.to_owned()),
@@ -402,14 +402,14 @@
 
     /// Samples all daemons. The metrics are read before the CPU time at the start of a window, and after it at the end,
     /// so that the window excludes the cost of reading them.
-    async fn sample(&self, start: bool) -> anyhow::Result<FleetSample> {
+    async fn sample(&self, at_start: bool) -> anyhow::Result<FleetSample> {
         let mut usage = Vec::new();
-        if !start {
+        if !at_start {
             usage = self.usages()?;
         }
         let control = join_all(self.daemons().map(|it| self.control_traffic(it.operator))).await;
         let counts = self.counts().await?;
-        if start {
+        if at_start {
             usage = self.usages()?;
         }
         let mut samples = Vec::new();
@@ -546,10 +546,10 @@
     /// Returns the balancers that hold the first lease of their zone, with the zone number.
     pub async fn seeds(&self) -> anyhow::Result<Vec<(usize, &Daemon)>> {
         let mut seeds = Vec::new();
-        for (number, it) in self.balancers.iter().enumerate() {
+        for (index, it) in self.balancers.iter().enumerate() {
             let status = self.status(it.operator).await?;
             if status.pointer(LEASE_POINTER).and_then(Value::as_u64) == Some(0) {
-                seeds.push((number % self.zones, it));
+                seeds.push((index % self.zones, it));
             }
         }
         Ok(seeds)
@@ -585,19 +585,19 @@
     }
 
     /// Kills agents in parallel, by index; an error if one is not running.
-    pub async fn kill_agents(&mut self, numbers: &[usize]) -> anyhow::Result<()> {
+    pub async fn kill_agents(&mut self, indices: &[usize]) -> anyhow::Result<()> {
         let mut kills = Vec::new();
-        for &number in numbers {
-            let process = self.agents[number].process.take();
+        for &index in indices {
+            let process = self.agents[index].process.take();
             kills.push(process.context("failed to kill an agent: not running")?.kill());
         }
         join_all(kills).await.into_iter().collect()
     }
 
     /// Restarts killed agents, by index.
-    pub fn restart_agents(&mut self, numbers: &[usize]) -> anyhow::Result<()> {
-        for &number in numbers {
-            let daemon = &mut self.agents[number];
+    pub fn restart_agents(&mut self, indices: &[usize]) -> anyhow::Result<()> {
+        for &index in indices {
+            let daemon = &mut self.agents[index];
             daemon.process = Some(Process::start(&daemon.launch, &self.log_dir)?);
         }
         Ok(())
--- a/crates/standin/src/platform/api.rs
+++ b/crates/standin/src/platform/api.rs
@@ -233,11 +233,11 @@
 
     async fn handle_call(&self, call: Call, body: Incoming) -> HandlerResult {
         self.counts.lock().count_call(call.method(), call.kind());
-        if let Some(response) = self.outage().await? {
+        if let Some(response) = self.outage_response().await? {
             return Ok(response);
         }
         if !self.acquire_token(&call) {
-            return Ok(rate_limited());
+            return Ok(rate_limited_response());
         }
         let body = match &call {
             Call::Put { .. } => match server::read_json::<Write>(body, MAX_PUT_BODY_BYTES).await {
@@ -247,7 +247,7 @@
             _ => None,
         };
         sleep(self.random_delay()).await;
-        if let Some(response) = self.outage().await? {
+        if let Some(response) = self.outage_response().await? {
             return Ok(response);
         }
         let response = self.execute(call, body).await?;
@@ -257,7 +257,7 @@
     }
 
     /// Response of a call during an outage; `None` if there is no outage.
-    async fn outage(&self) -> Result<Option<Response<Body>>, Dropped> {
+    async fn outage_response(&self) -> Result<Option<Response<Body>>, Dropped> {
         let outage = self.faults.borrow().outage;
         let Some(outage) = outage else { return Ok(None) };
         self.counts.lock().outage += 1;
@@ -343,7 +343,7 @@
                 *it = revision.max(*it);
                 newer
             });
-            if self.loses_response() {
+            if self.should_drop_response() {
                 self.counts.lock().lost += 1;
                 return Err(Dropped);
             }
@@ -351,7 +351,7 @@
         Ok(self.response(result))
     }
 
-    fn loses_response(&self) -> bool {
+    fn should_drop_response(&self) -> bool {
         let next = self.faults.send_if_modified(|it| {
             let next = it.lose_next > 0;
             it.lose_next = it.lose_next.saturating_sub(1);
@@ -396,7 +396,7 @@
         let mut faults = self.faults.subscribe();
         loop {
             revision.borrow_and_update();
-            let (found, now) = {
+            let (found, current_revision) = {
                 let store = self.store.lock();
                 if store.era() != era {
                     // A restore closes all connections.
@@ -409,25 +409,25 @@
                 Err(error) => return Ok(self.response(Err(error))),
             };
             if !events.is_empty() {
-                return Ok(self.watch_response(now, since, kinds, events));
+                return Ok(self.watch_response(current_revision, since, kinds, events));
             }
-            let event = async {
+            let wakeup = async {
                 tokio::select! {
                     _ = revision.changed() => {}
                     _ = faults.wait_for(|it| it.outage.is_some()) => {}
                 }
             };
-            let ended = timeout_at(end, event).await.is_err();
-            if let Some(response) = self.outage().await? {
+            let timed_out = timeout_at(end, wakeup).await.is_err();
+            if let Some(response) = self.outage_response().await? {
                 return Ok(response);
             }
-            if ended && close_early {
+            if timed_out && close_early {
                 self.counts.lock().closed += 1;
                 return Err(Dropped);
             }
-            if ended {
-                let now = self.store.lock().revision();
-                return Ok(self.watch_response(now, since, kinds, Vec::new()));
+            if timed_out {
+                let current_revision = self.store.lock().revision();
+                return Ok(self.watch_response(current_revision, since, kinds, Vec::new()));
             }
         }
     }
@@ -466,7 +466,7 @@
     }
 }
 
-fn rate_limited() -> Response<Body> {
+fn rate_limited_response() -> Response<Body> {
     let mut response =
         HttpError::new(StatusCode::TOO_MANY_REQUESTS, "too many calls").to_response();
     response.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from_static("1"));
--- a/crates/standin/src/site/faults/inject.rs
+++ b/crates/standin/src/site/faults/inject.rs
@@ -209,9 +209,9 @@
         }
         let since = self.shared.stats.now();
         time::sleep(DRAIN_GRACE).await;
-        let before = self.started(&vms).await?;
+        let before = self.started_requests(&vms).await?;
         time::sleep(duration).await;
-        let after = self.started(&vms).await?;
+        let after = self.started_requests(&vms).await?;
         self.check_no_late_starts(since, &before, &after);
         for name in &names {
             self.delete_change(name).await?;
@@ -253,7 +253,7 @@
         })
     }
 
-    async fn started(&self, vms: &[UpstreamVm]) -> anyhow::Result<BTreeMap<String, u64>> {
+    async fn started_requests(&self, vms: &[UpstreamVm]) -> anyhow::Result<BTreeMap<String, u64>> {
         let mut started = BTreeMap::new();
         for vm in vms {
             let record = self.shared.record(&vm.upstream).await?;
--- a/crates/standin/src/site/launch.rs
+++ b/crates/standin/src/site/launch.rs
@@ -85,7 +85,7 @@
     /// The platform process.
     pub fn platform(&self) -> Instance {
         let args = vec!["platform".to_owned(), "--listen".to_owned(), self.platform.to_string()];
-        self.standin(PLATFORM, Role::Platform, self.platform, args)
+        self.emulator(PLATFORM, Role::Platform, self.platform, args)
     }
 
     /// The fabric process, with routes to these balancers.
@@ -104,7 +104,7 @@
             args.push("--route".to_owned());
             args.push(format!("{service}={}", list.join(",")));
         }
-        self.standin(FABRIC, Role::Fabric, self.fabric, args)
+        self.emulator(FABRIC, Role::Fabric, self.fabric, args)
     }
 
     /// Routes of each service's packets to these balancers.
@@ -273,7 +273,7 @@
         ])
     }
 
-    fn standin(&self, name: &str, role: Role, address: SocketAddr, args: Vec<String>) -> Instance {
+    fn emulator(&self, name: &str, role: Role, address: SocketAddr, args: Vec<String>) -> Instance {
         Instance {
             role,
             vm: name.to_owned(),
--- a/crates/standin/src/site/run.rs
+++ b/crates/standin/src/site/run.rs
@@ -110,7 +110,7 @@
 
 /// Runs the deployment until the load ends or `stop` is cancelled.
 pub async fn run(settings: Settings, stop: CancellationToken) -> anyhow::Result<RunResult> {
-    let folder = folder()?;
+    let folder = create_folder()?;
     println!("seed {}, logs and journals in {}", settings.seed, folder.display());
     let site = Site::new(settings, folder.clone())?;
     let result = site.run(stop).await?;
@@ -304,7 +304,7 @@
     ) -> Summary {
         let stats = &self.shared.stats;
         let (total, flows, latency) = (stats.total(), stats.flows(), stats.overall_latency());
-        let span = after.at.duration_since(before.at).as_secs_f64();
+        let elapsed_s = after.at.duration_since(before.at).as_secs_f64();
         let loads = balance::loads(&before.records, &after.records);
         let bytes = metrics::mean_increase(&before.samples, &after.samples, metrics::CONTROL_BYTES);
         let with_faults = self.settings.faults.is_some();
@@ -323,11 +323,13 @@
             invariant_failures: invariant_failures(&after.samples)
                 + invariant_failures(&self.shared.final_metrics.lock()),
             imbalance: round_to_thousandths(balance::imbalance(&loads, &after.records)),
-            new_flows_per_s: round_to_thousandths(flows.flows as f64 / span),
+            new_flows_per_s: round_to_thousandths(flows.flows as f64 / elapsed_s),
             p50_ms: latency.p50_ms,
             p99_ms: latency.p99_ms,
-            platform_calls_per_s: round_to_thousandths((after.calls - before.calls) as f64 / span),
-            control_bytes_per_s: round_to_thousandths(bytes / span),
+            platform_calls_per_s: round_to_thousandths(
+                (after.calls - before.calls) as f64 / elapsed_s,
+            ),
+            control_bytes_per_s: round_to_thousandths(bytes / elapsed_s),
             lost_flows: with_faults.then_some(attribution.lost_flows),
             faults: with_faults.then_some(self.log.injected().len() as u64),
         }
@@ -356,7 +358,7 @@
     Ok(())
 }
 
-fn folder() -> anyhow::Result<PathBuf> {
+fn create_folder() -> anyhow::Result<PathBuf> {
     let name = format!("camphorwinch-site-{:08x}", rand::rng().random::<u32>());
     let folder = env::temp_dir().join(name);
     fs::create_dir(&folder).with_context(|| format!("create the folder {}", folder.display()))?;
--- a/crates/standin/src/upstream/feed.rs
+++ b/crates/standin/src/upstream/feed.rs
@@ -25,15 +25,15 @@
     server::{Body, Dropped, wait_until_true},
 };
 
-/// Ticks sent before a feed that is to be truncated is cut.
-const TRUNCATE_AFTER_TICKS: u64 = 2;
+/// Numbered lines sent before a truncated feed ends.
+const TRUNCATE_AFTER_LINES: u64 = 2;
 const UNLIMITED: Duration = Duration::from_secs(365 * 24 * 3600);
 
 struct Feed {
     echo: String,
     first_line: Option<String>,
     digest: Sha256,
-    tick_count: u64,
+    line_count: u64,
     ticks: Interval,
     end: Instant,
     stop: watch::Receiver<bool>,
@@ -59,7 +59,7 @@
         echo: task.head.echo.clone(),
         first_line: Some(response::first_line(&task.head)),
         digest: Sha256::new(),
-        tick_count: 0,
+        line_count: 0,
         ticks,
         end: task.deadline.map_or(end, |deadline| deadline.min(end)),
         stop: state.stop.subscribe(),
@@ -81,14 +81,14 @@
             self.digest.update(&line);
             return Some(Ok(line));
         }
-        if self.truncate && self.tick_count == TRUNCATE_AFTER_TICKS {
+        if self.truncate && self.line_count == TRUNCATE_AFTER_LINES {
             self.run = None;
             return Some(Err(Dropped));
         }
         tokio::select! {
             _ = self.ticks.tick() => {
-                self.tick_count += 1;
-                let line = response::feed_line(self.tick_count, &self.echo);
+                self.line_count += 1;
+                let line = response::feed_line(self.line_count, &self.echo);
                 self.digest.update(&line);
                 Some(Ok(line))
             }
