--- a/crates/standin/src/upstream/feed.rs
+++ b/crates/standin/src/upstream/feed.rs
@@ -15,25 +15,25 @@
 
 use super::{
     admission::{GaugeGuard, GaugeName},
-    journal::Event,
+    journal::JournalEvent,
     request::Task,
     run::Run,
     state::State,
 };
 use crate::{
-    answer,
-    server::{Body, Dropped, turned_on},
+    response,
+    server::{Body, Dropped, wait_until_true},
 };
 
-/// Ticks sent before a feed that is to be truncated is cut.
-const TRUNCATE_AFTER_TICKS: u64 = 2;
+/// Numbered lines sent before a truncated feed ends.
+const TRUNCATE_AFTER_LINES: u64 = 2;
 const UNLIMITED: Duration = Duration::from_secs(365 * 24 * 3600);
 
 struct Feed {
     echo: String,
     first_line: Option<String>,
     digest: Sha256,
-    tick_count: u64,
+    line_count: u64,
     ticks: Interval,
     end: Instant,
     stop: watch::Receiver<bool>,
@@ -57,9 +57,9 @@
     let end = now + duration.unwrap_or(UNLIMITED);
     let feed = Feed {
         echo: task.head.echo.clone(),
-        first_line: Some(answer::first_line(&task.head)),
+        first_line: Some(response::first_line(&task.head)),
         digest: Sha256::new(),
-        tick_count: 0,
+        line_count: 0,
         ticks,
         end: task.deadline.map_or(end, |deadline| deadline.min(end)),
         stop: state.stop.subscribe(),
@@ -81,25 +81,25 @@
             self.digest.update(&line);
             return Some(Ok(line));
         }
-        if self.truncate && self.tick_count == TRUNCATE_AFTER_TICKS {
+        if self.truncate && self.line_count == TRUNCATE_AFTER_LINES {
             self.run = None;
             return Some(Err(Dropped));
         }
         tokio::select! {
             _ = self.ticks.tick() => {
-                self.tick_count += 1;
-                let line = answer::tick_line(self.tick_count, &self.echo);
+                self.line_count += 1;
+                let line = response::feed_line(self.line_count, &self.echo);
                 self.digest.update(&line);
                 Some(Ok(line))
             }
             _ = sleep_until(self.end) => self.last_line(),
-            () = turned_on(&mut self.stop) => self.last_line(),
+            () = wait_until_true(&mut self.stop) => self.last_line(),
         }
     }
 
     fn last_line(&mut self) -> Option<Result<String, Dropped>> {
-        self.run.take()?.end(Event::Finish);
+        self.run.take()?.end(JournalEvent::Finish);
         let digest = std::mem::take(&mut self.digest);
-        Some(Ok(answer::sum_text(&answer::to_hex(&digest.finalize()))))
+        Some(Ok(response::digest_line_from_hex(&response::to_hex(&digest.finalize()))))
     }
 }
