--- a/crates/standin/src/capacity/fit.rs
+++ b/crates/standin/src/capacity/fit.rs
@@ -43,13 +43,17 @@
     /// Growth of `y` per unit of `x`.
     pub slope: Estimate,
     /// Value at `x` = 0.
+    #[serde(rename = "base")]
     pub intercept: Estimate,
     /// Coefficient of determination (R²).
     pub r2: f64,
     /// Number of points.
     pub count: usize,
+    #[serde(rename = "mean")]
     x_mean: f64,
+    #[serde(rename = "spread")]
     x_ss: f64,
+    #[serde(rename = "residual")]
     residual_sd: f64,
 }
 
