--- a/crates/core/src/opaque/agent/requests.rs
+++ b/crates/core/src/opaque/agent/requests.rs
@@ -12,9 +12,9 @@
 
 /// Age of a caller's opening attempt at its first packet and at each retransmission.
 const RETRANSMIT_AGES_MS: [u64; 3] = [0, 200, 600];
-/// A request within this time of the opening packet was pending when the flow was opened. Allows for a round trip to
-/// the caller and one lost packet; requests on preconnected flows come later.
-const FIRST_REQUEST_MS: u64 = 300;
+/// Time after the opening packet within which a flow's first request counts as issued at the start of the opening
+/// attempt. Allows for a round trip to the caller and one lost packet; requests on preconnected flows come later.
+const FIRST_REQUEST_WINDOW_MS: u64 = 300;
 /// Time after which an unanswered request no longer occupies a slot, if the service's timeout is not known.
 const DEFAULT_TIMEOUT_MS: u64 = 5_000;
 
@@ -69,7 +69,7 @@
             Request::None if new && flow.counted => self.begin_request(head, bytes, now_ms, out),
             Request::Waiting { .. } => self.deliver_to_waiting(head, bytes, new, out),
             Request::Running { .. } if new => {
-                // A request of several packets: the agent can't see when it is complete and occupies a slot.
+                // The agent can't see when a request of several packets is complete and starts to occupy a slot.
                 flow.request = Request::Uncounted;
                 self.admission.end();
                 out.push(Effect::Deliver);
@@ -110,7 +110,7 @@
         out.push(Effect::Deliver);
     }
 
-    /// Processes a packet of a flow whose request waits: buffers what belongs to the request.
+    /// Processes a packet of a flow whose request waits: buffers it if it belongs to the request.
     fn deliver_to_waiting(
         &mut self,
         head: &PacketHeader,
@@ -127,8 +127,8 @@
         if !new && head.len == 0 && head.kind == PacketKind::Data {
             return out.push(Effect::Deliver);
         }
-        let keeps = new || head.kind == PacketKind::Finish;
-        if keeps && !self.buffer.push(head.key, bytes, u64::MAX) {
+        let belongs_to_request = new || head.kind == PacketKind::Finish;
+        if belongs_to_request && !self.buffer.push(head.key, bytes, u64::MAX) {
             note_drop(head.key, DropReason::BufferFull, out);
         }
     }
@@ -203,7 +203,7 @@
         note(key, Decision::Admitted { waited_ms, reason, waiting }, out);
     }
 
-    /// Cancels the requests on flows opened at `until_ms` or before, whose upstream has ended.
+    /// Cancels the requests on flows opened at `until_ms` or before: the upstream that held them has ended.
     pub(super) fn cancel_requests(&mut self, until_ms: u64, now_ms: u64) {
         let due = self.flows.iter().filter(|(_, it)| it.since_ms <= until_ms);
         let due: Vec<_> = due.map(|(&key, _)| key).collect();
@@ -231,7 +231,8 @@
 impl Flow {
     /// Time at which the caller issued the request that begins now: the start of its opening attempt, if recent.
     fn issued_ms(&self, now_ms: u64) -> u64 {
-        let opening = self.requests <= 1 && now_ms.saturating_sub(self.since_ms) < FIRST_REQUEST_MS;
+        let opening =
+            self.requests <= 1 && now_ms.saturating_sub(self.since_ms) < FIRST_REQUEST_WINDOW_MS;
         if opening { self.since_ms.saturating_sub(self.opening_age_ms) } else { now_ms }
     }
 }
--- a/crates/core/src/opaque/balancer/search.rs
+++ b/crates/core/src/opaque/balancer/search.rs
@@ -16,16 +16,17 @@
     Balancer, Flow,
 };
 
-/// Agents that are sent the packet at first, in the order of placement. All others get batched queries: when many
-/// upstreams fail together, copies of packets to whole pools would fill slow links.
+/// Agents that are sent the packet itself: the first ones in the order of placement. All others get batched queries, as
+/// copies of packets to whole pools would fill slow links when many upstreams fail together.
 const INITIAL_QUERY_COUNT: usize = 4;
 /// Flows in one query; their keys fill two thirds of a packet.
 const MAX_KEYS_PER_QUERY: usize = 64;
-/// Agents to which one of them forwards a packet; their addresses and the packet fit into an Ethernet frame.
+/// Receivers of one fan-out, including the agent that forwards the packet to the others; their addresses and the packet
+/// fit into an Ethernet frame.
 const MAX_AGENTS_PER_FAN_OUT: usize = 28;
 /// Time until the remaining agents are queried: several round trips to the farthest agent.
 const INITIAL_QUERY_TIMEOUT_MS: u64 = 20;
-/// Duration of a search.
+/// Maximum duration of a search.
 pub(super) const SEARCH_TIMEOUT_MS: u64 = 120;
 /// Delay after the first failed search, shorter than the caller's retransmission interval of 200 ms. It doubles with
 /// each further failure.
@@ -39,11 +40,11 @@
 #[derive(Clone, Debug)]
 pub(super) struct Search {
     started_ms: u64,
-    /// Agents that were queried and have not answered.
+    /// Agents that were queried and have not reported the flow as here or absent.
     pending: Vec<SocketAddrV4>,
-    /// Agents that are queried only if none of the first ones holds the flow.
+    /// Agents that are queried once the first ones have reported the flow as absent, or have not answered in time.
     remaining: Vec<SocketAddrV4>,
-    /// Agents that only their upstream can answer for, by a packet of the flow.
+    /// Pending agents that reported the status as unknown and have not been probed with a packet yet.
     unknown: Vec<SocketAddrV4>,
     /// Agents that do not hold the flow.
     absent: Vec<SocketAddrV4>,
@@ -56,7 +57,7 @@
         Search { started_ms: now_ms, pending, remaining, unknown, absent, queried_count: 0 }
     }
 
-    /// Whether all agents were queried and only those with status unknown are pending.
+    /// Whether all agents were queried and the pending ones all reported the status as unknown.
     fn only_unknown_pending(&self) -> bool {
         !self.unknown.is_empty()
             && self.remaining.is_empty()
@@ -193,8 +194,8 @@
         }
     }
 
-    /// Sends a packet of the flow to the upstreams of agents with status unknown. After a power loss these are all, and
-    /// a copy for each would fill the balancer's link, so one agent forwards the packet to others of its pool.
+    /// Sends a packet of the flow to agents with status unknown. After a power loss, this may be every agent, and a
+    /// copy for each would fill the balancer's link, so one agent forwards the packet to others of its pool.
     fn probe_unknown(&mut self, key: FlowKey, out: &mut Vec<Effect>) {
         let search = self.flows.get_mut(&key).and_then(|it| it.search.as_mut());
         let Some(search) = search.filter(|it| !it.unknown.is_empty()) else {
@@ -360,7 +361,8 @@
     }
 
     /// Whether each agent that could hold the flow either answered that it does not or has been gone for too long for
-    /// the flow to be of use to its caller. Agents first seen after the search began have not been queried.
+    /// the flow to be of use to its caller. Agents first seen after the search began were not queried, so with them the
+    /// result is not certain.
     fn is_certainly_absent(&self, key: &FlowKey, now_ms: u64) -> bool {
         let Some(search) = self.flows.get(key).and_then(|it| it.search.as_ref()) else {
             return false;
--- a/crates/core/src/opaque/candidate_list.rs
+++ b/crates/core/src/opaque/candidate_list.rs
@@ -12,7 +12,7 @@
 
 use super::route::Objective;
 
-/// Most candidates of an opening packet; with 8 the packet fits in an Ethernet frame.
+/// Maximum number of candidates of an opening packet; with 8 the packet fits in an Ethernet frame.
 pub const MAX_CANDIDATES: usize = 8;
 /// Load of a candidate that must not get the flow.
 pub const LOAD_CLOSED: u16 = u16::MAX;
@@ -170,15 +170,15 @@
     }
 }
 
-/// The candidates with their recorded loads; `-` is one that is closed or was not visited.
+/// The candidates with their recorded loads: `-` if closed or not visited, `unsure` for [`LOAD_UNKNOWN`].
 impl fmt::Display for CandidateList {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, candidate) in self.candidates().iter().enumerate() {
-            let gap = if at == 0 { "" } else { " " };
+        for (index, candidate) in self.candidates().iter().enumerate() {
+            let separator = if index == 0 { "" } else { " " };
             match candidate.load {
-                LOAD_CLOSED => write!(f, "{gap}{}=-", candidate.agent)?,
-                LOAD_UNKNOWN => write!(f, "{gap}{}=unsure", candidate.agent)?,
-                load => write!(f, "{gap}{}={load}", candidate.agent)?,
+                LOAD_CLOSED => write!(f, "{separator}{}=-", candidate.agent)?,
+                LOAD_UNKNOWN => write!(f, "{separator}{}=unsure", candidate.agent)?,
+                load => write!(f, "{separator}{}={load}", candidate.agent)?,
             }
         }
         Ok(())
--- a/crates/core/src/opaque/effect.rs
+++ b/crates/core/src/opaque/effect.rs
@@ -183,7 +183,8 @@
         /// Duration of the search, in milliseconds.
         after_ms: u64,
     },
-    /// A search failed. Buffered packets are dropped; the caller's next packet starts a new search.
+    /// A search found no agent. The flow is reset if it certainly has none; otherwise the search is retried while the
+    /// caller is active.
     NotFound {
         /// Agents that reported the flow as absent.
         absent: usize,
--- a/crates/core/src/opaque/fleet.rs
+++ b/crates/core/src/opaque/fleet.rs
@@ -18,11 +18,11 @@
 pub const REPORT_INTERVAL_MS: u32 = 1_000;
 /// Report intervals after which a silent agent gets no new flows; one report may be lost.
 const MAX_MISSED_REPORTS: u64 = 2;
-/// Allowance for late reports, in addition.
+/// Allowance for late reports, added to these intervals.
 const REPORT_GRACE_MS: u64 = 600;
 /// Silence after which an agent counts as gone: longer than most request timeouts and than a restart after a crash.
 const GONE_AFTER_MS: u64 = 4_500;
-/// The same for an agent that announced a restart, which may take long on a slow VM.
+/// Silence after which an agent that announced a restart counts as gone; a restart may take long on a slow VM.
 const RESTART_GONE_AFTER_MS: u64 = 10_000;
 /// Silence after which an agent is sent a hello, so that one that has restarted receives this balancer's address.
 const HELLO_AFTER_MS: u64 = 1_500;
@@ -221,12 +221,12 @@
 
     /// All known agents, as sent to peers.
     pub fn members(&self) -> Vec<MemberEntry> {
-        let listed = |(address, it): (SocketAddrV4, &AgentEntry)| MemberEntry {
+        let to_member = |(address, it): (SocketAddrV4, &AgentEntry)| MemberEntry {
             address,
             pool: self.agents.pool_of(address),
             zone: it.zone,
         };
-        self.agents.iter().map(listed).collect()
+        self.agents.iter().map(to_member).collect()
     }
 
     /// Applies an agent's report.
@@ -262,7 +262,7 @@
         change
     }
 
-    /// Sets the pool that an agent claims and discards its last report, which concerned another agent at this
+    /// Sets the pool that an agent gave as its own and discards the last report, which came from another agent at this
     /// address.
     pub fn correct_pool(&mut self, agent: SocketAddrV4, pool: PoolId) {
         if self.agents.pool_of(agent) == Some(pool) {
@@ -325,7 +325,7 @@
         self.agents.iter().filter(|(_, it)| stable(it)).map(|(agent, _)| agent).collect()
     }
 
-    /// The same agents, as far as the store does not list them.
+    /// Agents of [`Fleet::stable_agents`] that the store does not list.
     pub fn unlisted_agents(&self, now_ms: u64) -> Vec<SocketAddrV4> {
         let agents = self.stable_agents(now_ms).into_iter();
         agents.filter(|&it| self.agents.get(it).is_some_and(|it| !it.listed)).collect()
@@ -339,7 +339,7 @@
         gone.map(|(agent, _)| agent).collect()
     }
 
-    /// Whether each agent of the allowed pools either reports or is gone, so that none is in doubt.
+    /// Whether each agent of the allowed pools either reports or is gone. Others may still hold flows.
     pub fn is_complete<P>(&self, allows: P, now_ms: u64) -> bool
     where
         P: Fn(PoolId) -> bool,
--- a/crates/core/src/opaque/upstream_tracker.rs
+++ b/crates/core/src/opaque/upstream_tracker.rs
@@ -7,10 +7,10 @@
 
 use super::fleet::UpstreamState;
 
-/// Heartbeat intervals without one after which a ready upstream's state is unknown.
+/// Heartbeat intervals without a heartbeat after which a ready upstream's state is unknown.
 const MAX_MISSED_HEARTBEATS: u64 = 3;
-/// Heartbeat intervals without one after which an ambiguous instance may replace the current one; one heartbeat may
-/// be lost.
+/// Heartbeat intervals without a heartbeat of the current instance after which an ambiguous instance may replace it;
+/// one heartbeat may be lost.
 const REPLACE_AFTER_MISSED_HEARTBEATS: u64 = 2;
 /// Former instances remembered, so that their delayed heartbeats are recognized.
 const MAX_FORMER_INSTANCES: usize = 16;
@@ -42,11 +42,11 @@
 /// Which instance a heartbeat is attributed to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HeartbeatSource {
-    /// The current one, or the first one seen since the agent started.
+    /// The current instance, or the first one seen since the agent started.
     Current,
-    /// The first one, by its first heartbeat, so that the agent has seen it from its start.
+    /// The first instance seen, in its first heartbeat, so that the agent has seen it from its start.
     New,
-    /// A new one that replaces the current one.
+    /// A new instance that replaces the current one.
     Replacement {
         /// Events up to this time belong to the former instance.
         until_ms: u64,
@@ -63,11 +63,11 @@
 enum Relation {
     /// Same instance.
     Same,
-    /// Later start time, or a new id where start times are missing.
+    /// Later or first reported start time, or a new id with the same or no start time.
     Newer,
-    /// Same id, lower sequence number and no start times: most likely a delayed heartbeat.
+    /// Same id, no higher sequence number and no start times: most likely a delayed heartbeat.
     Older,
-    /// Earlier start time, or a clock that jumped back.
+    /// Earlier start time: a former instance, or a new one whose clock jumped back.
     Ambiguous,
     /// No start time, though the current instance reports one.
     MissingStartTime,
@@ -190,9 +190,9 @@
         }
     }
 
-    /// The latest time at which the sender can have started, given that successive heartbeats are at most one
+    /// The earliest time at which the sender can have started, given that successive heartbeats are at most one
     /// interval apart.
-    fn latest_start_ms(&self, beat: &Heartbeat, now_ms: u64) -> u64 {
+    fn earliest_start_ms(&self, beat: &Heartbeat, now_ms: u64) -> u64 {
         match beat.seq {
             0 | 1 => now_ms,
             seq => now_ms
@@ -202,7 +202,7 @@
 
     fn replace_current(&mut self, beat: &Heartbeat, now_ms: u64) -> HeartbeatSource {
         self.pending = None;
-        let start_ms = self.latest_start_ms(beat, now_ms);
+        let start_ms = self.earliest_start_ms(beat, now_ms);
         let Some(former) = self.current.replace(Current::new(beat, now_ms)) else {
             return HeartbeatSource::Current;
         };
@@ -233,8 +233,9 @@
         continues && (silent || ended)
     }
 
-    /// Handles the announcement of an upstream that it ends; true if that is the current one. One without a start
-    /// time counts only if the current instance was draining, as it can't come from a former one then.
+    /// Handles the announcement of an upstream that it ends; true if it is the current instance. An announcement
+    /// without a start time is accepted only while the current instance is draining, as it can't come from a former
+    /// instance then.
     pub(super) fn deregister(&mut self, instance: &UpstreamInstance) -> bool {
         let Some(current) = self.current.as_mut().filter(|it| it.instance.id == instance.id) else {
             return false;
--- a/crates/opaque/src/balancer/maintenance.rs
+++ b/crates/opaque/src/balancer/maintenance.rs
@@ -1,4 +1,5 @@
-//! Periodic tasks of a balancer: hellos, copies on agents, watch roles, and the withdrawal of agents that are gone.
+//! Periodic tasks of a balancer: hellos, configuration copies on agents, watch roles, and the withdrawal of agents that
+//! are gone.
 
 use std::net::SocketAddrV4;
 
@@ -11,7 +12,8 @@
 /// Interval between hellos to a random balancer, which spread a new configuration to the whole fleet within
 /// seconds.
 const GOSSIP_INTERVAL_MS: u64 = 400;
-/// Delay before a balancer sends its hello to all others again, in case one in the distribution tree did not forward.
+/// Delay before a balancer sends its hello to all others again, in case one in the distribution tree did not forward
+/// the first.
 pub(super) const HELLO_RESEND_DELAY_MS: u64 = 600;
 /// Interval between checks for agents to withdraw.
 const WITHDRAW_CHECK_INTERVAL_MS: u64 = 1_500;
@@ -20,7 +22,8 @@
 where
     C: Codec,
 {
-    /// Withdraws agents that left or are gone for long, as far as this balancer is responsible for them.
+    /// Withdraws the store entries of agents that left or have been gone for long, as far as this balancer is
+    /// responsible for them.
     pub(super) fn withdraw_gone_agents(&mut self, now: u64) {
         if now.saturating_sub(self.withdraw_check_ms) < WITHDRAW_CHECK_INTERVAL_MS
             || !self.ready.get()
@@ -71,7 +74,8 @@
         self.send_hello_to_replica(now);
     }
 
-    /// Sends a hello to a random agent that keeps a copy, so that it stays current, if this balancer watches the store.
+    /// Sends a hello to a random agent that keeps a copy of the configuration, so that the copy stays current. Done
+    /// only by balancers that watch the store.
     fn send_hello_to_replica(&mut self, now: u64) {
         if *self.routes_role_sender.borrow() != WatchRole::Watch
             || self.state.routes().config_version().is_none()
@@ -85,7 +89,7 @@
         }
     }
 
-    /// Sends a hello to all agents that keep copies.
+    /// Sends a hello to all agents that keep a copy of the configuration.
     pub(super) fn send_hello_to_replicas(&mut self, now: u64) {
         for to in self.state.config_replicas(now) {
             let hello = Hello { keep_copy: true, ..self.hello() };
--- a/crates/opaque/src/discovery/join.rs
+++ b/crates/opaque/src/discovery/join.rs
@@ -31,8 +31,8 @@
 const LIST_GAP_PER_MEMBER: Duration = Duration::from_micros(200);
 /// Time without a response from any peer after which the process reads the store itself.
 const NO_RESPONSE_TIMEOUT: Duration = Duration::from_millis(60);
-/// Time without a complete answer, after a peer has responded, before the process reads the store itself.
-const NO_ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time without a usable list, after a peer has responded, before the process reads the store itself.
+const NO_LIST_TIMEOUT: Duration = Duration::from_millis(400);
 /// Total time for requests to peers before the process reads the store itself.
 const PEERS_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// The same at the first start of the system, when the peers are starting too.
@@ -110,7 +110,7 @@
             let begun = Instant::now();
             let attempt = self.lists.begin_attempt();
             let call_timeout = backoff.call_timeout();
-            match self.enter(&mut object, &mut withdrawn, reason, call_timeout).await {
+            match self.register_and_list(&mut object, &mut withdrawn, reason, call_timeout).await {
                 Ok(None) => {
                     backoff.reset();
                     self.relist.notified().await;
@@ -118,7 +118,7 @@
                 Ok(Some(MemberList { members, unlisted })) => {
                     backoff.reset();
                     self.set_state(DiscoveryState::FromStore);
-                    let (at, known) = (members.at, members.records.len());
+                    let (at, member_count) = (members.at, members.records.len());
                     let unlisted =
                         Some(unlisted).filter(|it| !it.is_empty()).map(Update::PeerMembers);
                     let is_older = newest > Some(at);
@@ -133,7 +133,7 @@
                             }
                         }
                     }
-                    reason = self.wait(begun, at, known, &mut resets).await;
+                    reason = self.wait(begun, at, member_count, &mut resets).await;
                     if reason == Reason::Rejoin && self.is_agent() {
                         object = None;
                     }
@@ -171,24 +171,26 @@
         &self,
         begun: Instant,
         at: Revision,
-        known: usize,
+        member_count: usize,
         resets: &mut watch::Receiver<Option<u64>>,
     ) -> Reason {
         tokio::select! {
-            () = sleep(list_interval(known, self.is_agent()).mul_f64(jitter())) => Reason::Interval,
+            () = sleep(list_interval(member_count, self.is_agent()).mul_f64(jitter())) => {
+                Reason::Interval
+            }
             () = self.relist.notified() => Reason::Rejoin,
             () = self.lists.refresh_requested.notified() => {
-                tokio::time::sleep_until(begun + LIST_GAP_PER_MEMBER * known as u32).await;
+                tokio::time::sleep_until(begun + LIST_GAP_PER_MEMBER * member_count as u32).await;
                 Reason::Requested
             }
             () = reset_after(resets, at.era) => {
-                sleep(reset_delay(known).mul_f64(jitter())).await;
+                sleep(reset_delay(member_count).mul_f64(jitter())).await;
                 Reason::Requested
             }
         }
     }
 
-    /// Sends a request to the seeds in the background.
+    /// Requests the full state from the seeds in the background.
     fn request_from_seeds(&self) -> JoinHandle<()> {
         let seeds = self.seeds.borrow().clone();
         let (own, out) = (self.own.address, self.out.clone());
@@ -199,7 +201,7 @@
     ///
     /// A list at least as new as its own object contains each process listed before, so of two that start concurrently
     /// one sees the other.
-    async fn enter(
+    async fn register_and_list(
         &self,
         object: &mut Option<Announced>,
         withdrawn: &mut bool,
@@ -208,7 +210,7 @@
     ) -> Result<Option<MemberList>, StoreError> {
         if !*self.serves.borrow() {
             if !*withdrawn {
-                // An entry of an earlier run, which could not withdraw it while the store was unavailable.
+                // Removes an entry of an earlier run that could not withdraw it while the store was unavailable.
                 count_call(
                     "withdraw",
                     self.store.withdraw(&self.own.name, None, call_timeout).await,
@@ -243,10 +245,10 @@
         let revision = announced.revision.map(|it| it.number);
         tracing::info!(id = id as u16, name = id.name(), revision, created = announced.created);
         let since = announced.revision.map_or(Freshness::Fresh, Freshness::AtLeast);
-        // Balancers listed after this one may not know of its restart, so only a current list shows the agents that
-        // joined meanwhile. Agents are sent a hello by the balancers that list them.
-        let is_back = !announced.created && !self.is_agent();
-        Ok(if is_back { Freshness::Fresh } else { since })
+        // The entry of a restarted balancer may be from an earlier run, so a list that is only as new as the entry may
+        // lack agents that joined since. Agents are sent a hello by the balancers that list them.
+        let is_restarted_balancer = !announced.created && !self.is_agent();
+        Ok(if is_restarted_balancer { Freshness::Fresh } else { since })
     }
 
     /// Returns the members from peers or the store. A seed always reads the store, as its peers request from it.
@@ -282,14 +284,14 @@
         responded: &watch::Sender<bool>,
         call_timeout: Duration,
     ) -> Result<MemberList, StoreError> {
-        let (no_response_timeout, no_answer_timeout) = if self.first_start {
+        let (no_response_timeout, no_list_timeout) = if self.first_start {
             (FIRST_START_PEERS_TIMEOUT, FIRST_START_PEERS_TIMEOUT)
         } else {
-            (NO_RESPONSE_TIMEOUT, NO_ANSWER_TIMEOUT)
+            (NO_RESPONSE_TIMEOUT, NO_LIST_TIMEOUT)
         };
         let mut peers = responded.subscribe();
         if timeout(no_response_timeout, peers.wait_for(|&it| it)).await.is_ok() {
-            sleep(no_answer_timeout).await;
+            sleep(no_list_timeout).await;
         }
         self.read(call_timeout).await
     }
--- a/crates/opaque/src/discovery/topic.rs
+++ b/crates/opaque/src/discovery/topic.rs
@@ -19,8 +19,8 @@
 const WATCH_ZONES_WAIT: Duration = Duration::from_secs(12);
 /// Jitter of the watch duration, as a factor of its mean.
 const WATCH_JITTER: Range<f64> = 0.75..1.25;
-/// Longest wait after a failed zones call. It ends early when a configuration call succeeds, which halves the call
-/// rate during an outage.
+/// Longest wait after a failed zones call. A successful configuration call ends it early. Waiting for that call instead
+/// of retrying halves the call rate during an outage.
 const ZONES_RETRY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Interval between reads of the configuration by a balancer that does not watch, in a fleet of up to
 /// [`BASELINE_READERS`] such balancers. These reads may be stale.
@@ -29,7 +29,7 @@
 /// stays constant.
 const BASELINE_READERS: usize = 51;
 /// Interval between reads of the zones out of service, independent of the fleet's size: each balancer must notice a
-/// change within seconds, even if no other one reaches it.
+/// change within seconds, even if no other balancer can reach it.
 const ZONES_READ_INTERVAL: Duration = Duration::from_secs(4);
 /// Maximum age of a stale answer. No stale reads are made for this time after a store reset.
 const MAX_STALENESS: Duration = Duration::from_secs(10);
@@ -171,7 +171,8 @@
 #[derive(Debug, Default)]
 pub(super) struct Era {
     known: Option<u64>,
-    risen_at: Option<Instant>,
+    /// Time at which a later era last replaced the known one, so a store reset was noticed.
+    reset_seen_at: Option<Instant>,
 }
 
 impl Era {
@@ -185,14 +186,14 @@
             return false;
         }
         if self.known.replace(era).is_some() {
-            self.risen_at = Some(Instant::now());
+            self.reset_seen_at = Some(Instant::now());
         }
         true
     }
 
     /// Freshness required of the next read.
     pub(super) fn freshness(&self) -> Freshness {
-        let settled = self.risen_at.is_none_or(|it| it.elapsed() > MAX_STALENESS);
+        let settled = self.reset_seen_at.is_none_or(|it| it.elapsed() > MAX_STALENESS);
         if self.known.is_some() && settled { Freshness::Stale } else { Freshness::Current }
     }
 }
@@ -228,28 +229,30 @@
         else {
             return;
         };
-        let mut bootstrapped = start == DiscoveryState::FromPeer;
-        let mut known = bootstrapped;
-        if bootstrapped {
+        let mut has_state = start == DiscoveryState::FromPeer;
+        // Whether a polling balancer waits for an interval before its next read.
+        let mut may_defer_read = has_state;
+        if has_state {
             era.known = *resets.borrow();
             freshness = era.freshness();
         }
         loop {
-            if at.is_some() || bootstrapped {
-                let Some(current) = await_role(&mut self.role).await else {
+            if at.is_some() || may_defer_read {
+                let Some(role) = await_role(&mut self.role).await else {
                     return;
                 };
-                if let WatchRole::Read(balancers) = current {
+                if let WatchRole::Read(balancers) = role {
                     let pause = topic.read_interval(balancers).mul_f64(jitter());
                     // Peers report changes meanwhile. A closed channel means that the process ends.
-                    let watches = timeout(pause, self.role.wait_for(|&it| it == WatchRole::Watch));
-                    if let Ok(Err(_)) = watches.await {
+                    let watch_role =
+                        timeout(pause, self.role.wait_for(|&it| it == WatchRole::Watch));
+                    if let Ok(Err(_)) = watch_role.await {
                         return;
                     }
                     at = None;
                 }
             }
-            bootstrapped = false;
+            may_defer_read = false;
             let step = match at {
                 None => topic.read(&self.store, freshness, backoff.call_timeout()).await,
                 Some(at) => tokio::select! {
@@ -266,18 +269,18 @@
                 it => it,
             };
             match step {
-                Ok(Watched::Advanced((seen_at, news))) => {
+                Ok(Watched::Advanced((seen_at, update))) => {
                     backoff.reset();
                     freshness = era.freshness();
                     if let Topic::Routes = topic {
                         self.config_read.notify_waiters();
                     }
                     at = Some(seen_at);
-                    known = true;
-                    let Some(news) = news else {
+                    has_state = true;
+                    let Some(update) = update else {
                         continue;
                     };
-                    if self.out.send(news).await.is_err() {
+                    if self.out.send(update).await.is_err() {
                         return;
                     }
                 }
@@ -289,9 +292,9 @@
                 Err(e) => {
                     // The history since the watch broke may be compacted.
                     at = None;
-                    if known && self.waits_for_next_interval(&topic, &e) {
+                    if has_state && self.waits_for_next_interval(&topic, &e) {
                         backoff.record_failure(&e);
-                        bootstrapped = true;
+                        may_defer_read = true;
                         freshness = era.freshness();
                         continue;
                     }
