--- a/crates/cli/src/cmd/keys.rs
+++ b/crates/cli/src/cmd/keys.rs
@@ -2,7 +2,7 @@
 
 use bpaf::Bpaf;
 use camphorwinch_core::{
-    object::{KEYS_NAME, Kind, Object, Spec},
+    object::{KEYS_OBJECT_NAME, Kind, Object, Spec},
     report::{Report, UpstreamStatus},
 };
 use serde_json::json;
@@ -117,7 +117,7 @@
     }
     let pruned = fleet::prune(&keys, keep, &in_use.epochs).map_err(not_allowed)?;
     if pruned == keys {
-        let object_path = format!("{}/{KEYS_NAME}", Kind::Keys);
+        let object_path = format!("{}/{KEYS_OBJECT_NAME}", Kind::Keys);
         return Ok(ApplyResult {
             object: object_path,
             outcome: Outcome::Unchanged,
@@ -137,7 +137,7 @@
 async fn read_keys(
     platform: &PlatformClient,
 ) -> Result<(Object, camphorwinch_core::object::Keys), Error> {
-    let object = platform.get_existing(Kind::Keys, KEYS_NAME).await?;
+    let object = platform.get_existing(Kind::Keys, KEYS_OBJECT_NAME).await?;
     match Spec::parse(&object)? {
         Spec::Keys(keys) => Ok((object, keys)),
         _ => Err(not_allowed(KeysError::NoSealingKey)),
@@ -152,7 +152,7 @@
 ) -> Result<ApplyResult, Error> {
     let write = Write {
         kind: Kind::Keys,
-        name: KEYS_NAME.to_owned(),
+        name: KEYS_OBJECT_NAME.to_owned(),
         expected_version,
         since_revision,
         spec: json!(keys),
@@ -160,7 +160,7 @@
     let stored = write.put(platform).await?;
     let outcome = if expected_version == 0 { Outcome::Created } else { Outcome::Updated };
     Ok(ApplyResult {
-        object: format!("{}/{KEYS_NAME}", Kind::Keys),
+        object: format!("{}/{KEYS_OBJECT_NAME}", Kind::Keys),
         outcome,
         version: stored.version,
     })
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -5,7 +5,7 @@
 
 use std::{collections::BTreeSet, time::Duration};
 
-use camphorwinch_core::timeline::{Event, Hlc, Stamp, merge};
+use camphorwinch_core::timeline::{Event, Hlc, HlcTimestamp, merge};
 
 pub use self::{
     cause::Cause,
@@ -112,7 +112,7 @@
 {
     let first_placement =
         lines.clone().filter(|it| it.id == event_id::FLOW_PLACED).min_by_key(|it| it.ms);
-    let placed_at = first_placement.map(|it| Stamp { ms: it.ms, counter: 0 });
+    let placed_at = first_placement.map(|it| HlcTimestamp { ms: it.ms, counter: 0 });
     let processes: BTreeSet<&str> = lines.clone().map(|it| it.process.as_str()).collect();
     merge(processes.into_iter().map(|process| {
         let process_lines = lines.clone().filter(|it| it.process == process);
@@ -123,7 +123,7 @@
     }))
 }
 
-fn to_events<'a, I>(lines: I, placed_at: Option<Stamp>) -> Vec<Event>
+fn to_events<'a, I>(lines: I, placed_at: Option<HlcTimestamp>) -> Vec<Event>
 where
     I: Iterator<Item = &'a Line>,
 {
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -7,7 +7,7 @@
 
 use camphorwinch_core::{
     object::{KeySpec, KeyUse, Keys},
-    report::{State, UpstreamStatus},
+    report::{MemberState, UpstreamStatus},
 };
 use rand::Rng as _;
 use thiserror::Error;
@@ -83,7 +83,7 @@
     {
         let mut in_use = KeysInUse::default();
         for it in upstreams {
-            let not_reporting = matches!(it.state, State::Down | State::Other);
+            let not_reporting = matches!(it.state, MemberState::Down | MemberState::Other);
             if not_reporting || (it.flows > 0 && it.epochs.is_empty()) {
                 in_use.unreported.push(it.name.clone());
             }
--- a/crates/cli/src/manifest.rs
+++ b/crates/cli/src/manifest.rs
@@ -5,7 +5,7 @@
     io::{self, Read as _},
 };
 
-use camphorwinch_core::object::{Kind, MAX_OBJECT, Object};
+use camphorwinch_core::object::{Kind, MAX_OBJECT_BYTES, Object};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -74,8 +74,8 @@
     let entry = ManifestEntry::deserialize(value).map_err(|e| format!("{path}: {e}"))?;
     let ManifestEntry { kind, name, version, writer, spec } = entry;
     let size = spec.to_string().len();
-    if size > MAX_OBJECT {
-        return Err(format!("{path}: {size} bytes; at most {MAX_OBJECT} are allowed"));
+    if size > MAX_OBJECT_BYTES {
+        return Err(format!("{path}: {size} bytes; at most {MAX_OBJECT_BYTES} are allowed"));
     }
     Ok(Object { kind, name, version, writer, spec })
 }
--- a/crates/cli/src/rollout.rs
+++ b/crates/cli/src/rollout.rs
@@ -4,7 +4,7 @@
 
 use camphorwinch_core::{
     object::{Kind, Object},
-    report::{Lease, Report, freshest, in_force},
+    report::{Lease, Report, in_force_in_all_zones, latest_by_zone},
 };
 use serde::Deserialize as _;
 
@@ -18,10 +18,12 @@
         let Ok(lease) = Lease::deserialize(&object.spec) else { continue };
         summaries.extend(lease.report);
     }
-    let mut zones = freshest(summaries);
+    let mut zones = latest_by_zone(summaries);
     for (zone, full) in full_reports(objects) {
         let report = match zones.remove(&zone) {
-            Some(it) if it.upstreams.is_empty() && it.balancers.is_empty() => it.with_members(full),
+            Some(it) if it.upstreams.is_empty() && it.balancers.is_empty() => {
+                it.with_full_report_members(full)
+            }
             Some(it) => it,
             None => full,
         };
@@ -33,12 +35,12 @@
 /// Latest full report of each zone, from report objects.
 pub fn full_reports(objects: &[Object]) -> BTreeMap<String, Report> {
     let objects = objects.iter().filter(|it| it.kind == Kind::Report.as_str());
-    freshest(objects.filter_map(|it| Report::deserialize(&it.spec).ok()))
+    latest_by_zone(objects.filter_map(|it| Report::deserialize(&it.spec).ok()))
 }
 
 /// Describes the zones where a revision is not yet in force; `None` if it is in force in every zone.
 pub fn lagging_zones(zones: &BTreeMap<String, Report>, revision: u64) -> Option<String> {
-    match in_force(zones) {
+    match in_force_in_all_zones(zones) {
         Some(it) if it >= revision => return None,
         Some(_) => {}
         None => return Some("no zone has reported".to_owned()),
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -4,7 +4,10 @@
 
 use camphorwinch_core::{
     object::{Change, Kind, Object, Target},
-    report::{Applied, BalancerStatus, Behind, Report, State, UpstreamStatus, in_force},
+    report::{
+        BalancerStatus, LaggingProcess, MemberState, Report, RevisionTiming, UpstreamStatus,
+        in_force_in_all_zones,
+    },
 };
 use serde::{Deserialize as _, Serialize};
 
@@ -42,7 +45,7 @@
     /// Number of processes.
     pub processes: u32,
     /// Processes that lag behind `known`.
-    pub behind: Vec<Behind>,
+    pub behind: Vec<LaggingProcess>,
     /// Time of the report, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
@@ -103,9 +106,9 @@
     fn add(&mut self, it: &UpstreamStatus) {
         self.upstreams += 1;
         match it.state {
-            State::Ready => self.ready += 1,
-            State::Draining | State::Leaving => self.draining += 1,
-            State::Down | State::Other => self.down += 1,
+            MemberState::Ready => self.ready += 1,
+            MemberState::Draining | MemberState::Leaving => self.draining += 1,
+            MemberState::Down | MemberState::Other => self.down += 1,
         }
         self.flows += u64::from(it.flows);
         self.busy += u64::from(it.busy);
@@ -147,7 +150,7 @@
         let zones = latest_reports(states);
         let upstreams = latest_upstreams(&zones);
         Status {
-            in_force: in_force(&zones),
+            in_force: in_force_in_all_zones(&zones),
             zones: zones.values().map(zone_status).collect(),
             objects: config.iter().map(|it| object_status(it, &zones)).collect(),
             services: service_statuses(config, &upstreams),
@@ -210,8 +213,8 @@
     }
     let everywhere = !zones.is_empty() && names.len() == zones.len();
     let complete = everywhere && entries.len() == zones.len();
-    let since_ms = entries.iter().map(|it| it.done_ms).max().filter(|_| complete);
-    let took_ms = entries.iter().map(|it| it.done_ms.saturating_sub(it.seen_ms)).max();
+    let since_ms = entries.iter().map(|it| it.in_force_ms).max().filter(|_| complete);
+    let took_ms = entries.iter().map(|it| it.in_force_ms.saturating_sub(it.seen_ms)).max();
     ObjectStatus {
         object: format!("{}/{}", object.kind, object.name),
         version: object.version,
@@ -225,11 +228,11 @@
 /// Entry of the report for a revision, or for the first later one, which includes it.
 ///
 /// `None` if the revision is not in force yet, or is older than the entries of the report.
-fn rollout_entry(report: &Report, revision: u64) -> Option<&Applied> {
+fn rollout_entry(report: &Report, revision: u64) -> Option<&RevisionTiming> {
     let older = report.changes.iter().any(|it| it.revision < revision);
     let entry = report.changes.iter().filter(|it| it.revision >= revision);
     let entry = entry.min_by_key(|it| it.revision)?;
-    (entry.done_ms > 0 && (older || entry.revision == revision)).then_some(entry)
+    (entry.in_force_ms > 0 && (older || entry.revision == revision)).then_some(entry)
 }
 
 fn service_statuses(config: &[Object], upstreams: &[UpstreamStatus]) -> Vec<ServiceStatus> {
@@ -258,11 +261,11 @@
     let change = Change::deserialize(&object.spec).ok()?;
     let mut load = LoadTotals::default();
     for it in upstreams {
-        if change.target.covers(&it.name, &it.vm, &it.zone) {
+        if change.target.matches(&it.name, &it.vm, &it.zone) {
             load.add(it);
         }
     }
-    let everywhere = in_force(zones).is_some_and(|it| it >= object.version);
+    let everywhere = in_force_in_all_zones(zones).is_some_and(|it| it >= object.version);
     let progress = match load {
         _ if !everywhere || load.ready > 0 => DrainProgress::Waiting,
         LoadTotals { upstreams: 0, .. } => DrainProgress::Empty,
--- a/crates/cli/src/write.rs
+++ b/crates/cli/src/write.rs
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Whether the platform was restored from an older copy between the read and the write. The write may then have
+    /// Whether the platform was reset to an older copy between the read and the write. The write may then have
     /// replaced another writer's object with the same version number.
     fn crosses_era(&self, written: u64) -> bool {
         let expected = Revision::unpacked(self.expected_version);
--- a/crates/cli/tests/runs/fake_platform.rs
+++ b/crates/cli/tests/runs/fake_platform.rs
@@ -42,7 +42,7 @@
     Delete(&'static str, &'static str),
     /// The platform drops its history.
     DropHistory,
-    /// The platform is restored from a copy that has the same version numbers.
+    /// The platform is reset to a copy that has the same version numbers.
     RestoreFromCopy,
     /// The last write that did not take effect takes effect now.
     ApplyLostWrite,
--- a/crates/cli/tests/runs/write.rs
+++ b/crates/cli/tests/runs/write.rs
@@ -192,7 +192,7 @@
 }
 
 // Guards against a write that silently replaces another writer's object with the same version number after the platform
-// is restored from an older copy.
+// is reset to an older copy.
 #[test]
 fn write_across_a_restore_of_the_platform_is_reported() {
     let fake = FakePlatform::new();
--- a/crates/core/benches/place.rs
+++ b/crates/core/benches/place.rs
@@ -11,11 +11,11 @@
 };
 
 use camphorwinch_core::{
+    lookup_table::{LookupTable, Member},
     member::{Agent, AgentState},
     object::{KeySpec, KeyUse, Keys, Service, ServiceId},
     place::{MIN_INITIAL, Placer},
-    seal::{CID_LEN, Home, KeyRing},
-    slots::{Member, Slots},
+    seal::{CID_LEN, FlowOwner, KeyRing},
     snapshot::{ServiceEntry, Snapshot},
 };
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
@@ -62,7 +62,7 @@
     let mut rng = StdRng::seed_from_u64(7);
     let mut seal = || {
         let agent = data(rng.random_range(0..upstreams));
-        ring.seal(Home { agent, service: ServiceId::new(SERVICE) }, rng.random())
+        ring.seal(FlowOwner { agent, service: ServiceId::new(SERVICE) }, rng.random())
     };
     (0..flows).map(|_| seal()).collect()
 }
@@ -121,7 +121,7 @@
         let members: Vec<Member<'_>> =
             names.iter().map(|name| Member { name, weight: 1.0 }).collect();
         group.bench_function(BenchmarkId::from_parameter(upstreams), |b| {
-            b.iter(|| black_box(Slots::new(black_box(&members))));
+            b.iter(|| black_box(LookupTable::new(black_box(&members))));
         });
     }
     group.finish();
--- a/crates/core/examples/balance.rs
+++ b/crates/core/examples/balance.rs
@@ -7,13 +7,13 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use camphorwinch_core::{
-    admit::{Admission, Intake, Room, admit},
-    budget::Budget,
-    dispatch::{Dispatch, Outcome, Report, Request, Step, View},
-    gate::Gate,
+    admit::{Admission, AgentLoad, Availability, admit},
+    backoff::UpstreamBackoff,
+    budget::RetryBudget,
+    dispatch::{Dispatch, DispatchContext, Outcome, Request, Step, StepResult},
+    lookup_table::{LookupTable, Member},
     object::Policy,
-    peers::{Hints, Peer},
-    slots::{Member, Slots},
+    peers::{Peer, PeerLoads},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -115,9 +115,9 @@
     slots: u32,
     busy: u32,
     queue: VecDeque<(usize, usize)>,
-    gate: Gate,
-    budget: Budget,
-    hints: Hints,
+    backoff: UpstreamBackoff,
+    budget: RetryBudget,
+    peer_loads: PeerLoads,
     dead_at: Option<u64>,
     busy_us: f64,
     reported: u32,
@@ -183,9 +183,9 @@
             slots: SLOTS_PER_AGENT,
             busy: 0,
             queue: VecDeque::new(),
-            gate: Gate::new(),
-            budget: Budget::new(0.1, 0),
-            hints: Hints::new(),
+            backoff: UpstreamBackoff::new(),
+            budget: RetryBudget::new(0.1, 0),
+            peer_loads: PeerLoads::new(),
             dead_at: None,
             busy_us: 0.0,
             reported: 0,
@@ -342,7 +342,7 @@
         let listed: Vec<usize> = (0..AGENTS).filter(|it| self.believed_alive(*it)).collect();
         let members: Vec<Member<'_>> =
             listed.iter().map(|it| Member { name: &self.names[*it], weight: 1.0 }).collect();
-        let picks = Slots::new(&members).pick(self.rng.random());
+        let picks = LookupTable::new(&members).pick(self.rng.random());
         let picks = picks.as_slice();
         for (at, pick) in picks.iter().enumerate() {
             let agent = listed[usize::from(*pick)];
@@ -350,7 +350,7 @@
             if it.dead_at.is_some() {
                 return None;
             }
-            let room = Room {
+            let load = AgentLoad {
                 flows: it.flows,
                 flow_limit: 2_000,
                 all_flows: it.flows,
@@ -358,11 +358,11 @@
                 busy: it.busy + it.queue.len() as u32,
                 slots: it.slots,
             };
-            let open = it.gate.is_open(self.now / 1_000);
-            let intake = if open { Intake::Open } else { Intake::Closed };
-            match admit(policy, intake, &room, at + 1 == picks.len()) {
+            let open = it.backoff.admits(self.now / 1_000);
+            let availability = if open { Availability::Open } else { Availability::Closed };
+            match admit(policy, availability, &load, at + 1 == picks.len()) {
                 Admission::Accept => return Some(agent),
-                Admission::Pass => continue,
+                Admission::Forward => continue,
                 Admission::Refuse => return None,
             }
         }
@@ -398,7 +398,7 @@
     fn arrive(&mut self, request: usize, agent: usize, hop: usize) {
         if self.agents[agent].dead_at.is_some() {
             if hop > 0 {
-                self.report(request, hop - 1, Report::Refused { retry_ms: 0 });
+                self.report(request, hop - 1, StepResult::Refused { retry_ms: 0 });
             }
             return;
         }
@@ -413,26 +413,27 @@
         }
     }
 
-    fn step(&mut self, request: usize, hop: usize, policy: Policy, report: Option<Report>) {
+    fn step(&mut self, request: usize, hop: usize, policy: Policy, report: Option<StepResult>) {
         let now = self.now / 1_000;
         let agent = self.requests[request].hops[hop].agent;
         let seed = self.rng.random();
         let mut peers: Vec<Peer<'_>> = Vec::new();
         for at in (0..AGENTS).filter(|it| *it != agent && self.believed_alive(*it)) {
-            let near = at % ZONES == agent % ZONES;
-            peers.push(Peer { name: &self.names[at], near, weight: 1.0 });
+            let same_zone = at % ZONES == agent % ZONES;
+            peers.push(Peer { name: &self.names[at], same_zone, weight: 1.0 });
         }
         let it = &mut self.agents[agent];
-        let drawn = it.hints.draw(&peers, policy, seed, now);
-        let local = it.gate.is_open(now);
-        let mut view = View { now, local, peers: &drawn, budget: &mut it.budget, policy };
+        let selected = it.peer_loads.select(&peers, policy, seed, now);
+        let local = it.backoff.admits(now);
+        let mut context =
+            DispatchContext { now, local, peers: &selected, budget: &mut it.budget, policy };
         let dispatch = &mut self.requests[request].hops[hop].dispatch;
         let step = match report {
-            None => dispatch.start(&mut view),
-            Some(report) => dispatch.next(report, &mut view),
+            None => dispatch.start(&mut context),
+            Some(report) => dispatch.next(report, &mut context),
         };
         match step {
-            Step::Take { wait_ms } => self.acquire_slot(request, hop, wait_ms * 1_000),
+            Step::AcquireSlot { wait_ms } => self.acquire_slot(request, hop, wait_ms * 1_000),
             Step::Run => self.begin(request, hop),
             Step::Offer { to } => {
                 let to = self.names.iter().position(|it| *it == to).unwrap_or(0);
@@ -440,15 +441,15 @@
                 self.requests[request].hops.truncate(next);
                 self.after(HOP_LATENCY_US, Event::Arrive { request, agent: to, hop: next });
             }
-            Step::Answer(outcome) => self.finish(request, hop, outcome),
+            Step::Finish(outcome) => self.finish(request, hop, outcome),
         }
     }
 
-    fn report(&mut self, request: usize, hop: usize, report: Report) {
+    fn report(&mut self, request: usize, hop: usize, report: StepResult) {
         match self.balancing {
             Balancing::System(policy) => self.step(request, hop, policy, Some(report)),
             Balancing::Random | Balancing::LeastOfTwo => match report {
-                Report::Slot => self.begin(request, hop),
+                StepResult::SlotAcquired => self.begin(request, hop),
                 _ => self.refuse(request, MIN_RETRY_MS),
             },
         }
@@ -459,10 +460,10 @@
         let it = &mut self.agents[agent];
         if it.busy < it.slots {
             it.busy += 1;
-            return self.report(request, hop, Report::Slot);
+            return self.report(request, hop, StepResult::SlotAcquired);
         }
         if wait_us == 0 || it.queue.len() >= it.slots as usize {
-            return self.report(request, hop, Report::Full);
+            return self.report(request, hop, StepResult::SlotTimeout);
         }
         it.queue.push_back((request, hop));
         self.requests[request].hops[hop].waits = true;
@@ -476,7 +477,7 @@
         };
         queue.remove(at);
         self.requests[request].hops[hop].waits = false;
-        self.report(request, hop, Report::Full);
+        self.report(request, hop, StepResult::SlotTimeout);
     }
 
     /// Sends the request to the upstream in the acquired slot.
@@ -485,14 +486,14 @@
         let now = self.now / 1_000;
         let refuses =
             self.scenario == Scenario::OneRefuses && agent == 0 && self.rng.random_bool(0.5);
-        let gate_closed =
-            matches!(self.balancing, Balancing::System(_)) && !self.agents[agent].gate.pass(now);
-        if refuses || gate_closed {
+        let in_backoff = matches!(self.balancing, Balancing::System(_))
+            && !self.agents[agent].backoff.admit(now);
+        if refuses || in_backoff {
             self.free(agent);
             if refuses {
-                self.agents[agent].gate.refused(now);
+                self.agents[agent].backoff.record_refusal(now);
             }
-            return self.report(request, hop, Report::Refused { retry_ms: 0 });
+            return self.report(request, hop, StepResult::Refused { retry_ms: 0 });
         }
         let cold =
             self.scenario == Scenario::ColdStarts && agent < 2 && self.now < 10_000_000 + WARMUP_US;
@@ -516,7 +517,7 @@
         if self.agents[agent].dead_at.is_some() {
             return;
         }
-        self.agents[agent].gate.taken();
+        self.agents[agent].backoff.record_success();
         self.free(agent);
         let req = &mut self.requests[request];
         if req.done {
@@ -530,7 +531,7 @@
             let busy = &self.agents[agent];
             let load = f64::from(busy.busy) / f64::from(busy.slots);
             let name = self.names[agent].clone();
-            self.agents[origin].hints.took(&name, load, self.now / 1_000);
+            self.agents[origin].peer_loads.record_accepted(&name, load, self.now / 1_000);
         }
         if measured {
             self.totals.forwarded += u64::from(hop > 0);
@@ -548,7 +549,7 @@
         };
         it.busy += 1;
         self.requests[request].hops[hop].waits = false;
-        self.report(request, hop, Report::Slot);
+        self.report(request, hop, StepResult::SlotAcquired);
     }
 
     fn finish(&mut self, request: usize, hop: usize, outcome: Outcome) {
@@ -561,8 +562,8 @@
         let from = self.requests[request].hops[hop].agent;
         let sender = self.requests[request].hops[hop - 1].agent;
         let name = self.names[from].clone();
-        self.agents[sender].hints.refused(&name, retry_ms.min(50), self.now / 1_000);
-        self.report(request, hop - 1, Report::Refused { retry_ms });
+        self.agents[sender].peer_loads.record_refused(&name, retry_ms.min(50), self.now / 1_000);
+        self.report(request, hop - 1, StepResult::Refused { retry_ms });
     }
 
     fn refuse(&mut self, request: usize, retry_ms: u64) {
--- a/crates/core/src/admit.rs
+++ b/crates/core/src/admit.rs
@@ -7,7 +7,7 @@
 
 /// Current load and limits of an agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Room {
+pub struct AgentLoad {
     /// Number of flows of the service.
     pub flows: u32,
     /// Maximum number of flows of the service.
@@ -24,7 +24,7 @@
 
 /// Whether the agent accepts new work, and if not, why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Intake {
+pub enum Availability {
     /// Accepts new work.
     Open,
     /// The upstream is unreachable or currently refuses requests.
@@ -39,22 +39,27 @@
     /// The agent accepts the flow.
     Accept,
     /// The flow goes to the next candidate.
-    Pass,
+    Forward,
     /// The flow is refused.
     Refuse,
 }
 
 /// Decides on a new flow; `last` means that no further candidate is left.
-pub fn admit(policy: Policy, intake: Intake, room: &Room, last: bool) -> Admission {
-    let full = room.flows >= room.flow_limit || room.all_flows >= room.all_limit;
-    let busy = policy == Policy::Even && room.busy >= room.slots;
-    let decision = match (intake, full) {
-        (Intake::Draining, _) | (_, true) if last => Admission::Refuse,
-        (Intake::Draining, _) | (_, true) => Admission::Pass,
-        (Intake::Closed, false) if !last => Admission::Pass,
-        (Intake::Open, false) if busy && !last => Admission::Pass,
-        (Intake::Open | Intake::Closed, false) => Admission::Accept,
+pub fn admit(
+    policy: Policy,
+    availability: Availability,
+    load: &AgentLoad,
+    last: bool,
+) -> Admission {
+    let full = load.flows >= load.flow_limit || load.all_flows >= load.all_limit;
+    let busy = policy == Policy::Even && load.busy >= load.slots;
+    let decision = match (availability, full) {
+        (Availability::Draining, _) | (_, true) if last => Admission::Refuse,
+        (Availability::Draining, _) | (_, true) => Admission::Forward,
+        (Availability::Closed, false) if !last => Admission::Forward,
+        (Availability::Open, false) if busy && !last => Admission::Forward,
+        (Availability::Open | Availability::Closed, false) => Admission::Accept,
     };
-    let allowed = intake != Intake::Draining || decision != Admission::Accept;
+    let allowed = availability != Availability::Draining || decision != Admission::Accept;
     if invariant::check(Invariant::DrainHolds, allowed) { decision } else { Admission::Refuse }
 }
--- a/crates/core/src/assemble.rs
+++ b/crates/core/src/assemble.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     invariant::{Invariant, check},
-    object::{KEYS_NAME, Kind, Object, Service, ServiceId, Spec, SpecError, check_services},
+    object::{KEYS_OBJECT_NAME, Kind, Object, Service, ServiceId, Spec, SpecError, check_services},
     record::Role,
     snapshot::{ServiceEntry, Snapshot},
     view::View,
@@ -62,7 +62,7 @@
                 Spec::Certificate(it) => {
                     snapshot.certificates.insert(name.clone(), it.clone());
                 }
-                Spec::Keys(it) if name == KEYS_NAME => snapshot.keys = Some(it.clone()),
+                Spec::Keys(it) if name == KEYS_OBJECT_NAME => snapshot.keys = Some(it.clone()),
                 Spec::Keys(_) => {}
             }
         }
--- a/crates/core/src/gate.rs
+++ b/crates/core/src/backoff.rs
@@ -7,27 +7,27 @@
 
 /// Decides whether requests are sent to an upstream, based on the results of earlier requests.
 #[derive(Clone, Debug, Default)]
-pub struct Gate {
+pub struct UpstreamBackoff {
     backoff_ms: u64,
     backoff_until: u64,
     probe_sent: Option<u64>,
     first_refusal: Option<u64>,
 }
 
-impl Gate {
+impl UpstreamBackoff {
     /// Creates the state of an upstream without refusals.
-    pub fn new() -> Gate {
-        Gate::default()
+    pub fn new() -> UpstreamBackoff {
+        UpstreamBackoff::default()
     }
 
     /// Whether a request would be admitted; does not count as one.
-    pub fn is_open(&self, now: u64) -> bool {
+    pub fn admits(&self, now: u64) -> bool {
         self.backoff_ms == 0 || (now >= self.backoff_until && !self.probing(now))
     }
 
     /// Admits or rejects a request. After a backoff only one request is admitted, as a probe.
-    pub fn pass(&mut self, now: u64) -> bool {
-        if !self.is_open(now) {
+    pub fn admit(&mut self, now: u64) -> bool {
+        if !self.admits(now) {
             return false;
         }
         if self.backoff_ms > 0 {
@@ -37,12 +37,12 @@
     }
 
     /// Records that the upstream accepted a request; ends the backoff.
-    pub fn taken(&mut self) {
-        *self = Gate::default();
+    pub fn record_success(&mut self) {
+        *self = UpstreamBackoff::default();
     }
 
     /// Records that the upstream refused a request or was unreachable.
-    pub fn refused(&mut self, now: u64) {
+    pub fn record_refusal(&mut self, now: u64) {
         self.probe_sent = None;
         if now < self.backoff_until {
             return;
@@ -53,12 +53,12 @@
     }
 
     /// Records that an admitted request ended without a result.
-    pub fn dropped(&mut self) {
+    pub fn record_abandoned(&mut self) {
         self.probe_sent = None;
     }
 
     /// Time since the first refusal after the last accepted request, in milliseconds.
-    pub fn closed_for(&self, now: u64) -> u64 {
+    pub fn refused_for_ms(&self, now: u64) -> u64 {
         self.first_refusal.map_or(0, |it| now.saturating_sub(it))
     }
 
--- a/crates/core/src/budget.rs
+++ b/crates/core/src/budget.rs
@@ -6,16 +6,16 @@
 
 /// A token bucket: each request adds `share` tokens, each retry takes one.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     tokens: f64,
     share: f64,
     updated_ms: u64,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Creates a full budget; `share` is the number of retries allowed per request.
-    pub fn new(share: f64, now: u64) -> Budget {
-        Budget { tokens: MAX_TOKENS, share, updated_ms: now }
+    pub fn new(share: f64, now: u64) -> RetryBudget {
+        RetryBudget { tokens: MAX_TOKENS, share, updated_ms: now }
     }
 
     /// Sets the number of retries allowed per request.
--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -18,14 +18,14 @@
 };
 
 /// Maximum size in bytes of a response that is stored for repeated requests.
-pub const MAX_ANSWER: usize = 64 << 10;
+pub const MAX_RESPONSE_BYTES: usize = 64 << 10;
 /// Maximum length of an idempotency key in bytes.
-pub const MAX_KEY: usize = 255;
+pub const MAX_KEY_BYTES: usize = 255;
 
 const MAX_CLAIMS: usize = 200_000;
 /// Limit on the total size of stored responses.
 const MAX_STORED_BYTES: usize = 64 << 20;
-/// A claim whose request was never settled expires after this many key windows.
+/// A claim whose request was never resolved expires after this many key windows.
 const UNSETTLED_WINDOWS: u64 = 4;
 
 /// ID of a caller's request; the same for every attempt.
@@ -64,7 +64,7 @@
 
 /// A complete response, stored for repeated requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct RecordedResponse {
     /// HTTP status code.
     pub status: u16,
     /// Header fields, in order.
@@ -73,7 +73,7 @@
     pub body: Vec<u8>,
 }
 
-impl Answer {
+impl RecordedResponse {
     fn size(&self) -> usize {
         let headers: usize =
             self.headers.iter().map(|(name, value)| name.len() + value.len()).sum();
@@ -83,21 +83,21 @@
 
 /// State of the request that claimed a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum RequestState {
     /// It may be running.
     Running,
     /// It may have run; its response is not available.
     Unknown,
     /// It ran and returned this response.
-    Done(Arc<Answer>),
+    Done(Arc<RecordedResponse>),
 }
 
-impl State {
+impl RequestState {
     fn rank(&self) -> u8 {
         match self {
-            State::Running => 0,
-            State::Unknown => 1,
-            State::Done(_) => 2,
+            RequestState::Running => 0,
+            RequestState::Unknown => 1,
+            RequestState::Done(_) => 2,
         }
     }
 }
@@ -110,27 +110,27 @@
     /// Digest of the request content, to detect that a key is reused for a different request.
     pub digest: u64,
     /// Name of the agent that made the claim.
-    pub by: String,
+    pub agent: String,
     /// State of the request.
-    pub state: State,
+    pub state: RequestState,
     /// Retention time of the key, in milliseconds.
-    pub window: u64,
+    pub window_ms: u64,
 }
 
-/// Result of an attempt to claim a key.
+/// Result of claiming a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Claimed {
+pub enum ClaimResult {
     /// The key was free or is claimed by the same request, which may run.
     Granted,
     /// Another request has claimed the key.
-    Taken(Claim),
+    Conflict(Claim),
     /// The key was used for a request with different content.
     Mismatch,
     /// An earlier claim on the key may have been lost. Returned by agents that also check the roster.
-    Doubtful,
+    Uncertain,
     /// The members changed recently or differ from those of the claiming agent. Returned by agents that also check the
     /// roster.
-    Unsettled,
+    MembershipChanging,
     /// The claim limit is reached, or the agent is leaving.
     Full,
 }
@@ -167,24 +167,26 @@
     }
 
     /// Claims `key` for a request that has not run yet.
-    pub fn claim(&mut self, key: &ClaimKey, claim: Claim, now: u64) -> Claimed {
+    pub fn claim(&mut self, key: &ClaimKey, claim: Claim, now: u64) -> ClaimResult {
         self.expire(now);
         if let Some(old) = self.entries.get(key) {
             return match &old.claim {
-                it if it.request == claim.request && it.state == State::Running => Claimed::Granted,
-                it if it.digest != claim.digest => Claimed::Mismatch,
-                it => Claimed::Taken(it.clone()),
+                it if it.request == claim.request && it.state == RequestState::Running => {
+                    ClaimResult::Granted
+                }
+                it if it.digest != claim.digest => ClaimResult::Mismatch,
+                it => ClaimResult::Conflict(it.clone()),
             };
         }
         if self.closed || self.entries.len() >= MAX_CLAIMS {
-            return Claimed::Full;
+            return ClaimResult::Full;
         }
         self.insert(key, claim, now);
-        Claimed::Granted
+        ClaimResult::Granted
     }
 
     /// Records the final state of the request that claimed `key`.
-    pub fn settle(&mut self, key: &ClaimKey, request: RequestId, state: State, now: u64) {
+    pub fn settle(&mut self, key: &ClaimKey, request: RequestId, state: RequestState, now: u64) {
         self.expire(now);
         let Some(old) = self.entries.get(key) else {
             return;
@@ -199,19 +201,23 @@
 
     /// Releases `key` because the request that claimed it has certainly not run.
     pub fn release(&mut self, key: &ClaimKey, request: RequestId) {
-        let is_own = |it: &Entry| it.claim.request == request && it.claim.state == State::Running;
+        let is_own =
+            |it: &Entry| it.claim.request == request && it.claim.state == RequestState::Running;
         if self.entries.get(key).is_some_and(is_own) {
             self.remove(key);
         }
     }
 
     /// Imports a claim transferred by a leaving agent; the more definite state wins.
-    pub fn adopt(&mut self, key: &ClaimKey, claim: Claim, now: u64) {
+    pub fn import(&mut self, key: &ClaimKey, claim: Claim, now: u64) {
         self.expire(now);
         if let Some(old) = self.entries.get(key) {
             // Both requests ran under one key, so the claims were not checked against each other.
             let both_ran = old.claim.request != claim.request
-                && matches!((&old.claim.state, &claim.state), (State::Done(_), State::Done(_)));
+                && matches!(
+                    (&old.claim.state, &claim.state),
+                    (RequestState::Done(_), RequestState::Done(_))
+                );
             if !invariant::check(Invariant::RunOnce, !both_ran) {
                 return;
             }
@@ -242,12 +248,12 @@
     fn insert(&mut self, key: &ClaimKey, mut claim: Claim, now: u64) {
         self.remove(key);
         let size = response_bytes(&claim);
-        if size > 0 && (size > MAX_ANSWER || self.stored_bytes + size > MAX_STORED_BYTES) {
-            claim.state = State::Unknown;
+        if size > 0 && (size > MAX_RESPONSE_BYTES || self.stored_bytes + size > MAX_STORED_BYTES) {
+            claim.state = RequestState::Unknown;
         }
         let ttl_ms = match claim.state {
-            State::Running => claim.window.saturating_mul(UNSETTLED_WINDOWS),
-            State::Unknown | State::Done(_) => claim.window,
+            RequestState::Running => claim.window_ms.saturating_mul(UNSETTLED_WINDOWS),
+            RequestState::Unknown | RequestState::Done(_) => claim.window_ms,
         };
         let expires_ms = now.saturating_add(ttl_ms);
         self.stored_bytes += response_bytes(&claim);
@@ -266,7 +272,7 @@
 
 fn response_bytes(claim: &Claim) -> usize {
     match &claim.state {
-        State::Done(answer) => answer.size(),
-        State::Running | State::Unknown => 0,
+        RequestState::Done(response) => response.size(),
+        RequestState::Running | RequestState::Unknown => 0,
     }
 }
--- a/crates/core/src/dispatch.rs
+++ b/crates/core/src/dispatch.rs
@@ -5,7 +5,7 @@
 //! either the upstream's response or unknown.
 
 use crate::{
-    budget::Budget,
+    budget::RetryBudget,
     invariant::{self, Invariant},
     object::Policy,
 };
@@ -38,7 +38,7 @@
 
 /// State of the agent that a decision depends on.
 #[derive(Debug)]
-pub struct View<'a> {
+pub struct DispatchContext<'a> {
     /// Current time in milliseconds.
     pub now: u64,
     /// Whether the request may be sent to the local upstream.
@@ -46,7 +46,7 @@
     /// Peers to forward the request to, best first.
     pub peers: &'a [&'a str],
     /// The service's retry budget.
-    pub budget: &'a mut Budget,
+    pub budget: &'a mut RetryBudget,
     /// The service's policy.
     pub policy: Policy,
 }
@@ -54,8 +54,8 @@
 /// The next action.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Acquire a slot of the local upstream. Results: `Slot` or `Full`.
-    Take {
+    /// Acquire a slot of the local upstream. Results: `SlotAcquired` or `SlotTimeout`.
+    AcquireSlot {
         /// Longest wait in milliseconds.
         wait_ms: u64,
     },
@@ -67,30 +67,30 @@
         to: String,
     },
     /// Return this outcome to the caller; the request is finished.
-    Answer(Outcome),
+    Finish(Outcome),
 }
 
 /// Result of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Report {
+pub enum StepResult {
     /// A slot was acquired.
-    Slot,
+    SlotAcquired,
     /// No slot became free in time.
-    Full,
+    SlotTimeout,
     /// The upstream or the peer refused or was unreachable; the request was certainly not started.
     Refused {
         /// Retry delay that it returned; 0 if none.
         retry_ms: u64,
     },
     /// Like `Refused`, but the request can't be sent again because its body was consumed.
-    Consumed {
+    BodyConsumed {
         /// Retry delay for the caller.
         retry_ms: u64,
     },
     /// The connection failed before a response; the request may have been started.
-    Lost,
+    ConnectionLost,
     /// The response headers arrived.
-    Head,
+    ResponseStarted,
     /// The caller cancelled the request.
     Cancelled,
 }
@@ -99,7 +99,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The upstream's response is relayed.
-    Relay,
+    Response,
     /// No upstream has started the request.
     NotRun {
         /// Retry delay for the caller.
@@ -154,59 +154,59 @@
     }
 
     /// Returns the first step.
-    pub fn start(&mut self, view: &mut View<'_>) -> Step {
+    pub fn start(&mut self, context: &mut DispatchContext<'_>) -> Step {
         if self.request.hop == 0 {
-            view.budget.deposit();
+            context.budget.deposit();
         }
-        if view.local {
-            let wait_ms = if view.policy == Policy::Steady { INITIAL_SLOT_WAIT_MS } else { 0 };
-            return self.acquire_slot(view, wait_ms);
+        if context.local {
+            let wait_ms = if context.policy == Policy::Steady { INITIAL_SLOT_WAIT_MS } else { 0 };
+            return self.acquire_slot(context, wait_ms);
         }
-        self.forward(view)
+        self.forward(context)
     }
 
-    /// Returns the step that follows the result `report`.
-    pub fn next(&mut self, report: Report, view: &mut View<'_>) -> Step {
-        match report {
-            Report::Slot if view.local => self.run(view),
-            Report::Slot | Report::Full => self.forward(view),
-            Report::Refused { retry_ms } => {
+    /// Returns the step that follows `result`.
+    pub fn next(&mut self, result: StepResult, context: &mut DispatchContext<'_>) -> Step {
+        match result {
+            StepResult::SlotAcquired if context.local => self.run(context),
+            StepResult::SlotAcquired | StepResult::SlotTimeout => self.forward(context),
+            StepResult::Refused { retry_ms } => {
                 self.refused_locally |= self.stage == Stage::Running;
                 self.stage = Stage::New;
                 self.sends = self.sends.saturating_sub(1);
                 self.retry_ms = self.retry_ms.max(retry_ms);
-                self.forward(view)
+                self.forward(context)
             }
-            Report::Consumed { retry_ms } => {
+            StepResult::BodyConsumed { retry_ms } => {
                 self.stage = Stage::New;
                 self.retry_ms = self.retry_ms.max(retry_ms);
                 self.fail()
             }
-            Report::Lost => self.connection_lost(view),
-            Report::Head => self.finish(Outcome::Relay),
-            Report::Cancelled => self.finish(Outcome::Cancelled),
+            StepResult::ConnectionLost => self.connection_lost(context),
+            StepResult::ResponseStarted => self.finish(Outcome::Response),
+            StepResult::Cancelled => self.finish(Outcome::Cancelled),
         }
     }
 
     /// Whether an upstream may have started the request.
-    pub fn may_have_begun(&self) -> bool {
+    pub fn may_have_started(&self) -> bool {
         self.maybe_started || matches!(self.stage, Stage::Running | Stage::Forwarded)
     }
 
-    fn acquire_slot(&mut self, view: &View<'_>, wait_ms: u64) -> Step {
-        let left = self.request.deadline.map_or(u64::MAX, |it| it.saturating_sub(view.now));
+    fn acquire_slot(&mut self, context: &DispatchContext<'_>, wait_ms: u64) -> Step {
+        let left = self.request.deadline.map_or(u64::MAX, |it| it.saturating_sub(context.now));
         if left == 0 {
             return self.fail();
         }
         self.stage = Stage::AcquiringSlot;
-        Step::Take { wait_ms: wait_ms.min(left) }
+        Step::AcquireSlot { wait_ms: wait_ms.min(left) }
     }
 
-    fn run(&mut self, view: &View<'_>) -> Step {
-        if self.deadline_passed(view) {
+    fn run(&mut self, context: &DispatchContext<'_>) -> Step {
+        if self.deadline_passed(context) {
             return self.fail();
         }
-        if !self.may_send() || !invariant::check(Invariant::DrainHolds, view.local) {
+        if !self.may_send() || !invariant::check(Invariant::DrainHolds, context.local) {
             return self.fail();
         }
         self.stage = Stage::Running;
@@ -214,14 +214,14 @@
         Step::Run
     }
 
-    fn forward(&mut self, view: &View<'_>) -> Step {
-        if self.deadline_passed(view) {
+    fn forward(&mut self, context: &DispatchContext<'_>) -> Step {
+        if self.deadline_passed(context) {
             return self.fail();
         }
-        let may_forward = self.forwards < self.max_forwards(view);
+        let may_forward = self.forwards < self.max_forwards(context);
         let untried = |it: &&&str| !self.tried_peers.iter().any(|old| old == **it);
-        let Some(peer) = view.peers.iter().find(untried).filter(|_| may_forward) else {
-            return self.wait_or_fail(view);
+        let Some(peer) = context.peers.iter().find(untried).filter(|_| may_forward) else {
+            return self.wait_or_fail(context);
         };
         if !self.may_send() {
             return self.fail();
@@ -236,44 +236,44 @@
 
     /// An agent forwards a forwarded request only if it can't run requests itself. Otherwise forwarding would multiply
     /// under load.
-    fn max_forwards(&self, view: &View<'_>) -> u8 {
+    fn max_forwards(&self, context: &DispatchContext<'_>) -> u8 {
         match self.request.hop {
             0 => MAX_FORWARDS,
-            hop if hop < MAX_HOPS && !view.local => 1,
+            hop if hop < MAX_HOPS && !context.local => 1,
             _ => 0,
         }
     }
 
-    fn wait_or_fail(&mut self, view: &View<'_>) -> Step {
+    fn wait_or_fail(&mut self, context: &DispatchContext<'_>) -> Step {
         // Only the agent that holds the flow waits; a peer refuses at once.
         let may_wait =
-            view.local && !self.did_final_wait && !self.refused_locally && self.request.hop == 0;
+            context.local && !self.did_final_wait && !self.refused_locally && self.request.hop == 0;
         if !may_wait {
             return self.fail();
         }
         self.did_final_wait = true;
-        self.acquire_slot(view, FINAL_SLOT_WAIT_MS)
+        self.acquire_slot(context, FINAL_SLOT_WAIT_MS)
     }
 
-    fn connection_lost(&mut self, view: &mut View<'_>) -> Step {
+    fn connection_lost(&mut self, context: &mut DispatchContext<'_>) -> Step {
         let was_local = self.stage == Stage::Running;
         self.maybe_started = true;
         self.stage = Stage::New;
         let may_retry = self.request.idempotent
             && self.request.hop == 0
             && self.sends < MAX_SENDS
-            && view.budget.withdraw(view.now);
+            && context.budget.withdraw(context.now);
         if !may_retry {
             return self.fail();
         }
-        if view.local && !was_local {
-            return self.acquire_slot(view, FINAL_SLOT_WAIT_MS);
+        if context.local && !was_local {
+            return self.acquire_slot(context, FINAL_SLOT_WAIT_MS);
         }
-        self.forward(view)
+        self.forward(context)
     }
 
-    fn deadline_passed(&self, view: &View<'_>) -> bool {
-        self.request.deadline.is_some_and(|it| view.now >= it)
+    fn deadline_passed(&self, context: &DispatchContext<'_>) -> bool {
+        self.request.deadline.is_some_and(|it| context.now >= it)
     }
 
     fn may_send(&self) -> bool {
@@ -284,7 +284,7 @@
 
     fn fail(&mut self) -> Step {
         let retry_ms = self.retry_ms.clamp(MIN_RETRY_MS, MAX_RETRY_MS);
-        if self.may_have_begun() {
+        if self.may_have_started() {
             return self.finish(Outcome::Unknown { retry_ms });
         }
         self.finish(Outcome::NotRun { retry_ms })
@@ -292,7 +292,7 @@
 
     fn finish(&mut self, outcome: Outcome) -> Step {
         let unanswered = self.stage != Stage::Done;
-        let not_run_holds = !matches!(outcome, Outcome::NotRun { .. }) || !self.may_have_begun();
+        let not_run_holds = !matches!(outcome, Outcome::NotRun { .. }) || !self.may_have_started();
         let outcome = if invariant::check(Invariant::NotRunTrue, not_run_holds) {
             outcome
         } else {
@@ -303,8 +303,8 @@
         } else {
             Outcome::Cancelled
         };
-        self.maybe_started = self.may_have_begun();
+        self.maybe_started = self.may_have_started();
         self.stage = Stage::Done;
-        Step::Answer(outcome)
+        Step::Finish(outcome)
     }
 }
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,33 +1,33 @@
 //! Leases stored in the platform: when to acquire, renew and release one, and until when it is held.
 //!
 //! A lease is one object. Every write is conditional on the version it was based on, so a write by a former holder
-//! fails. An observer regards a lease as expired when its version has not changed for [`EXPIRE_MS`], measured by the
-//! observer's own clock since it first read that version. The holder uses the shorter [`HOLD_MS`], measured from before
-//! it sent its last successful write. It therefore stops before another process may acquire the lease, even after a
-//! pause.
+//! fails. An observer regards a lease as expired when its version has not changed for [`LEASE_TIMEOUT_MS`], measured by
+//! the observer's own clock since it first read that version. The holder uses the shorter [`HOLD_TIMEOUT_MS`], measured
+//! from before it sent its last successful write. It therefore stops before another process may acquire the lease, even
+//! after a pause.
 
 use std::collections::VecDeque;
 
 use crate::invariant::{Invariant, check};
 
 /// Number of leases per zone.
-pub const LEASES: u8 = 2;
+pub const LEASES_PER_ZONE: u8 = 2;
 /// Interval between renewals, in milliseconds.
-pub const RENEW_MS: u64 = 3_000;
+pub const RENEW_INTERVAL_MS: u64 = 3_000;
 /// Time for which a successful write entitles the holder to the lease, in milliseconds.
-pub const HOLD_MS: u64 = 7_000;
+pub const HOLD_TIMEOUT_MS: u64 = 7_000;
 /// Time without a new version after which a lease has expired, in milliseconds.
-pub const EXPIRE_MS: u64 = 10_000;
+pub const LEASE_TIMEOUT_MS: u64 = 10_000;
 /// Number of former terms remembered per lease.
 const MAX_FORMER_TERMS: usize = 8;
 
 /// One term of a holder.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Term {
+pub struct LeaseTerm {
     /// Name of the holder; empty after a release.
     pub holder: String,
     /// When the holder acquired the lease, in milliseconds since 1970.
-    pub taken_ms: u64,
+    pub acquired_ms: u64,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -36,15 +36,15 @@
     version: u64,
     /// When this version was first read; `None` before the first read.
     first_seen_ms: Option<u64>,
-    term: Term,
-    former_terms: VecDeque<Term>,
-    /// When a restore of the platform from a backup was detected.
+    term: LeaseTerm,
+    former_terms: VecDeque<LeaseTerm>,
+    /// When a reset of the platform was detected.
     reset_ms: Option<u64>,
 }
 
 impl LeaseState {
     /// Records what was read; false if a former holder wrote again.
-    fn observe(&mut self, now_ms: u64, version: u64, term: Term) -> bool {
+    fn observe(&mut self, now_ms: u64, version: u64, term: LeaseTerm) -> bool {
         let deleted = version == 0 && self.version != 0;
         if self.first_seen_ms.is_some() && version <= self.version && !deleted {
             return true;
@@ -64,13 +64,13 @@
 
 /// A conditional write to a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Attempt {
+pub struct LeaseWrite {
     /// Number of the lease.
     pub number: u8,
     /// Version that must be stored for the write to succeed; 0 creates the object.
-    pub base: u64,
+    pub expected_version: u64,
     /// The term to write.
-    pub term: Term,
+    pub term: LeaseTerm,
     /// Start of the write, by the monotonic clock.
     begun_ms: u64,
 }
@@ -78,22 +78,22 @@
 #[derive(Clone, Debug)]
 struct Held {
     number: u8,
-    term: Term,
+    term: LeaseTerm,
     until_ms: u64,
 }
 
 /// Acquires and holds at most one of a zone's leases for a process.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct LeaseClient {
     name: String,
-    leases: [LeaseState; LEASES as usize],
+    leases: [LeaseState; LEASES_PER_ZONE as usize],
     held: Option<Held>,
 }
 
-impl Keeper {
-    /// Creates the keeper of the process `name`, which holds no lease yet.
-    pub fn new(name: &str) -> Keeper {
-        Keeper { name: name.to_owned(), leases: Default::default(), held: None }
+impl LeaseClient {
+    /// Creates the client of the process `name`, which holds no lease yet.
+    pub fn new(name: &str) -> LeaseClient {
+        LeaseClient { name: name.to_owned(), leases: Default::default(), held: None }
     }
 
     /// Number of the lease that is currently held.
@@ -102,13 +102,13 @@
     }
 
     /// Number of the lease that is held, or that lapsed without a known new holder.
-    pub fn last(&self) -> Option<u8> {
+    pub fn last_held(&self) -> Option<u8> {
         self.held.as_ref().map(|it| it.number)
     }
 
     /// Records the state read of a lease; version 0 means that the object does not exist. Returns false if a former
     /// holder wrote again.
-    pub fn observe(&mut self, now_ms: u64, number: u8, version: u64, term: Term) -> bool {
+    pub fn observe(&mut self, now_ms: u64, number: u8, version: u64, term: LeaseTerm) -> bool {
         let Some(lease) = self.leases.get_mut(usize::from(number)) else {
             return true;
         };
@@ -120,9 +120,10 @@
         intact
     }
 
-    /// Handles a restore of the platform from a backup, which may lack recent lease writes. A holder may rely on such a
-    /// write for up to [`HOLD_MS`], so no lease is free before [`EXPIRE_MS`] has passed. Former holders may reappear.
-    pub fn reset(&mut self, now_ms: u64) {
+    /// Handles a reset of the platform to an older copy, which may lack recent lease writes. A holder may rely on such
+    /// a write for up to [`HOLD_TIMEOUT_MS`], so no lease is free before [`LEASE_TIMEOUT_MS`] has passed. Former
+    /// holders may reappear.
+    pub fn handle_reset(&mut self, now_ms: u64) {
         for lease in &mut self.leases {
             lease.former_terms.clear();
             lease.reset_ms = Some(now_ms);
@@ -130,12 +131,16 @@
     }
 
     /// Returns the write that acquires a free lease; `None` if a lease is held or none is free.
-    pub fn take(&self, now_ms: u64, wall_ms: u64) -> Option<Attempt> {
+    pub fn try_acquire(&self, now_ms: u64, wall_ms: u64) -> Option<LeaseWrite> {
         if self.holds(now_ms).is_some() {
             return None;
         }
-        let free = (0..LEASES).find(|it| self.is_free(now_ms, *it))?;
-        Some(self.attempt(now_ms, free, Term { holder: self.name.clone(), taken_ms: wall_ms }))
+        let free = (0..LEASES_PER_ZONE).find(|it| self.is_free(now_ms, *it))?;
+        Some(self.write(
+            now_ms,
+            free,
+            LeaseTerm { holder: self.name.clone(), acquired_ms: wall_ms },
+        ))
     }
 
     fn is_free(&self, now_ms: u64, number: u8) -> bool {
@@ -143,40 +148,40 @@
         let Some(first_seen) = lease.first_seen_ms else {
             return false;
         };
-        if lease.reset_ms.is_some_and(|it| now_ms.saturating_sub(it) < EXPIRE_MS) {
+        if lease.reset_ms.is_some_and(|it| now_ms.saturating_sub(it) < LEASE_TIMEOUT_MS) {
             return false;
         }
         let own = self.held.as_ref().is_some_and(|it| it.number == number);
-        own || lease.term.holder.is_empty() || now_ms.saturating_sub(first_seen) >= EXPIRE_MS
+        own || lease.term.holder.is_empty() || now_ms.saturating_sub(first_seen) >= LEASE_TIMEOUT_MS
     }
 
     /// Returns the write that renews the held lease; `None` after it lapsed, so that it must be acquired again.
-    pub fn renew(&self, now_ms: u64) -> Option<Attempt> {
+    pub fn renew(&self, now_ms: u64) -> Option<LeaseWrite> {
         let number = self.holds(now_ms)?;
         let held = self.held.as_ref()?;
-        Some(self.attempt(now_ms, number, held.term.clone()))
+        Some(self.write(now_ms, number, held.term.clone()))
     }
 
     /// Returns the write that releases the held lease.
-    pub fn release(&self, now_ms: u64) -> Option<Attempt> {
+    pub fn release(&self, now_ms: u64) -> Option<LeaseWrite> {
         let number = self.holds(now_ms)?;
-        Some(self.attempt(now_ms, number, Term::default()))
+        Some(self.write(now_ms, number, LeaseTerm::default()))
     }
 
-    fn attempt(&self, now_ms: u64, number: u8, term: Term) -> Attempt {
-        let base = self.leases[usize::from(number)].version;
-        Attempt { number, base, term, begun_ms: now_ms }
+    fn write(&self, now_ms: u64, number: u8, term: LeaseTerm) -> LeaseWrite {
+        let expected_version = self.leases[usize::from(number)].version;
+        LeaseWrite { number, expected_version, term, begun_ms: now_ms }
     }
 
     /// Records that a write succeeded and stored `version`. After a write that failed or whose outcome is unknown, read
-    /// the lease and pass the result to [`Keeper::observe`].
-    pub fn written(&mut self, now_ms: u64, attempt: &Attempt, version: u64) -> bool {
-        let lease = &mut self.leases[usize::from(attempt.number)];
-        let version_matches = check(Invariant::LeaseHeld, lease.version == attempt.base);
-        let intact = lease.observe(now_ms, version, attempt.term.clone());
-        let released = attempt.term.holder.is_empty();
-        let until_ms = attempt.begun_ms + HOLD_MS;
-        let held = Held { number: attempt.number, term: attempt.term.clone(), until_ms };
+    /// the lease and pass the result to [`LeaseClient::observe`].
+    pub fn confirm_write(&mut self, now_ms: u64, write: &LeaseWrite, version: u64) -> bool {
+        let lease = &mut self.leases[usize::from(write.number)];
+        let version_matches = check(Invariant::LeaseHeld, lease.version == write.expected_version);
+        let intact = lease.observe(now_ms, version, write.term.clone());
+        let released = write.term.holder.is_empty();
+        let until_ms = write.begun_ms + HOLD_TIMEOUT_MS;
+        let held = Held { number: write.number, term: write.term.clone(), until_ms };
         self.held = (!released).then_some(held);
         version_matches && intact
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -7,13 +7,15 @@
 
 pub mod admit;
 pub mod assemble;
+pub mod backoff;
 pub mod budget;
 pub mod candidates;
 pub mod claims;
 pub mod dispatch;
-pub mod gate;
+pub mod failure_detector;
 pub mod invariant;
 pub mod lease;
+pub mod lookup_table;
 pub mod member;
 pub mod mesh;
 pub mod object;
@@ -26,9 +28,7 @@
 pub mod revision;
 pub mod roster;
 pub mod seal;
-pub mod slots;
 pub mod snapshot;
 mod split_mix;
-pub mod suspect;
 pub mod timeline;
 pub mod view;
--- a/crates/core/src/slots.rs
+++ b/crates/core/src/lookup_table.rs
@@ -32,7 +32,7 @@
 
 /// The lookup table. Members are numbered by their position in the input list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Slots {
+pub struct LookupTable {
     entries: Box<[u16]>,
     count: usize,
 }
@@ -60,14 +60,14 @@
     }
 }
 
-impl Slots {
+impl LookupTable {
     /// Builds the table for `members`. Weights must be finite and not negative; a member with weight 0 gets no entry.
-    pub fn new(members: &[Member<'_>]) -> Slots {
+    pub fn new(members: &[Member<'_>]) -> LookupTable {
         let members = &members[..members.len().min(MAX_MEMBERS)];
         let weights: Vec<f64> = members.iter().map(|it| it.weight).collect();
         let total: f64 = weights.iter().sum();
         if total <= 0.0 {
-            return Slots { entries: Box::default(), count: 0 };
+            return LookupTable { entries: Box::default(), count: 0 };
         }
         let size = (members.len() * ENTRIES_PER_MEMBER).clamp(MIN_ENTRIES, MAX_ENTRIES);
         let size = size.next_power_of_two();
@@ -83,7 +83,7 @@
                 }
             }
         }
-        Slots { entries, count: members.len() }
+        LookupTable { entries, count: members.len() }
     }
 
     /// Whether the table has no members.
--- a/crates/core/src/member.rs
+++ b/crates/core/src/member.rs
@@ -29,7 +29,7 @@
     Leaving,
     /// Unreachable for some seconds and possibly paused; receives only packets of its own flows.
     Silent,
-    /// Declared dead by the balancers it was connected to.
+    /// Declared down by the balancers it was connected to.
     Down,
 }
 
@@ -47,7 +47,7 @@
     }
 
     /// Whether packets of its flows are still sent to the agent.
-    pub fn answers(self) -> bool {
+    pub fn is_alive(self) -> bool {
         self != AgentState::Down
     }
 }
@@ -83,7 +83,7 @@
     Ready,
     /// Shutting down.
     Leaving,
-    /// Declared dead by its neighbours.
+    /// Declared down by its neighbours.
     Down,
 }
 
--- a/crates/core/src/mesh.rs
+++ b/crates/core/src/mesh.rs
@@ -8,9 +8,9 @@
 use siphasher::sip::SipHasher13;
 
 /// Number of links that a balancer opens; it accepts as many on average.
-pub const DIALS: usize = 4;
+pub const OUTGOING_LINKS: usize = 4;
 /// Number of balancers that an agent connects to.
-pub const HOMES: usize = 2;
+pub const BALANCERS_PER_AGENT: usize = 2;
 
 /// A balancer that links may be opened to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,13 +35,13 @@
     }
     chosen.push(names.remove(successor));
     names.sort_unstable_by_key(|it| std::cmp::Reverse((score(me, it), *it)));
-    chosen.extend(names.into_iter().take(DIALS - 1));
+    chosen.extend(names.into_iter().take(OUTGOING_LINKS - 1));
     chosen
 }
 
 /// Names of the balancers that the agent `me` connects to: one in its zone if possible, the others in other zones, so
 /// that one remains if a zone fails.
-pub fn homes<'a>(me: &str, zone: &str, peers: &[Peer<'a>]) -> Vec<&'a str> {
+pub fn balancers_for_agent<'a>(me: &str, zone: &str, peers: &[Peer<'a>]) -> Vec<&'a str> {
     let mut ranked: Vec<Peer<'a>> = peers.to_vec();
     ranked.sort_unstable_by_key(|it| std::cmp::Reverse((score(me, it.name), it.name)));
     ranked.dedup();
@@ -49,7 +49,7 @@
     let mut chosen: Vec<&str> = same_zone.into_iter().collect();
     let other_zones = ranked.iter().filter(|it| it.zone != zone);
     for peer in other_zones.chain(ranked.iter().filter(|it| it.zone == zone)) {
-        if chosen.len() == HOMES {
+        if chosen.len() == BALANCERS_PER_AGENT {
             break;
         }
         if !chosen.contains(&peer.name) {
--- a/crates/core/src/object.rs
+++ b/crates/core/src/object.rs
@@ -11,9 +11,9 @@
 use thiserror::Error;
 
 /// Maximum size of an object in bytes.
-pub const MAX_OBJECT: usize = 1 << 20;
+pub const MAX_OBJECT_BYTES: usize = 1 << 20;
 /// Name of the only object of kind `keys`.
-pub const KEYS_NAME: &str = "fleet";
+pub const KEYS_OBJECT_NAME: &str = "fleet";
 
 /// Kind of an object that the system stores in the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -192,7 +192,7 @@
 
 impl Target {
     /// Whether the target includes the process with this name, VM and zone.
-    pub fn covers(&self, name: &str, vm: &str, zone: &str) -> bool {
+    pub fn matches(&self, name: &str, vm: &str, zone: &str) -> bool {
         match self {
             Target::Upstream(it) => it == name,
             Target::Vm(it) => it == vm,
@@ -413,10 +413,10 @@
 }
 
 fn check_keys(at: &str, name: &str, it: &Keys) -> Result<(), SpecError> {
-    if name != KEYS_NAME {
+    if name != KEYS_OBJECT_NAME {
         return Err(SpecError::new(
             at,
-            format!("the only object of this kind is named {KEYS_NAME:?}"),
+            format!("the only object of this kind is named {KEYS_OBJECT_NAME:?}"),
         ));
     }
     let mut epochs = BTreeSet::new();
--- a/crates/core/src/opaque/zone.rs
+++ b/crates/core/src/opaque/zone.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::PoolId;
-use crate::revision::{Revision, WRITTEN_AGAIN_MS};
+use crate::revision::{RESET_GRACE_MS, Revision};
 
 /// An availability zone, by a hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -141,7 +141,7 @@
 
     /// Merges lost entries reported by a peer; true if this adds any.
     pub(super) fn merge_lost(&mut self, names: Vec<String>, now_ms: u64) -> bool {
-        let until_ms = *self.first_update_ms.get_or_insert(now_ms) + WRITTEN_AGAIN_MS;
+        let until_ms = *self.first_update_ms.get_or_insert(now_ms) + RESET_GRACE_MS;
         if now_ms >= until_ms {
             return false;
         }
@@ -165,10 +165,8 @@
                 return ZoneNews::Stale;
             }
             if update.revision.era > known.revision.era {
-                let lost = |it: &String| LostZone {
-                    name: it.clone(),
-                    until_ms: now_ms + WRITTEN_AGAIN_MS,
-                };
+                let lost =
+                    |it: &String| LostZone { name: it.clone(), until_ms: now_ms + RESET_GRACE_MS };
                 self.lost.extend(known.names.iter().map(|(&zone, it)| (zone, lost(it))));
             }
         }
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -10,10 +10,10 @@
 /// Backoff after a refusal, unless the peer returned a longer retry delay.
 const MIN_BACKOFF_MS: u64 = 50;
 const MAX_BACKOFF_MS: u64 = 1_000;
-/// Age after which a hint is ignored.
-const HINT_TTL_MS: u64 = 2_000;
+/// Age after which a known load is ignored.
+const LOAD_TTL_MS: u64 = 2_000;
 /// Number of peers selected for one request.
-const MAX_DRAWN: usize = 3;
+const MAX_SELECTED: usize = 3;
 
 /// A peer that may accept a request.
 #[derive(Clone, Copy, Debug)]
@@ -21,13 +21,13 @@
     /// Name of the agent.
     pub name: &'a str,
     /// Whether it is in the local zone.
-    pub near: bool,
+    pub same_zone: bool,
     /// Weight within the service.
     pub weight: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Hint {
+struct PeerLoad {
     load: f64,
     at: u64,
     closed_until: u64,
@@ -35,28 +35,28 @@
 
 /// Last known load of peers.
 #[derive(Clone, Debug, Default)]
-pub struct Hints {
-    by_name: BTreeMap<String, Hint>,
+pub struct PeerLoads {
+    by_name: BTreeMap<String, PeerLoad>,
 }
 
-impl Hints {
-    /// Creates an empty set of hints.
-    pub fn new() -> Hints {
-        Hints::default()
+impl PeerLoads {
+    /// Creates an empty set.
+    pub fn new() -> PeerLoads {
+        PeerLoads::default()
     }
 
     /// Records that a peer accepted a request; `load` is the share of its slots in use.
-    pub fn took(&mut self, name: &str, load: f64, now: u64) {
-        self.by_name.insert(name.to_owned(), Hint { load, at: now, closed_until: 0 });
+    pub fn record_accepted(&mut self, name: &str, load: f64, now: u64) {
+        self.by_name.insert(name.to_owned(), PeerLoad { load, at: now, closed_until: 0 });
     }
 
     /// Records that a peer refused a request or was unreachable.
-    pub fn refused(&mut self, name: &str, retry_ms: u64, now: u64) {
+    pub fn record_refused(&mut self, name: &str, retry_ms: u64, now: u64) {
         let closed_until = now + retry_ms.clamp(MIN_BACKOFF_MS, MAX_BACKOFF_MS);
-        self.by_name.insert(name.to_owned(), Hint { load: 1.0, at: now, closed_until });
+        self.by_name.insert(name.to_owned(), PeerLoad { load: 1.0, at: now, closed_until });
     }
 
-    /// Removes the hints of peers for which `keep` returns false.
+    /// Removes the loads of peers for which `keep` returns false.
     pub fn retain<F>(&mut self, keep: F)
     where
         F: Fn(&str) -> bool,
@@ -65,7 +65,7 @@
     }
 
     /// Names of the peers to forward a request to, best first.
-    pub fn draw<'a>(
+    pub fn select<'a>(
         &self,
         peers: &[Peer<'a>],
         policy: Policy,
@@ -77,21 +77,21 @@
             .copied()
             .filter(|it| it.weight > 0.0 && self.is_open(it.name, now))
             .collect();
-        let mut drawn = Vec::with_capacity(MAX_DRAWN);
+        let mut selected = Vec::with_capacity(MAX_SELECTED);
         let mut state = seed;
-        while drawn.len() < MAX_DRAWN && !open.is_empty() {
+        while selected.len() < MAX_SELECTED && !open.is_empty() {
             let at = pick_weighted(&open, &mut state);
-            drawn.push(open.swap_remove(at));
+            selected.push(open.swap_remove(at));
         }
         let key = |it: &Peer<'_>| {
-            let far = policy == Policy::Steady && !it.near;
+            let far = policy == Policy::Steady && !it.same_zone;
             (far, self.load(it.name, now))
         };
-        drawn.sort_by(|a, b| {
+        selected.sort_by(|a, b| {
             let (a, b) = (key(a), key(b));
             a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
         });
-        drawn.into_iter().map(|it| it.name).collect()
+        selected.into_iter().map(|it| it.name).collect()
     }
 
     fn is_open(&self, name: &str, now: u64) -> bool {
@@ -100,7 +100,7 @@
 
     fn load(&self, name: &str, now: u64) -> f64 {
         match self.by_name.get(name) {
-            Some(it) if now < it.at + HINT_TTL_MS => it.load,
+            Some(it) if now < it.at + LOAD_TTL_MS => it.load,
             _ => 0.5,
         }
     }
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -17,22 +17,22 @@
 use crate::{
     candidates::Candidates,
     invariant::{self, Invariant},
+    lookup_table::{LookupTable, Member},
     member::Agent,
     object::ServiceId,
     packet::{Form, Packet},
-    seal::{Home, KeyRing, sealable},
-    slots::{Member, Slots},
+    seal::{FlowOwner, KeyRing, sealable},
     snapshot::{ServiceEntry, Snapshot},
 };
 
 /// Smallest datagram that may start a flow (RFC 9000, section 14.1).
 pub const MIN_INITIAL: usize = 1_200;
 /// Time for which an address keeps serving flows of a service that used it before, in milliseconds.
-pub const FORMER_MS: u64 = 24 * 3_600 * 1_000;
+pub const REMOVED_SERVICE_TTL_MS: u64 = 24 * 3_600 * 1_000;
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Refusal {
+pub enum DropReason {
     /// Not a valid QUIC packet of a caller.
     Garbage,
     /// Starts a flow but is smaller than [`MIN_INITIAL`].
@@ -45,7 +45,7 @@
     WrongService,
     /// The service has no agent.
     NoUpstream,
-    /// The flow's agent is dead, and a packet of this form can't be answered with a reset.
+    /// The flow's agent is down, and a packet of this form can't be answered with a reset.
     OwnerDown,
     /// No service uses this address any more.
     NoService,
@@ -53,32 +53,32 @@
     NoKeys,
 }
 
-impl Refusal {
+impl DropReason {
     /// All refusals, in numeric order.
-    pub const ALL: [Refusal; 9] = [
-        Refusal::Garbage,
-        Refusal::Small,
-        Refusal::Forged,
-        Refusal::Epoch,
-        Refusal::WrongService,
-        Refusal::NoUpstream,
-        Refusal::OwnerDown,
-        Refusal::NoService,
-        Refusal::NoKeys,
+    pub const ALL: [DropReason; 9] = [
+        DropReason::Garbage,
+        DropReason::Small,
+        DropReason::Forged,
+        DropReason::Epoch,
+        DropReason::WrongService,
+        DropReason::NoUpstream,
+        DropReason::OwnerDown,
+        DropReason::NoService,
+        DropReason::NoKeys,
     ];
 
     /// Name used in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Refusal::Garbage => "garbage",
-            Refusal::Small => "small",
-            Refusal::Forged => "forged",
-            Refusal::Epoch => "epoch",
-            Refusal::WrongService => "wrong-service",
-            Refusal::NoUpstream => "no-upstream",
-            Refusal::OwnerDown => "owner-down",
-            Refusal::NoService => "no-service",
-            Refusal::NoKeys => "no-keys",
+            DropReason::Garbage => "garbage",
+            DropReason::Small => "small",
+            DropReason::Forged => "forged",
+            DropReason::Epoch => "epoch",
+            DropReason::WrongService => "wrong-service",
+            DropReason::NoUpstream => "no-upstream",
+            DropReason::OwnerDown => "owner-down",
+            DropReason::NoService => "no-service",
+            DropReason::NoKeys => "no-keys",
         }
     }
 }
@@ -89,7 +89,7 @@
     /// To the agent that holds the flow.
     Owner {
         /// Agent and service.
-        home: Home,
+        owner: FlowOwner,
         /// Whether the agent is a known member.
         known: bool,
     },
@@ -100,10 +100,10 @@
         /// At least one agent.
         candidates: Candidates,
     },
-    /// To a live agent that sends a stateless reset because the flow's agent is dead.
-    Reset(Home),
+    /// To a live agent that sends a stateless reset because the flow's agent is down.
+    Reset(FlowOwner),
     /// The datagram is dropped.
-    Drop(Refusal),
+    Drop(DropReason),
 }
 
 /// An address that receives datagrams from callers.
@@ -134,14 +134,14 @@
 #[derive(Debug)]
 struct Pool {
     members: Vec<TableMember>,
-    table: Slots,
+    table: LookupTable,
 }
 
 impl Pool {
     fn new(members: Vec<TableMember>) -> Pool {
         let weighted: Vec<Member<'_>> =
             members.iter().map(|it| Member { name: &it.name, weight: it.weight }).collect();
-        let table = Slots::new(&weighted);
+        let table = LookupTable::new(&weighted);
         Pool { members, table }
     }
 
@@ -154,10 +154,10 @@
     }
 }
 
-/// Whether a live agent uses a data address. A live agent takes precedence over a dead one with the same address.
+/// Whether a live agent uses a data address. A live agent takes precedence over one that is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Liveness {
-    Dead,
+    Down,
     Alive,
 }
 
@@ -172,7 +172,7 @@
 
 impl Placer {
     /// Builds the placer for a snapshot. Reuses unchanged tables of the previous placer and keeps the former services
-    /// of an address for [`FORMER_MS`].
+    /// of an address for [`REMOVED_SERVICE_TTL_MS`].
     pub fn new(snapshot: &Snapshot, previous: Option<&Placer>, now_ms: u64) -> Placer {
         Placer {
             ring: snapshot.keys.as_ref().and_then(KeyRing::new),
@@ -201,17 +201,17 @@
     #[inline]
     pub fn place(&self, listener: &Listener, caller: SocketAddr, datagram: &[u8]) -> Placement {
         let Some(ring) = &self.ring else {
-            return Placement::Drop(Refusal::NoKeys);
+            return Placement::Drop(DropReason::NoKeys);
         };
         let Some(packet) = Packet::parse(datagram) else {
-            return Placement::Drop(Refusal::Garbage);
+            return Placement::Drop(DropReason::Garbage);
         };
         let placement = match ring.open(packet.cid) {
-            Some(home) => self.place_established(listener, caller, &packet, home),
+            Some(owner) => self.place_established(listener, caller, &packet, owner),
             None if packet.form == Form::First => self.place_new(ring, listener, caller, &packet),
-            None if has_epoch(ring, packet.cid) => Placement::Drop(Refusal::Forged),
+            None if has_epoch(ring, packet.cid) => Placement::Drop(DropReason::Forged),
             // The key may not have been synced yet; a reset would end a live flow.
-            None => Placement::Drop(Refusal::Epoch),
+            None => Placement::Drop(DropReason::Epoch),
         };
         check_service(listener, placement)
     }
@@ -221,15 +221,15 @@
         listener: &Listener,
         caller: SocketAddr,
         packet: &Packet<'_>,
-        home: Home,
+        owner: FlowOwner,
     ) -> Placement {
-        if !listener.serves(home.service) {
-            return Placement::Drop(Refusal::WrongService);
+        if !listener.serves(owner.service) {
+            return Placement::Drop(DropReason::WrongService);
         }
-        match self.agents.get(&home.agent) {
-            Some(Liveness::Alive) => Placement::Owner { home, known: true },
-            None => Placement::Owner { home, known: false },
-            Some(Liveness::Dead) => self.place_reset(caller, packet, home.service),
+        match self.agents.get(&owner.agent) {
+            Some(Liveness::Alive) => Placement::Owner { owner, known: true },
+            None => Placement::Owner { owner, known: false },
+            Some(Liveness::Down) => self.place_reset(caller, packet, owner.service),
         }
     }
 
@@ -241,7 +241,7 @@
         service: ServiceId,
     ) -> Placement {
         if packet.form != Form::Short {
-            return Placement::Drop(Refusal::OwnerDown);
+            return Placement::Drop(DropReason::OwnerDown);
         }
         let hash = flow_hash(&[0; 16], caller, packet.cid);
         let agent = self.pools.get(&service).and_then(|it| {
@@ -249,8 +249,8 @@
             candidates.as_slice().first().copied()
         });
         match agent {
-            Some(agent) => Placement::Reset(Home { agent, service }),
-            None => Placement::Drop(Refusal::OwnerDown),
+            Some(agent) => Placement::Reset(FlowOwner { agent, service }),
+            None => Placement::Drop(DropReason::OwnerDown),
         }
     }
 
@@ -262,17 +262,17 @@
         packet: &Packet<'_>,
     ) -> Placement {
         if packet.len < MIN_INITIAL {
-            return Placement::Drop(Refusal::Small);
+            return Placement::Drop(DropReason::Small);
         }
         let Some(service) = listener.service else {
-            return Placement::Drop(Refusal::NoService);
+            return Placement::Drop(DropReason::NoService);
         };
         let Some(pool) = self.pools.get(&service) else {
-            return Placement::Drop(Refusal::NoUpstream);
+            return Placement::Drop(DropReason::NoUpstream);
         };
         let candidates = pool.candidates(flow_hash(ring.place_key(), caller, packet.cid));
         if candidates.as_slice().is_empty() {
-            return Placement::Drop(Refusal::NoUpstream);
+            return Placement::Drop(DropReason::NoUpstream);
         }
         Placement::New { service, candidates }
     }
@@ -280,14 +280,14 @@
 
 fn check_service(listener: &Listener, placement: Placement) -> Placement {
     let service = match placement {
-        Placement::Owner { home, .. } | Placement::Reset(home) => home.service,
+        Placement::Owner { owner, .. } | Placement::Reset(owner) => owner.service,
         Placement::New { service, .. } => service,
         Placement::Drop(_) => return placement,
     };
     if invariant::check(Invariant::SameService, listener.serves(service)) {
         placement
     } else {
-        Placement::Drop(Refusal::WrongService)
+        Placement::Drop(DropReason::WrongService)
     }
 }
 
@@ -316,7 +316,7 @@
         let mut former = old.former.clone();
         former.retain(|_, until| *until > now_ms);
         if let Some(service) = old.service {
-            former.insert(service, now_ms + FORMER_MS);
+            former.insert(service, now_ms + REMOVED_SERVICE_TTL_MS);
         }
         listeners.insert(address, Listener { service: None, former });
     }
@@ -332,7 +332,7 @@
 fn pools(snapshot: &Snapshot, previous: Option<&Placer>) -> FxHashMap<ServiceId, Arc<Pool>> {
     let mut by_pool: FxHashMap<&str, Vec<&Agent>> = FxHashMap::default();
     for agent in snapshot.agents.values() {
-        if agent.state.answers() {
+        if agent.state.is_alive() {
             by_pool.entry(&agent.pool).or_default().push(agent);
         }
     }
@@ -367,7 +367,7 @@
         let Some(data) = sealable(agent.data) else {
             continue;
         };
-        let found = if agent.state.answers() { Liveness::Alive } else { Liveness::Dead };
+        let found = if agent.state.is_alive() { Liveness::Alive } else { Liveness::Down };
         let known = agents.entry(data).or_insert(found);
         *known = found.max(*known);
     }
--- a/crates/core/src/record.rs
+++ b/crates/core/src/record.rs
@@ -51,7 +51,7 @@
         /// The agent.
         agent: Agent,
         /// Names of the balancers that monitor it.
-        homes: Vec<String>,
+        balancers: Vec<String>,
     },
     /// A balancer and the lease it holds.
     Balancer {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Whether the member was declared dead.
+    /// Whether the member was declared down.
     pub fn is_down(&self) -> bool {
         match &self.role {
             Role::Agent { agent, .. } => agent.state == AgentState::Down,
@@ -98,12 +98,12 @@
         }
     }
 
-    /// Announcement by another process that this member is silent. A balancer is declared dead at once, since it holds
+    /// Announcement by another process that this member is silent. A balancer is declared down at once, since it holds
     /// no flows.
-    pub fn silent(&self, wall_ms: u64) -> Member {
+    pub fn as_silent(&self, wall_ms: u64) -> Member {
         let mut it = self.clone();
         let Role::Agent { agent, .. } = &mut it.role else {
-            return self.down(wall_ms);
+            return self.as_down(wall_ms);
         };
         agent.state = AgentState::Silent;
         it.version = self.version.next();
@@ -111,15 +111,15 @@
         it
     }
 
-    /// Announcement by another process that this member is dead.
-    pub fn down(&self, wall_ms: u64) -> Member {
+    /// Announcement by another process that this member is down.
+    pub fn as_down(&self, wall_ms: u64) -> Member {
         let mut it = self.clone();
         it.version = self.version.next();
         it.since_ms = wall_ms;
         match &mut it.role {
-            Role::Agent { agent, homes } => {
+            Role::Agent { agent, balancers } => {
                 agent.state = AgentState::Down;
-                homes.clear();
+                balancers.clear();
             }
             Role::Balancer { balancer, lease } => {
                 balancer.state = BalancerState::Down;
@@ -186,11 +186,11 @@
 
 /// States that a process holds all configuration up to a revision.
 ///
-/// A receiver adopts the revision only if its own objects have the same sum; a difference reveals a missing record,
-/// which it then fetches. The mark includes the deletions since the last list, because the sum does not reveal a missed
-/// deletion and a third process could restore the object.
+/// A receiver applies the watermark only if its own objects have the same sum; a difference reveals a missing record,
+/// which it then fetches. The watermark includes the deletions since the last list, because the sum does not reveal a
+/// missed deletion and a third process could bring back the object.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Mark {
+pub struct Watermark {
     /// Revision up to which the configuration is complete.
     pub revision: u64,
     /// Revision confirmed by a list of the platform.
--- a/crates/core/src/report.rs
+++ b/crates/core/src/report.rs
@@ -1,6 +1,6 @@
 //! Zone reports, written by the holders of leases.
 //!
-//! A lease and the brief report of its zone are one object, so that a write by a former holder fails its version check.
+//! A lease and the summary of its zone are one object, so that a write by a former holder fails its version check.
 //! The lease is read and written often, so data that grows with the zone is kept in a separate object. The holder
 //! writes this full report less often the larger it is.
 
@@ -11,11 +11,11 @@
 /// Prefix of the names of lease objects.
 pub const LEASE_PREFIX: &str = "seed-";
 
-/// Maximum number of lagging processes in a brief report.
-pub const BRIEF_BEHIND: usize = 32;
+/// Maximum number of lagging processes in a summary.
+pub const MAX_SUMMARY_LAGGING: usize = 32;
 
-/// Maximum number of revisions in a brief report; the newest are kept.
-pub const BRIEF_CHANGES: usize = 16;
+/// Maximum number of revisions in a summary; the newest are kept.
+pub const MAX_SUMMARY_CHANGES: usize = 16;
 
 /// Spec of a lease object.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -28,7 +28,7 @@
     /// When the holder acquired the lease, in milliseconds since 1970.
     #[serde(rename = "taken_at_ms")]
     pub taken_ms: u64,
-    /// The holder's latest brief report, if any.
+    /// The holder's latest summary, if any.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub report: Option<Report>,
 }
@@ -56,10 +56,10 @@
     pub processes: u32,
     /// Number of processes whose revision is lower than `known`.
     pub lagging: u32,
-    /// Processes whose revision is lower than `known`; truncated in a brief report.
-    pub behind: Vec<Behind>,
+    /// Processes whose revision is lower than `known`; truncated in a summary.
+    pub behind: Vec<LaggingProcess>,
     /// Latest revisions with their rollout times.
-    pub changes: Vec<Applied>,
+    pub changes: Vec<RevisionTiming>,
     /// Upstreams in the zone.
     pub upstreams: Vec<UpstreamStatus>,
     /// Balancers in the zone.
@@ -68,23 +68,23 @@
 
 impl Report {
     /// Returns the report without the parts that grow with the zone.
-    pub fn brief(&self) -> Report {
+    pub fn summary(&self) -> Report {
         let mut it = Report { upstreams: Vec::new(), balancers: Vec::new(), ..self.clone() };
-        it.behind.truncate(BRIEF_BEHIND);
-        it.changes.drain(..it.changes.len().saturating_sub(BRIEF_CHANGES));
+        it.behind.truncate(MAX_SUMMARY_LAGGING);
+        it.changes.drain(..it.changes.len().saturating_sub(MAX_SUMMARY_CHANGES));
         it
     }
 
-    /// Returns this brief report with the upstreams and balancers of a full one.
-    pub fn with_members(self, whole: Report) -> Report {
-        Report { upstreams: whole.upstreams, balancers: whole.balancers, ..self }
+    /// Returns this summary with the upstreams and balancers of a full one.
+    pub fn with_full_report_members(self, full: Report) -> Report {
+        Report { upstreams: full.upstreams, balancers: full.balancers, ..self }
     }
 }
 
 /// A process whose revision is lower than the latest known one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Behind {
+pub struct LaggingProcess {
     /// Name of the process.
     pub name: String,
     /// Revision in force at the process.
@@ -94,20 +94,19 @@
 /// Rollout time of a revision in a zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Applied {
+pub struct RevisionTiming {
     /// The revision.
     pub revision: u64,
     /// When the zone first saw it, in milliseconds since 1970.
     pub seen_ms: u64,
     /// When it became in force at every process of the zone, in milliseconds since 1970.
-    #[serde(rename = "in_force_ms")]
-    pub done_ms: u64,
+    pub in_force_ms: u64,
 }
 
 /// State of an upstream or a balancer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum MemberState {
     /// Accepts new work.
     Ready,
     /// Accepts no new work because of a planned change; work in progress finishes.
@@ -122,15 +121,15 @@
     Other,
 }
 
-impl State {
+impl MemberState {
     /// Name of the state in a report.
     pub fn as_str(self) -> &'static str {
         match self {
-            State::Ready => "ready",
-            State::Draining => "draining",
-            State::Leaving => "leaving",
-            State::Down => "down",
-            State::Other => "other",
+            MemberState::Ready => "ready",
+            MemberState::Draining => "draining",
+            MemberState::Leaving => "leaving",
+            MemberState::Down => "down",
+            MemberState::Other => "other",
         }
     }
 }
@@ -148,7 +147,7 @@
     /// Availability zone of the VM.
     pub zone: String,
     /// What it is doing.
-    pub state: State,
+    pub state: MemberState,
     /// Number of open flows.
     pub flows: u32,
     /// Number of slots in use.
@@ -173,13 +172,13 @@
     /// Availability zone of the VM.
     pub zone: String,
     /// What it is doing.
-    pub state: State,
+    pub state: MemberState,
     /// Revision in force there.
     pub in_force: u64,
 }
 
 /// Returns the latest report of each zone.
-pub fn freshest<I>(reports: I) -> BTreeMap<String, Report>
+pub fn latest_by_zone<I>(reports: I) -> BTreeMap<String, Report>
 where
     I: IntoIterator<Item = Report>,
 {
@@ -194,6 +193,6 @@
 }
 
 /// Highest revision that is in force in every zone; `None` without reports.
-pub fn in_force(zones: &BTreeMap<String, Report>) -> Option<u64> {
+pub fn in_force_in_all_zones(zones: &BTreeMap<String, Report>) -> Option<u64> {
     zones.values().map(|it| it.in_force).min()
 }
--- a/crates/core/src/revision.rs
+++ b/crates/core/src/revision.rs
@@ -31,15 +31,15 @@
     era.ok_or_else(|| EraError { header, value: text.into_owned() })
 }
 
-/// Time after a restore of the store from a backup in which its writers write lost objects again, in milliseconds.
+/// Time after a reset of the store in which its writers write lost objects again, in milliseconds.
 /// Until then, an object missing from the store may still be in force.
-pub const WRITTEN_AGAIN_MS: u64 = 10_000;
+pub const RESET_GRACE_MS: u64 = 10_000;
 
-/// A revision of the store. The number increases with each change. A new era begins when the store is restored from an
-/// older backup, since numbers are then reused.
+/// A revision of the store. The number increases with each change. A new era begins when the store is reset to an older
+/// copy, since numbers are then reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Revision {
-    /// Number of restores from a backup; compared first.
+    /// Number of resets; compared first.
     pub era: u64,
     /// Number within the era.
     pub number: u64,
--- a/crates/core/src/seal.rs
+++ b/crates/core/src/seal.rs
@@ -30,7 +30,7 @@
 
 /// Owner of a flow: the content of a sealed connection ID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Home {
+pub struct FlowOwner {
     /// Data address of the agent that terminates the flow.
     pub agent: SocketAddrV4,
     /// Service of the flow.
@@ -107,13 +107,13 @@
         self.keys[self.sealing].epoch
     }
 
-    /// Seals `home` into a connection ID with the sealing key.
-    pub fn seal(&self, home: Home, nonce: [u8; NONCE_LEN]) -> [u8; CID_LEN] {
+    /// Seals `owner` into a connection ID with the sealing key.
+    pub fn seal(&self, owner: FlowOwner, nonce: [u8; NONCE_LEN]) -> [u8; CID_LEN] {
         let key = &self.keys[self.sealing];
         let mut block = Block::default();
-        block[..4].copy_from_slice(&home.agent.ip().octets());
-        block[4..6].copy_from_slice(&home.agent.port().to_be_bytes());
-        block[6..10].copy_from_slice(&home.service.0.to_be_bytes());
+        block[..4].copy_from_slice(&owner.agent.ip().octets());
+        block[4..6].copy_from_slice(&owner.agent.port().to_be_bytes());
+        block[6..10].copy_from_slice(&owner.service.0.to_be_bytes());
         block[10..13].copy_from_slice(&nonce);
         key.cid.encrypt_block(&mut block);
         let mut cid = [0; CID_LEN];
@@ -125,7 +125,7 @@
 
     /// Opens a connection ID; `None` if it was not sealed with a key of this ring.
     #[inline]
-    pub fn open(&self, cid: &[u8]) -> Option<Home> {
+    pub fn open(&self, cid: &[u8]) -> Option<FlowOwner> {
         let cid: &[u8; CID_LEN] = cid.try_into().ok()?;
         let key = self.key(cid[0])?;
         let mut block = Block::clone_from_slice(&cid[BLOCK_OFFSET..]);
@@ -136,7 +136,7 @@
         let ip = Ipv4Addr::new(block[0], block[1], block[2], block[3]);
         let port = u16::from_be_bytes([block[4], block[5]]);
         let service = u32::from_be_bytes([block[6], block[7], block[8], block[9]]);
-        Some(Home { agent: SocketAddrV4::new(ip, port), service: ServiceId(service) })
+        Some(FlowOwner { agent: SocketAddrV4::new(ip, port), service: ServiceId(service) })
     }
 
     /// Key for encapsulated packets of `epoch`, if known.
--- a/crates/core/src/snapshot.rs
+++ b/crates/core/src/snapshot.rs
@@ -43,7 +43,7 @@
     pub certificates: BTreeMap<String, Certificate>,
     /// Keys of the fleet.
     pub keys: Option<Keys>,
-    /// Agents by name, including dead ones until they are removed.
+    /// Agents by name, including those that are down until they are removed.
     pub agents: BTreeMap<String, Agent>,
     /// Incarnations of the agents, by name.
     pub incarnations: BTreeMap<String, u64>,
@@ -53,14 +53,15 @@
 
 impl Snapshot {
     /// Whether a planned drain applies to the process with this name, VM and zone.
-    pub fn drains(&self, name: &str, vm: &str, zone: &str) -> bool {
-        let covers = |target: &Target| target.covers(name, vm, zone);
+    pub fn is_draining(&self, name: &str, vm: &str, zone: &str) -> bool {
+        let covers = |target: &Target| target.matches(name, vm, zone);
         self.changes.values().any(|it| covers(&it.target))
     }
 
     /// Whether new flows and forwarded requests may be sent to `agent`.
     pub fn takes_work(&self, agent: &Agent) -> bool {
-        agent.state.takes_work() && !self.drains(&agent.name, &agent.place.vm, &agent.place.zone)
+        agent.state.takes_work()
+            && !self.is_draining(&agent.name, &agent.place.vm, &agent.place.zone)
     }
 
     /// Agents of the service's pool that accept new work, sorted by name.
--- a/crates/core/src/timeline.rs
+++ b/crates/core/src/timeline.rs
@@ -16,18 +16,18 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Stamp {
+pub struct HlcTimestamp {
     /// Milliseconds since 1970; never lower than in an event that this one depends on.
     pub ms: u64,
     /// Orders stamps of the same millisecond.
     pub counter: u32,
 }
 
-impl Stamp {
-    fn next(self) -> Stamp {
+impl HlcTimestamp {
+    fn next(self) -> HlcTimestamp {
         match self.counter.checked_add(1) {
-            Some(counter) => Stamp { ms: self.ms, counter },
-            None => Stamp { ms: self.ms.saturating_add(1), counter: 0 },
+            Some(counter) => HlcTimestamp { ms: self.ms, counter },
+            None => HlcTimestamp { ms: self.ms.saturating_add(1), counter: 0 },
         }
     }
 }
@@ -35,18 +35,18 @@
 /// Hybrid logical clock of one process.
 #[derive(Clone, Debug, Default)]
 pub struct Hlc {
-    last: Stamp,
+    last: HlcTimestamp,
 }
 
 impl Hlc {
     /// Creates a clock at zero.
     pub const fn new() -> Hlc {
-        Hlc { last: Stamp { ms: 0, counter: 0 } }
+        Hlc { last: HlcTimestamp { ms: 0, counter: 0 } }
     }
 
     /// Returns the stamp of a local event or an outgoing message. Stamps strictly increase.
-    pub fn tick(&mut self, now_ms: u64) -> Stamp {
-        let wall = Stamp { ms: now_ms, counter: 0 };
+    pub fn tick(&mut self, now_ms: u64) -> HlcTimestamp {
+        let wall = HlcTimestamp { ms: now_ms, counter: 0 };
         self.last = if wall > self.last { wall } else { self.last.next() };
         self.last
     }
@@ -54,7 +54,7 @@
     /// Merges the stamp of a received message; later ticks are higher than it.
     ///
     /// Returns false and ignores a stamp that is more than [`MAX_AHEAD_MS`] ahead of `now_ms`.
-    pub fn observe(&mut self, now_ms: u64, seen: Stamp) -> bool {
+    pub fn observe(&mut self, now_ms: u64, seen: HlcTimestamp) -> bool {
         if seen.ms > now_ms.saturating_add(MAX_AHEAD_MS) {
             return false;
         }
@@ -69,7 +69,7 @@
 pub struct Event {
     /// When it happened, by the process's hybrid logical clock.
     #[serde(flatten)]
-    pub stamp: Stamp,
+    pub stamp: HlcTimestamp,
     /// Name of the process.
     pub process: String,
     /// Sequence number within the process, starting at 0.
@@ -99,7 +99,7 @@
 /// Includes the stamp because a restarted process numbers its events from 0 again.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EventKey {
-    stamp: Stamp,
+    stamp: HlcTimestamp,
     process: String,
     seq: u64,
 }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -14,14 +14,14 @@
 
 use crate::{
     object::{Kind, Object},
-    record::{Deletion, Key, Mark, Member, Record, Role, Version},
+    record::{Deletion, Key, Member, Record, Role, Version, Watermark},
     revision::Revision,
 };
 
 /// Number of hash buckets into which records are grouped for comparison.
-pub const BUCKETS: usize = 64;
-/// Retention time of a member that was declared dead, in milliseconds.
-pub const FORGET_MS: u64 = 3_600_000;
+pub const BUCKET_COUNT: usize = 64;
+/// Retention time of a member that was declared down, in milliseconds.
+pub const DOWN_MEMBER_TTL_MS: u64 = 3_600_000;
 
 /// The records that are synced to a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Comparison {
     /// Records that the peer lacks.
-    pub lacking: Vec<Record>,
+    pub missing_at_peer: Vec<Record>,
     /// Deletions found by the comparison and applied locally.
     pub deleted: Vec<Record>,
 }
@@ -182,7 +182,7 @@
     /// Applies the complete list of a kind as of `revision`; returns the changes.
     ///
     /// A stored object at or below `revision` that is not in the list was deleted.
-    pub fn take_list(&mut self, kind: Kind, objects: &[Object], revision: u64) -> Vec<Record> {
+    pub fn merge_list(&mut self, kind: Kind, objects: &[Object], revision: u64) -> Vec<Record> {
         let mut changed = self.store_newer(kind, objects);
         let listed: BTreeSet<&str> = objects.iter().map(|it| it.name.as_str()).collect();
         for ((it, name), state) in &mut self.objects {
@@ -196,11 +196,16 @@
         changed
     }
 
-    /// Applies a list of a platform that may just have been restored from a backup; returns the changes.
+    /// Applies a list of a platform that may just have been reset to an older copy; returns the changes.
     ///
     /// Its objects get versions of the former era, so older versions replace nothing, and objects missing from the list
     /// stay. After the writers have written them again, complete lists apply.
-    pub fn take_copy(&mut self, kind: Kind, objects: &[Object], former_era: u64) -> Vec<Record> {
+    pub fn merge_reset_list(
+        &mut self,
+        kind: Kind,
+        objects: &[Object],
+        former_era: u64,
+    ) -> Vec<Record> {
         let in_former_era = |it: &Object| {
             let number = Revision::unpacked(it.version).number;
             Object { version: Revision::new(former_era, number).packed(), ..it.clone() }
@@ -225,7 +230,7 @@
     }
 
     /// Marks the view as complete up to `revision`, as delivered by a watch; true if that is new.
-    pub fn advance(&mut self, revision: u64) -> bool {
+    pub fn advance_revision(&mut self, revision: u64) -> bool {
         let is_new = revision > self.revision || !self.synced;
         self.revision = self.revision.max(revision);
         self.synced = true;
@@ -233,8 +238,8 @@
     }
 
     /// Marks the view as complete up to `revision`, as confirmed by lists of all kinds; true if that is new.
-    pub fn confirm(&mut self, revision: u64) -> bool {
-        let is_new = self.advance(revision);
+    pub fn confirm_revision(&mut self, revision: u64) -> bool {
+        let is_new = self.advance_revision(revision);
         self.raise_floor(revision);
         is_new
     }
@@ -245,14 +250,14 @@
         self.objects.retain(|_, it| !matches!(it, ObjectState::Deleted(at) if *at <= floor));
     }
 
-    /// The completeness mark to send to peers; `None` before the first sync.
-    pub fn mark(&self) -> Option<Mark> {
+    /// The watermark to send to peers; `None` before the first sync.
+    pub fn watermark(&self) -> Option<Watermark> {
         if !self.synced {
             return None;
         }
         let sum = self.sum();
         let deleted = self.deletions();
-        Some(Mark { revision: self.revision, floor: self.floor, sum, deleted })
+        Some(Watermark { revision: self.revision, floor: self.floor, sum, deleted })
     }
 
     /// Deletions that are not yet confirmed by a list.
@@ -266,21 +271,21 @@
         deleted
     }
 
-    /// Adopts a peer's mark if this view holds the same objects.
-    pub fn adopt(&mut self, mark: &Mark) -> Adoption {
-        for it in &mark.deleted {
+    /// Applies a peer's watermark if this view holds the same objects.
+    pub fn apply_watermark(&mut self, watermark: &Watermark) -> WatermarkOutcome {
+        for it in &watermark.deleted {
             self.merge_object(it.kind, &it.name, ObjectState::Deleted(it.revision));
         }
-        let already_complete = self.synced && mark.revision < self.revision;
+        let already_complete = self.synced && watermark.revision < self.revision;
         if already_complete {
-            return Adoption::Known;
+            return WatermarkOutcome::Unchanged;
         }
-        if self.sum() != mark.sum {
-            return Adoption::Differs;
+        if self.sum() != watermark.sum {
+            return WatermarkOutcome::Differs;
         }
-        let is_new = self.advance(mark.revision);
-        self.raise_floor(mark.floor);
-        if is_new { Adoption::Taken } else { Adoption::Known }
+        let is_new = self.advance_revision(watermark.revision);
+        self.raise_floor(watermark.floor);
+        if is_new { WatermarkOutcome::Advanced } else { WatermarkOutcome::Unchanged }
     }
 
     /// Sum over all objects, including those newer than `revision`: the peer may lack the older version of such an
@@ -296,8 +301,8 @@
     }
 
     /// Hash of each bucket over the records in scope.
-    pub fn digest(&self, scope: &Scope) -> [u64; BUCKETS] {
-        let mut buckets = [0u64; BUCKETS];
+    pub fn digest(&self, scope: &Scope) -> [u64; BUCKET_COUNT] {
+        let mut buckets = [0u64; BUCKET_COUNT];
         for entry in self.entries(scope) {
             let hash = hash_entry(&entry);
             let bucket = &mut buckets[bucket_of(&entry.key)];
@@ -318,11 +323,12 @@
     }
 
     /// Entries of the buckets that differ from `theirs`, the digest of a peer.
-    pub fn summary(&self, scope: &Scope, theirs: &[u64; BUCKETS]) -> Summary {
+    pub fn summary(&self, scope: &Scope, theirs: &[u64; BUCKET_COUNT]) -> Summary {
         let ours = self.digest(scope);
         let differs = |bucket: usize| ours[bucket] != theirs[bucket];
         let floor = if self.synced { self.floor } else { 0 };
-        let buckets: Vec<u8> = (0..BUCKETS).filter(|it| differs(*it)).map(|it| it as u8).collect();
+        let buckets: Vec<u8> =
+            (0..BUCKET_COUNT).filter(|it| differs(*it)).map(|it| it as u8).collect();
         if buckets.is_empty() {
             return Summary { buckets, entries: Vec::new(), floor };
         }
@@ -343,25 +349,25 @@
             }
             match has.get(&entry.key) {
                 Some(version) if *version >= entry.version => continue,
-                Some(_) => outcome.lacking.extend(self.record(&entry.key)),
+                Some(_) => outcome.missing_at_peer.extend(self.record(&entry.key)),
                 None => self.resolve_missing(&entry, theirs.floor, &mut outcome),
             }
         }
         for (key, version) in has {
             let outside = self.record(key).filter(|it| !scope.covers_record(it));
-            outcome.lacking.extend(outside.filter(|it| it.version() > version));
+            outcome.missing_at_peer.extend(outside.filter(|it| it.version() > version));
         }
         outcome
     }
 
     fn resolve_missing(&mut self, entry: &Entry, floor: u64, outcome: &mut Comparison) {
         let Key::Object(kind, name) = &entry.key else {
-            outcome.lacking.extend(self.record(&entry.key));
+            outcome.missing_at_peer.extend(self.record(&entry.key));
             return;
         };
         let key = (*kind, name.clone());
         if entry.version.major > floor {
-            outcome.lacking.extend(self.record(&entry.key));
+            outcome.missing_at_peer.extend(self.record(&entry.key));
         } else if matches!(self.objects.get(&key), Some(ObjectState::Present(_))) {
             self.objects.insert(key, ObjectState::Deleted(floor));
             let deleted = Record::Deleted { kind: *kind, name: name.clone(), revision: floor };
@@ -387,27 +393,27 @@
         }
     }
 
-    /// Removes members declared dead more than [`FORGET_MS`] ago; returns their number.
-    pub fn forget(&mut self, wall_ms: u64) -> usize {
+    /// Removes members declared down more than [`DOWN_MEMBER_TTL_MS`] ago; returns their number.
+    pub fn purge_down_members(&mut self, wall_ms: u64) -> usize {
         let before = self.members.len();
         self.members.retain(|_, it| !is_expired(it, wall_ms));
         before - self.members.len()
     }
 }
 
-/// Result of adopting a peer's mark.
+/// Result of applying a peer's watermark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Adoption {
-    /// The view is now complete up to the mark's revision.
-    Taken,
+pub enum WatermarkOutcome {
+    /// The view is now complete up to the watermark's revision.
+    Advanced,
     /// The view was already complete up to it.
-    Known,
+    Unchanged,
     /// The objects differ; compare with the peer.
     Differs,
 }
 
 fn is_expired(member: &Member, wall_ms: u64) -> bool {
-    member.is_down() && member.since_ms.saturating_add(FORGET_MS) < wall_ms
+    member.is_down() && member.since_ms.saturating_add(DOWN_MEMBER_TTL_MS) < wall_ms
 }
 
 fn hash_object(kind: Kind, name: &str, revision: u64) -> u64 {
@@ -426,7 +432,7 @@
 fn bucket_of(key: &Key) -> usize {
     let mut hasher = SipHasher13::new();
     write_key(&mut hasher, key);
-    (hasher.finish() % BUCKETS as u64) as usize
+    (hasher.finish() % BUCKET_COUNT as u64) as usize
 }
 
 /// Hashes the key in a fixed byte order, so that all processes and builds compute the same value.
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -1,8 +1,8 @@
 //! Property tests of the request state machine: its guarantees hold for any sequence of results.
 
 use camphorwinch_core::{
-    budget::Budget,
-    dispatch::{Dispatch, Outcome, Report, Request, Step, View},
+    budget::RetryBudget,
+    dispatch::{Dispatch, DispatchContext, Outcome, Request, Step, StepResult},
     invariant::{self, Invariant},
     object::Policy,
 };
@@ -63,7 +63,7 @@
 
 fn run(scenario: &Scenario) -> Observed {
     let names = ["a", "b", "c", "d", "e"];
-    let mut budget = Budget::new(0.1, 0);
+    let mut budget = RetryBudget::new(0.1, 0);
     let request =
         Request { idempotent: scenario.idempotent, hop: scenario.hop, deadline: scenario.deadline };
     let mut dispatch = Dispatch::new(request);
@@ -76,14 +76,15 @@
         now += u64::from(input.elapsed_ms);
         let policy = if scenario.even { Policy::Even } else { Policy::Steady };
         let peers = &names[..usize::from(input.peers)];
-        let mut view = View { now, local: input.local, peers, budget: &mut budget, policy };
+        let mut view =
+            DispatchContext { now, local: input.local, peers, budget: &mut budget, policy };
         let step = match report {
             None => dispatch.start(&mut view),
             Some(it) => dispatch.next(it, &mut view),
         };
         report = Some(match step {
-            Step::Take { .. } if input.slot => Report::Slot,
-            Step::Take { .. } => Report::Full,
+            Step::AcquireSlot { .. } if input.slot => StepResult::SlotAcquired,
+            Step::AcquireSlot { .. } => StepResult::SlotTimeout,
             Step::Run => {
                 assert!(input.local, "sent to an upstream that accepts no work");
                 attempt(input, &mut observed)
@@ -92,7 +93,7 @@
                 assert!(peers.contains(&to.as_str()));
                 attempt(input, &mut observed)
             }
-            Step::Answer(outcome) => {
+            Step::Finish(outcome) => {
                 observed.outcome = Some(outcome);
                 return observed;
             }
@@ -101,23 +102,23 @@
     panic!("no answer after {MAX_STEPS} steps");
 }
 
-fn attempt(input: StepInput, observed: &mut Observed) -> Report {
+fn attempt(input: StepInput, observed: &mut Observed) -> StepResult {
     observed.sent += 1;
     match input.attempt {
-        0 => Report::Refused { retry_ms: 10 },
-        1 => Report::Consumed { retry_ms: 10 },
-        2 => Report::Lost,
+        0 => StepResult::Refused { retry_ms: 10 },
+        1 => StepResult::BodyConsumed { retry_ms: 10 },
+        2 => StepResult::ConnectionLost,
         3 => {
             observed.begun += 1;
-            Report::Lost
+            StepResult::ConnectionLost
         }
         4 => {
             observed.begun += 1;
-            Report::Head
+            StepResult::ResponseStarted
         }
         _ => {
             observed.begun += 1;
-            Report::Cancelled
+            StepResult::Cancelled
         }
     }
 }
@@ -129,7 +130,7 @@
         let at_most_once = scenario.idempotent || observed.begun <= 1;
         let not_run_is_true =
             !matches!(observed.outcome, Some(Outcome::NotRun { .. })) || observed.begun == 0;
-        let relay_has_started = observed.outcome != Some(Outcome::Relay) || observed.begun >= 1;
+        let relay_has_started = observed.outcome != Some(Outcome::Response) || observed.begun >= 1;
         let checked = [Invariant::RunOnce, Invariant::NotRunTrue, Invariant::OneAnswer];
         let no_violations = checked.iter().all(|&it| invariant::violations(it) == 0);
         at_most_once && not_run_is_true && relay_has_started && no_violations && observed.sent <= 9
@@ -137,45 +138,45 @@
     QuickCheck::new().tests(20_000).quickcheck(holds as fn(Scenario) -> bool);
 }
 
-fn view<'a>(budget: &'a mut Budget, peers: &'a [&'a str]) -> View<'a> {
-    View { now: 0, local: true, peers, budget, policy: Policy::Even }
+fn view<'a>(budget: &'a mut RetryBudget, peers: &'a [&'a str]) -> DispatchContext<'a> {
+    DispatchContext { now: 0, local: true, peers, budget, policy: Policy::Even }
 }
 
 #[test]
 fn lost_non_idempotent_request_is_unknown() {
-    let mut budget = Budget::new(1.0, 0);
+    let mut budget = RetryBudget::new(1.0, 0);
     let request = Request { idempotent: false, hop: 0, deadline: None };
     let mut dispatch = Dispatch::new(request);
-    assert_eq!(dispatch.start(&mut view(&mut budget, &["b"])), Step::Take { wait_ms: 0 });
-    assert_eq!(dispatch.next(Report::Slot, &mut view(&mut budget, &["b"])), Step::Run);
-    let step = dispatch.next(Report::Lost, &mut view(&mut budget, &["b"]));
-    assert!(matches!(step, Step::Answer(Outcome::Unknown { .. })));
+    assert_eq!(dispatch.start(&mut view(&mut budget, &["b"])), Step::AcquireSlot { wait_ms: 0 });
+    assert_eq!(dispatch.next(StepResult::SlotAcquired, &mut view(&mut budget, &["b"])), Step::Run);
+    let step = dispatch.next(StepResult::ConnectionLost, &mut view(&mut budget, &["b"]));
+    assert!(matches!(step, Step::Finish(Outcome::Unknown { .. })));
 }
 
 #[test]
 fn lost_idempotent_request_is_forwarded_to_a_peer() {
-    let mut budget = Budget::new(1.0, 0);
+    let mut budget = RetryBudget::new(1.0, 0);
     let request = Request { idempotent: true, hop: 0, deadline: None };
     let mut dispatch = Dispatch::new(request);
     dispatch.start(&mut view(&mut budget, &["b"]));
-    dispatch.next(Report::Slot, &mut view(&mut budget, &["b"]));
-    let step = dispatch.next(Report::Lost, &mut view(&mut budget, &["b"]));
+    dispatch.next(StepResult::SlotAcquired, &mut view(&mut budget, &["b"]));
+    let step = dispatch.next(StepResult::ConnectionLost, &mut view(&mut budget, &["b"]));
     assert_eq!(step, Step::Offer { to: "b".to_owned() });
-    let refused = Report::Refused { retry_ms: 0 };
+    let refused = StepResult::Refused { retry_ms: 0 };
     let step = dispatch.next(refused, &mut view(&mut budget, &[]));
-    assert_eq!(step, Step::Take { wait_ms: 100 });
-    let step = dispatch.next(Report::Full, &mut view(&mut budget, &[]));
+    assert_eq!(step, Step::AcquireSlot { wait_ms: 100 });
+    let step = dispatch.next(StepResult::SlotTimeout, &mut view(&mut budget, &[]));
     // It may have run at the first upstream, so the outcome must not be `NotRun`.
-    assert!(matches!(step, Step::Answer(Outcome::Unknown { .. })));
+    assert!(matches!(step, Step::Finish(Outcome::Unknown { .. })));
 }
 
 #[test]
 fn exhausted_budget_stops_retries() {
-    let mut budget = Budget::new(0.0, 0);
+    let mut budget = RetryBudget::new(0.0, 0);
     let request = Request { idempotent: true, hop: 0, deadline: None };
     let mut dispatch = Dispatch::new(request);
     dispatch.start(&mut view(&mut budget, &["b"]));
-    dispatch.next(Report::Slot, &mut view(&mut budget, &["b"]));
-    let step = dispatch.next(Report::Lost, &mut view(&mut budget, &["b"]));
-    assert!(matches!(step, Step::Answer(Outcome::Unknown { .. })));
+    dispatch.next(StepResult::SlotAcquired, &mut view(&mut budget, &["b"]));
+    let step = dispatch.next(StepResult::ConnectionLost, &mut view(&mut budget, &["b"]));
+    assert!(matches!(step, Step::Finish(Outcome::Unknown { .. })));
 }
--- a/crates/core/tests/slots.rs
+++ b/crates/core/tests/lookup_table.rs
@@ -1,6 +1,6 @@
 //! Tests of the lookup table: shares, distinct picks and stability under membership changes.
 
-use camphorwinch_core::slots::{Member, Slots};
+use camphorwinch_core::lookup_table::{LookupTable, Member};
 use quickcheck::quickcheck;
 
 fn names(count: usize) -> Vec<String> {
@@ -15,7 +15,7 @@
     fn shares_follow_the_weights(weights: Vec<u8>) -> bool {
         let names = names(weights.len());
         let members: Vec<_> = names.iter().zip(&weights).map(|(name, &weight)| Member { name, weight: weight.into() }).collect();
-        let slots = Slots::new(&members);
+        let slots = LookupTable::new(&members);
         let counts = slots.counts();
         let total: f64 = members.iter().map(|it| it.weight).sum();
         let size: usize = counts.iter().sum();
@@ -24,7 +24,7 @@
 
     fn picks_are_distinct_members(count: u8, hash: u64) -> bool {
         let names = names(count.into());
-        let slots = Slots::new(&equal(&names));
+        let slots = LookupTable::new(&equal(&names));
         let picks = slots.pick(hash);
         let mut sorted = picks.as_slice().to_vec();
         sorted.sort_unstable();
@@ -35,7 +35,7 @@
     fn arbitrary_weights_pick_only_existing_members(weights: Vec<f64>, hash: u64) -> bool {
         let names = names(weights.len());
         let members: Vec<_> = names.iter().zip(&weights).map(|(name, &weight)| Member { name, weight: weight.abs() }).collect();
-        Slots::new(&members).pick(hash).as_slice().iter().all(|&it| usize::from(it) < members.len())
+        LookupTable::new(&members).pick(hash).as_slice().iter().all(|&it| usize::from(it) < members.len())
     }
 }
 
@@ -45,7 +45,7 @@
         let names = names(count);
         let all = equal(&names);
         let without = &all[..count - 1];
-        let (before, after) = (Slots::new(&all), Slots::new(without));
+        let (before, after) = (LookupTable::new(&all), LookupTable::new(without));
         let size = before.counts().iter().sum::<usize>() as u64;
         let stayed = (0..size).filter(|&at| before.member(at) == after.member(at)).count();
         let share = stayed as f64 / size as f64;
@@ -60,7 +60,7 @@
 #[test]
 fn flows_forwarded_by_a_full_member_spread_over_the_others() {
     let names = names(7);
-    let slots = Slots::new(&equal(&names));
+    let slots = LookupTable::new(&equal(&names));
     let mut second = [0; 7];
     for hash in 0..200_000_u64 {
         let picks = slots.pick(hash.wrapping_mul(0x9e37_79b9_7f4a_7c15));
--- a/crates/core/tests/mesh.rs
+++ b/crates/core/tests/mesh.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use camphorwinch_core::mesh::{self, DIALS, HOMES, Peer};
+use camphorwinch_core::mesh::{self, BALANCERS_PER_AGENT, OUTGOING_LINKS, Peer};
 use quickcheck::{TestResult, quickcheck};
 
 fn names(count: usize, salt: u16) -> Vec<String> {
@@ -54,7 +54,7 @@
         let names = names(count, salt);
         let peers = peers(&names);
         let links = graph(&peers);
-        let within_limit = peers.iter().all(|it| mesh::neighbours(it.name, &peers).len() <= DIALS);
+        let within_limit = peers.iter().all(|it| mesh::neighbours(it.name, &peers).len() <= OUTGOING_LINKS);
         TestResult::from_bool(depth(&links).is_some() && within_limit)
     }
 
@@ -66,13 +66,13 @@
         let names = names(count, salt);
         let all = peers(&names);
         for me in ["agent-1", "agent-2"] {
-            let before = mesh::homes(me, "z2", &all);
-            assert_eq!(before.len(), HOMES);
+            let before = mesh::balancers_for_agent(me, "z2", &all);
+            assert_eq!(before.len(), BALANCERS_PER_AGENT);
             let zone = |name: &str| all.iter().find(|it| it.name == name).map(|it| it.zone);
             assert_eq!(zone(before[0]), Some("z2"));
             assert_ne!(zone(before[1]), Some("z2"));
             let rest: Vec<Peer<'_>> = all.iter().copied().filter(|it| it.name != before[1]).collect();
-            assert_eq!(mesh::homes(me, "z2", &rest)[0], before[0]);
+            assert_eq!(mesh::balancers_for_agent(me, "z2", &rest)[0], before[0]);
         }
         TestResult::passed()
     }
@@ -83,7 +83,7 @@
     let names = names(520, 0);
     let links = graph(&peers(&names));
     let most = links.values().map(BTreeSet::len).max().unwrap();
-    assert!(most <= 4 * DIALS, "{most} links at one balancer");
+    assert!(most <= 4 * OUTGOING_LINKS, "{most} links at one balancer");
     assert!(depth(&links).is_some_and(|it| it <= 6), "{:?} links deep", depth(&links));
 }
 
@@ -91,7 +91,7 @@
 fn homes_and_neighbours_with_one_or_no_balancer() {
     let names = names(1, 0);
     let one = peers(&names);
-    assert_eq!(mesh::homes("a", "elsewhere", &one), ["bal-0-0"]);
-    assert!(mesh::homes("a", "z1", &[]).is_empty());
+    assert_eq!(mesh::balancers_for_agent("a", "elsewhere", &one), ["bal-0-0"]);
+    assert!(mesh::balancers_for_agent("a", "z1", &[]).is_empty());
     assert!(mesh::neighbours("bal-0-0", &one).is_empty());
 }
--- a/crates/core/tests/place.rs
+++ b/crates/core/tests/place.rs
@@ -8,8 +8,8 @@
     invariant::{self, Invariant},
     member::{Agent, AgentState},
     object::{Action, Change, KeySpec, KeyUse, Keys, Service, ServiceId, Target},
-    place::{FORMER_MS, MIN_INITIAL, Placement, Placer, Refusal},
-    seal::{Home, KeyRing},
+    place::{DropReason, MIN_INITIAL, Placement, Placer, REMOVED_SERVICE_TTL_MS},
+    seal::{FlowOwner, KeyRing},
     snapshot::{ServiceEntry, Snapshot},
 };
 use quickcheck::quickcheck;
@@ -56,8 +56,8 @@
     it
 }
 
-fn home(service: &str, number: u8) -> Home {
-    Home {
+fn flow_owner(service: &str, number: u8) -> FlowOwner {
+    FlowOwner {
         agent: SocketAddrV4::new([10, 0, 0, number].into(), 7000),
         service: ServiceId::new(service),
     }
@@ -73,8 +73,8 @@
     datagram
 }
 
-fn sealed(keys: &Keys, home: Home) -> [u8; 20] {
-    KeyRing::new(keys).expect("a key seals").seal(home, [1, 2, 3])
+fn sealed(keys: &Keys, owner: FlowOwner) -> [u8; 20] {
+    KeyRing::new(keys).expect("a key seals").seal(owner, [1, 2, 3])
 }
 
 fn place(placer: &Placer, at: &str, datagram: &[u8]) -> Placement {
@@ -105,12 +105,12 @@
     fn an_established_flow_keeps_its_owner_when_members_change(removed: Vec<u8>, number: u8) -> bool {
         let number = number % 7 + 1;
         let mut snapshot = snapshot();
-        let cid = sealed(snapshot.keys.as_ref().expect("keys"), home("ledger", number));
+        let cid = sealed(snapshot.keys.as_ref().expect("keys"), flow_owner("ledger", number));
         for it in removed {
             snapshot.agents.remove(&format!("ledger-{}", it % 9));
         }
         let placed = place(&placer(&snapshot), LEDGER, &short(&cid));
-        matches!(placed, Placement::Owner { home: it, .. } if it == home("ledger", number))
+        matches!(placed, Placement::Owner { owner: it, .. } if it == flow_owner("ledger", number))
     }
 
     fn balancers_with_equal_snapshots_agree_on_new_flows(cid: Vec<u8>) -> bool {
@@ -124,8 +124,8 @@
 fn headers_select_owner_new_or_drop() {
     let snapshot = snapshot();
     let placer = placer(&snapshot);
-    let cid = sealed(snapshot.keys.as_ref().expect("keys"), home("ledger", 2));
-    let owner = Placement::Owner { home: home("ledger", 2), known: true };
+    let cid = sealed(snapshot.keys.as_ref().expect("keys"), flow_owner("ledger", 2));
+    let owner = Placement::Owner { owner: flow_owner("ledger", 2), known: true };
     assert_eq!(place(&placer, LEDGER, &short(&cid)), owner);
     for form in [0xc0, 0xd0, 0xe0, 0xf0] {
         assert_eq!(place(&placer, LEDGER, &long(form, &cid)), owner, "form {form:x}");
@@ -138,24 +138,24 @@
         Placement::Drop(refusal) => Some(refusal),
         _ => None,
     };
-    assert_eq!(drop(&short(&forged)), Some(Refusal::Forged));
-    assert_eq!(drop(&short(&stale)), Some(Refusal::Epoch));
-    assert_eq!(drop(&long(0xe0, &stale)), Some(Refusal::Epoch));
-    assert_eq!(drop(&long(0xc0, &[7; 20])[..MIN_INITIAL - 1]), Some(Refusal::Small));
-    assert_eq!(drop(&long(0xc0, &[7; 7])), Some(Refusal::Garbage));
-    assert_eq!(drop(&short(&[1; 3])[..20]), Some(Refusal::Garbage));
-    assert_eq!(drop(&[0x80, 0, 0, 0, 0, 0, 0]), Some(Refusal::Garbage));
-    assert_eq!(drop(&[0xc0, 0, 0, 0, 1, 255, 0]), Some(Refusal::Garbage));
-    assert_eq!(drop(&[]), Some(Refusal::Garbage));
+    assert_eq!(drop(&short(&forged)), Some(DropReason::Forged));
+    assert_eq!(drop(&short(&stale)), Some(DropReason::Epoch));
+    assert_eq!(drop(&long(0xe0, &stale)), Some(DropReason::Epoch));
+    assert_eq!(drop(&long(0xc0, &[7; 20])[..MIN_INITIAL - 1]), Some(DropReason::Small));
+    assert_eq!(drop(&long(0xc0, &[7; 7])), Some(DropReason::Garbage));
+    assert_eq!(drop(&short(&[1; 3])[..20]), Some(DropReason::Garbage));
+    assert_eq!(drop(&[0x80, 0, 0, 0, 0, 0, 0]), Some(DropReason::Garbage));
+    assert_eq!(drop(&[0xc0, 0, 0, 0, 1, 255, 0]), Some(DropReason::Garbage));
+    assert_eq!(drop(&[]), Some(DropReason::Garbage));
     assert!(matches!(place(&placer, LEDGER, &long(0xc0, &stale)), Placement::New { .. }));
 }
 
 #[test]
 fn a_flow_is_not_served_at_the_address_of_another_service() {
     let snapshot = snapshot();
-    let cid = sealed(snapshot.keys.as_ref().expect("keys"), home("ledger", 2));
+    let cid = sealed(snapshot.keys.as_ref().expect("keys"), flow_owner("ledger", 2));
     let placed = place(&placer(&snapshot), INTAKE, &short(&cid));
-    assert_eq!(placed, Placement::Drop(Refusal::WrongService));
+    assert_eq!(placed, Placement::Drop(DropReason::WrongService));
     assert_eq!(invariant::violations(Invariant::SameService), 0);
 }
 
@@ -167,8 +167,8 @@
     insert_service(&mut after, "ledger", service(INTAKE, "ledger"));
     insert_service(&mut after, "intake", service(LEDGER, "intake"));
     let swapped = Placer::new(&after, Some(&old), 1_000);
-    let cid = sealed(before.keys.as_ref().expect("keys"), home("ledger", 2));
-    let owner = Placement::Owner { home: home("ledger", 2), known: true };
+    let cid = sealed(before.keys.as_ref().expect("keys"), flow_owner("ledger", 2));
+    let owner = Placement::Owner { owner: flow_owner("ledger", 2), known: true };
     assert_eq!(place(&swapped, LEDGER, &short(&cid)), owner);
     assert_eq!(place(&swapped, INTAKE, &short(&cid)), owner);
     let Placement::New { service, .. } = place(&swapped, LEDGER, &long(0xc0, &[7; 8])) else {
@@ -176,8 +176,8 @@
     };
     assert_eq!(service, ServiceId::new("intake"));
 
-    let later = Placer::new(&after, Some(&swapped), 1_000 + FORMER_MS);
-    let refused = Placement::Drop(Refusal::WrongService);
+    let later = Placer::new(&after, Some(&swapped), 1_000 + REMOVED_SERVICE_TTL_MS);
+    let refused = Placement::Drop(DropReason::WrongService);
     assert_eq!(place(&later, LEDGER, &short(&cid)), refused);
 }
 
@@ -185,26 +185,26 @@
 fn the_address_of_a_removed_service_serves_its_flows_and_no_new_ones() {
     let mut snapshot = snapshot();
     let old = placer(&snapshot);
-    let cid = sealed(snapshot.keys.as_ref().expect("keys"), home("ledger", 2));
+    let cid = sealed(snapshot.keys.as_ref().expect("keys"), flow_owner("ledger", 2));
     snapshot.services.remove(&ServiceId::new("ledger"));
     let now = Placer::new(&snapshot, Some(&old), 1_000);
     assert!(matches!(place(&now, LEDGER, &short(&cid)), Placement::Owner { .. }));
-    let refused = Placement::Drop(Refusal::NoService);
+    let refused = Placement::Drop(DropReason::NoService);
     assert_eq!(place(&now, LEDGER, &long(0xc0, &[7; 8])), refused);
 }
 
 #[test]
 fn flows_of_a_dead_agent_are_reset_by_a_live_one() {
     let mut snapshot = snapshot();
-    let cid = sealed(snapshot.keys.as_ref().expect("keys"), home("ledger", 2));
+    let cid = sealed(snapshot.keys.as_ref().expect("keys"), flow_owner("ledger", 2));
     snapshot.agents.get_mut("ledger-2").expect("the agent").state = AgentState::Down;
     let placer = placer(&snapshot);
     let Placement::Reset(to) = place(&placer, LEDGER, &short(&cid)) else {
         panic!("a reset");
     };
     assert_eq!(to.service, ServiceId::new("ledger"));
-    assert_ne!(to.agent, home("ledger", 2).agent);
-    assert_eq!(place(&placer, LEDGER, &long(0xe0, &cid)), Placement::Drop(Refusal::OwnerDown));
+    assert_ne!(to.agent, flow_owner("ledger", 2).agent);
+    assert_eq!(place(&placer, LEDGER, &long(0xe0, &cid)), Placement::Drop(DropReason::OwnerDown));
 }
 
 #[test]
--- a/crates/core/tests/roster.rs
+++ b/crates/core/tests/roster.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use camphorwinch_core::{
-    claims::{Claim, ClaimKey, Claimed, Claims, State},
+    claims::{Claim, ClaimKey, ClaimResult, Claims, RequestState},
     object::ServiceId,
-    roster::{Part, Roster, Seen},
+    roster::{ClaimRole, MemberInfo, Roster},
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
@@ -59,7 +59,7 @@
 enum DisabledRule {
     #[default]
     Nothing,
-    /// Claims go only to the holders of a settled pool, even while membership changes.
+    /// Claims go only to the holders of a stable pool, even while membership changes.
     RecordAtAll,
     /// Claims are granted although an earlier one may have been lost.
     CheckLost,
@@ -85,7 +85,7 @@
 }
 
 impl Pool {
-    /// A pool whose membership has been settled for a long time.
+    /// A pool whose membership has been stable for a long time.
     fn new(disabled: DisabledRule) -> Pool {
         let mut pool = Pool::new_unsettled(disabled);
         pool.now = 4 * WINDOW;
@@ -167,21 +167,26 @@
         let key = key(number);
         self.next += 1;
         let request = u128::from(self.next);
-        let claim =
-            Claim { request, digest: 0, by: me.to_owned(), state: State::Running, window: WINDOW };
-        let settled = self.members[me].roster.is_settled(self.now, WINDOW);
-        let mut result = settled.then(|| self.claim_at(&key, me, &claim, false));
-        if result.is_none() || result == Some(Claimed::Unsettled) {
+        let claim = Claim {
+            request,
+            digest: 0,
+            agent: me.to_owned(),
+            state: RequestState::Running,
+            window_ms: WINDOW,
+        };
+        let stable = self.members[me].roster.is_stable(self.now, WINDOW);
+        let mut result = stable.then(|| self.claim_at(&key, me, &claim, false));
+        if result.is_none() || result == Some(ClaimResult::MembershipChanging) {
             result = Some(self.claim_at(&key, me, &claim, true));
         }
-        if result != Some(Claimed::Granted) {
+        if result != Some(ClaimResult::Granted) {
             return;
         }
         let last = self.last_runs.insert(number, self.now);
         self.ran_twice |= last.is_some_and(|at| self.now - at < WINDOW);
     }
 
-    fn claim_at(&mut self, key: &ClaimKey, me: &str, claim: &Claim, all: bool) -> Claimed {
+    fn claim_at(&mut self, key: &ClaimKey, me: &str, claim: &Claim, all: bool) -> ClaimResult {
         let roster = &self.members[me].roster;
         let all = all && self.disabled != DisabledRule::RecordAtAll;
         let holders = if all { roster.all_holders(key) } else { roster.holders(key, me) };
@@ -189,8 +194,9 @@
         let members = all.then(|| roster.digest());
         let mut granted: Vec<String> = Vec::new();
         for name in &names {
-            let result = self.record(name, key, claim.clone(), members).unwrap_or(Claimed::Full);
-            if result != Claimed::Granted {
+            let result =
+                self.record(name, key, claim.clone(), members).unwrap_or(ClaimResult::Full);
+            if result != ClaimResult::Granted {
                 for name in granted {
                     self.member(&name).claims.release(key, claim.request);
                 }
@@ -198,7 +204,7 @@
             }
             granted.push(name.clone());
         }
-        if granted.is_empty() { Claimed::Full } else { Claimed::Granted }
+        if granted.is_empty() { ClaimResult::Full } else { ClaimResult::Granted }
     }
 
     fn member(&mut self, name: &str) -> &mut Member {
@@ -211,22 +217,22 @@
         key: &ClaimKey,
         claim: Claim,
         members: Option<u64>,
-    ) -> Option<Claimed> {
+    ) -> Option<ClaimResult> {
         let now = self.now;
         let disabled = self.disabled;
         let member = self.members.get_mut(name).filter(|it| !it.paused)?;
-        let doubtful =
-            disabled != DisabledRule::CheckLost && member.roster.is_doubtful(key, now, WINDOW);
-        let admitted =
-            disabled == DisabledRule::RecordAtAll || member.roster.admits(members, now, WINDOW);
+        let uncertain =
+            disabled != DisabledRule::CheckLost && member.roster.is_uncertain(key, now, WINDOW);
+        let admitted = disabled == DisabledRule::RecordAtAll
+            || member.roster.accepts_claim(members, now, WINDOW);
         match member.claims.claim(key, claim.clone(), now) {
-            Claimed::Granted if doubtful => {
+            ClaimResult::Granted if uncertain => {
                 member.claims.release(key, claim.request);
-                Some(Claimed::Doubtful)
+                Some(ClaimResult::Uncertain)
             }
-            Claimed::Granted if !admitted => {
+            ClaimResult::Granted if !admitted => {
                 member.claims.release(key, claim.request);
-                Some(Claimed::Unsettled)
+                Some(ClaimResult::MembershipChanging)
             }
             other => Some(other),
         }
@@ -240,14 +246,14 @@
         if self.disabled == DisabledRule::TransferClaims {
             transferred.clear();
         }
-        let losses = self.member(name).roster.losses().to_vec();
+        let failed_members = self.member(name).roster.failed_members().to_vec();
         for member in self.members.values_mut() {
-            member.roster.add_losses(&losses);
+            member.roster.add_failed_members(&failed_members);
         }
         for (key, claim) in transferred {
             for receiver in &receivers {
                 if let Some(member) = self.members.get_mut(receiver).filter(|it| !it.paused) {
-                    member.claims.adopt(&key, claim.clone(), self.now);
+                    member.claims.import(&key, claim.clone(), self.now);
                 }
             }
         }
@@ -292,7 +298,7 @@
                     let now = self.now;
                     let member = self.member(&name);
                     if std::mem::take(&mut member.paused) {
-                        member.roster.wake(&name, now);
+                        member.roster.resume(&name, now);
                     }
                 }
             }
@@ -304,7 +310,7 @@
                 }
             }
             Op::Leave { member } => {
-                // Rosters must be current, since a dead receiver can't import claims.
+                // Rosters must be current, since a failed receiver can't import claims.
                 self.update_all();
                 let may = |it: &String| !self.members[it].paused && self.running() > 2;
                 if let Some(name) = self.pick(*member).filter(may) {
@@ -333,14 +339,14 @@
     paused: bool,
 }
 
-fn as_seen<'a>(announced: &'a [Announced], leaving: &str) -> Vec<Seen<'a>> {
+fn as_seen<'a>(announced: &'a [Announced], leaving: &str) -> Vec<MemberInfo<'a>> {
     let seen = |it: &'a Announced| {
-        let part = match it.paused {
-            _ if it.name == leaving => Part::Leaving,
-            true => Part::Silent,
-            false => Part::Member,
+        let role = match it.paused {
+            _ if it.name == leaving => ClaimRole::Leaving,
+            true => ClaimRole::Silent,
+            false => ClaimRole::Member,
         };
-        Seen { name: &it.name, incarnation: it.incarnation, zone: it.zone, part }
+        MemberInfo { name: &it.name, incarnation: it.incarnation, zone: it.zone, role }
     };
     announced.iter().map(seen).collect()
 }
@@ -499,11 +505,11 @@
 #[test]
 fn a_newly_started_pool_reports_no_lost_claim() {
     let key = ClaimKey { service: ServiceId(7), key: "k".to_owned() };
-    let seen = |name| Seen { name, incarnation: 1, zone: "a", part: Part::Member };
+    let seen = |name| MemberInfo { name, incarnation: 1, zone: "a", role: ClaimRole::Member };
     let mut roster = Roster::new("one", 0, &[]);
-    assert!(!roster.is_doubtful(&key, 1, 1_000));
+    assert!(!roster.is_uncertain(&key, 1, 1_000));
     roster.update(10, 1_000, &[seen("one"), seen("two")]);
-    assert!(!roster.is_doubtful(&key, 20, 1_000));
+    assert!(!roster.is_uncertain(&key, 20, 1_000));
 }
 
 #[test]
@@ -515,7 +521,7 @@
     pool.update_all();
     for number in 0..50 {
         for member in pool.members.values() {
-            assert!(!member.roster.is_doubtful(&key(number), pool.now, WINDOW));
+            assert!(!member.roster.is_uncertain(&key(number), pool.now, WINDOW));
         }
     }
 }
--- a/crates/core/tests/seal.rs
+++ b/crates/core/tests/seal.rs
@@ -4,7 +4,7 @@
 
 use camphorwinch_core::{
     object::{KeySpec, KeyUse, Keys, ServiceId},
-    seal::{CID_LEN, Home, KeyRing, NONCE_LEN},
+    seal::{CID_LEN, FlowOwner, KeyRing, NONCE_LEN},
 };
 use quickcheck::quickcheck;
 
@@ -16,21 +16,21 @@
     KeyRing::new(&Keys { reset: [9; 32], keys }).expect("one key seals")
 }
 
-fn home(ip: u32, port: u16, service: u32) -> Home {
-    Home { agent: SocketAddrV4::new(ip.into(), port), service: ServiceId(service) }
+fn flow_owner(ip: u32, port: u16, service: u32) -> FlowOwner {
+    FlowOwner { agent: SocketAddrV4::new(ip.into(), port), service: ServiceId(service) }
 }
 
 quickcheck! {
     fn opens_what_it_sealed(ip: u32, port: u16, service: u32, nonce: u32) -> bool {
         let ring = ring(vec![key(7, KeyUse::Seal)]);
-        let home = home(ip, port, service);
+        let owner = flow_owner(ip, port, service);
         let [_, nonce @ ..] = nonce.to_be_bytes();
-        ring.open(&ring.seal(home, nonce)) == Some(home)
+        ring.open(&ring.seal(owner, nonce)) == Some(owner)
     }
 
     fn any_changed_bit_is_refused(ip: u32, port: u16, bit: usize) -> bool {
         let ring = ring(vec![key(7, KeyUse::Seal), key(6, KeyUse::Open)]);
-        let mut cid = ring.seal(home(ip, port, 1), [1; NONCE_LEN]);
+        let mut cid = ring.seal(flow_owner(ip, port, 1), [1; NONCE_LEN]);
         let bit = bit % (CID_LEN * 8);
         cid[bit / 8] ^= 1 << (bit % 8);
         ring.open(&cid).is_none()
@@ -45,15 +45,15 @@
 
 #[test]
 fn rotation_opens_old_and_new_until_the_old_key_is_removed() {
-    let home = home(0x7f00_0001, 7000, 3);
+    let owner = flow_owner(0x7f00_0001, 7000, 3);
     let before = ring(vec![key(1, KeyUse::Seal)]);
-    let cid = before.seal(home, [5; NONCE_LEN]);
+    let cid = before.seal(owner, [5; NONCE_LEN]);
 
     let announced = ring(vec![key(1, KeyUse::Seal), key(2, KeyUse::Open)]);
     let rotated = ring(vec![key(1, KeyUse::Open), key(2, KeyUse::Seal)]);
-    assert_eq!(announced.open(&cid), Some(home));
-    assert_eq!(rotated.open(&cid), Some(home));
-    assert_eq!(announced.open(&rotated.seal(home, [6; NONCE_LEN])), Some(home));
+    assert_eq!(announced.open(&cid), Some(owner));
+    assert_eq!(rotated.open(&cid), Some(owner));
+    assert_eq!(announced.open(&rotated.seal(owner, [6; NONCE_LEN])), Some(owner));
 
     let removed = ring(vec![key(2, KeyUse::Seal)]);
     assert_eq!(removed.open(&cid), None);
--- a/crates/core/tests/system/flows.rs
+++ b/crates/core/tests/system/flows.rs
@@ -3,10 +3,10 @@
 use std::net::{SocketAddr, SocketAddrV4};
 
 use camphorwinch_core::{
-    admit::{Admission, Intake, Room, admit},
+    admit::{Admission, AgentLoad, Availability, admit},
     object::{Policy, ServiceId},
     place::{MIN_INITIAL, Placement},
-    seal::{CID_LEN, Home, KeyRing},
+    seal::{CID_LEN, FlowOwner, KeyRing},
 };
 use rand::Rng;
 
@@ -65,7 +65,7 @@
                 return None;
             }
             match self.admit(agent, service, at + 1 == count) {
-                Admission::Pass => continue,
+                Admission::Forward => continue,
                 Admission::Refuse => return None,
                 Admission::Accept => return self.establish(agent, address, caller, service),
             }
@@ -86,7 +86,7 @@
             return Admission::Refuse;
         }
         let flows = self.flows.iter().filter(|it| it.agent == agent).count() as u32;
-        let room = Room {
+        let load = AgentLoad {
             flows,
             flow_limit: 50,
             all_flows: flows,
@@ -94,8 +94,9 @@
             busy: it.work.busy,
             slots: 3,
         };
-        let intake = if self.drains(agent) { Intake::Draining } else { Intake::Open };
-        admit(Policy::Steady, intake, &room, last)
+        let availability =
+            if self.drains(agent) { Availability::Draining } else { Availability::Open };
+        admit(Policy::Steady, availability, &load, last)
     }
 
     /// Whether the agent's snapshot contains a drain of the agent.
@@ -103,7 +104,7 @@
         let it = &self.processes[agent];
         let place = format!("vm-{agent}");
         let zone = format!("z{}", agent % 3);
-        it.snapshot.drains(&it.name, &place, &zone)
+        it.snapshot.is_draining(&it.name, &place, &zone)
     }
 
     fn establish(
@@ -115,10 +116,12 @@
     ) -> Option<usize> {
         self.check_drained(agent);
         let ring = KeyRing::new(self.processes[agent].snapshot.keys.as_ref()?)?;
-        let home =
-            Home { agent: SocketAddrV4::new([10, 0, 0, agent as u8 + 1].into(), 7_000), service };
+        let owner = FlowOwner {
+            agent: SocketAddrV4::new([10, 0, 0, agent as u8 + 1].into(), 7_000),
+            service,
+        };
         let mut packet = vec![0x40];
-        packet.extend(ring.seal(home, self.rng.random()));
+        packet.extend(ring.seal(owner, self.rng.random()));
         packet.extend([0; 30]);
         let incarnation = self.processes[agent].incarnation;
         let opened = self.now;
@@ -181,14 +184,14 @@
             return false;
         };
         let mut placement = placer.place(listener, flow.caller, &flow.packet);
-        if self.plan.mutant == Some(Mutant::ForgetsOwners) {
+        if self.plan.mutant == Some(Mutant::IgnoresFlowOwners) {
             let mut first = vec![0; MIN_INITIAL];
             first[..6].copy_from_slice(&[0xc3, 0, 0, 0, 1, 8]);
             placement = placer.place(listener, flow.caller, &first);
         }
         match placement {
-            Placement::Owner { home, .. } => {
-                if agent_at(&home.agent) != flow.agent || home.service != flow.service {
+            Placement::Owner { owner, .. } => {
+                if agent_at(&owner.agent) != flow.agent || owner.service != flow.service {
                     self.report_violation("wrong-agent");
                 }
                 self.seen.placed += 1;
@@ -220,9 +223,9 @@
             return;
         };
         let agent = SocketAddrV4::new([10, 0, 0, 4].into(), 7_000);
-        let home = Home { agent, service: ServiceId::new("other") };
+        let owner = FlowOwner { agent, service: ServiceId::new("other") };
         let mut packet = vec![0x40];
-        packet.extend(ring.seal(home, [1, 2, 3]));
+        packet.extend(ring.seal(owner, [1, 2, 3]));
         packet.extend([0; 30]);
         let caller = SocketAddr::from(([192, 0, 2, 9], 9));
         let mut reached = false;
--- a/crates/core/tests/system/keys.rs
+++ b/crates/core/tests/system/keys.rs
@@ -4,11 +4,11 @@
 use std::{collections::BTreeSet, sync::Arc};
 
 use camphorwinch_core::{
-    claims::{Answer, Claim, ClaimKey, Claimed, Claims, State},
+    claims::{Claim, ClaimKey, ClaimResult, Claims, RecordedResponse, RequestState},
     dispatch::Outcome,
     member::AgentState,
     object::ServiceId,
-    roster::{Part, Roster, Seen},
+    roster::{ClaimRole, MemberInfo, Roster},
     snapshot::Snapshot,
 };
 
@@ -39,13 +39,13 @@
     names: Vec<usize>,
     waiting: Vec<usize>,
     held: Vec<usize>,
-    refusal: Option<Claimed>,
+    refusal: Option<ClaimResult>,
 }
 
 /// Final state of a claim, sent to its holders.
 #[derive(Clone, Debug)]
 pub(crate) enum ClaimUpdate {
-    Settle(u128, State),
+    Settle(u128, RequestState),
     Release(u128),
 }
 
@@ -62,7 +62,7 @@
     Reply {
         back: TransactionRef,
         from: usize,
-        claimed: Option<Claimed>,
+        claimed: Option<ClaimResult>,
     },
     SendUpdate {
         from: usize,
@@ -90,34 +90,35 @@
     }
 }
 
-fn answer(ran: u128) -> State {
+fn answer(ran: u128) -> RequestState {
     let body = ran.to_be_bytes().to_vec();
-    State::Done(Arc::new(Answer { status: 200, headers: Vec::new(), body }))
+    RequestState::Done(Arc::new(RecordedResponse { status: 200, headers: Vec::new(), body }))
 }
 
 fn index_of(name: &str) -> usize {
     name[1..].parse().expect("names end in the index")
 }
 
-fn seen(snapshot: &Snapshot) -> Vec<Seen<'_>> {
+fn seen(snapshot: &Snapshot) -> Vec<MemberInfo<'_>> {
     let mut seen = Vec::new();
-    for agent in snapshot.agents.values().filter(|it| it.state.answers()) {
+    for agent in snapshot.agents.values().filter(|it| it.state.is_alive()) {
         let incarnation = snapshot.incarnations.get(&agent.name).copied().unwrap_or_default();
-        let part = if agent.state == AgentState::Leaving { Part::Leaving } else { Part::Member };
-        seen.push(Seen { name: &agent.name, incarnation, zone: &agent.place.zone, part });
+        let role =
+            if agent.state == AgentState::Leaving { ClaimRole::Leaving } else { ClaimRole::Member };
+        seen.push(MemberInfo { name: &agent.name, incarnation, zone: &agent.place.zone, role });
     }
     seen
 }
 
 /// Precedence of a result: the one with the most information on an earlier request wins.
-fn precedence(it: &Claimed) -> u8 {
+fn precedence(it: &ClaimResult) -> u8 {
     match it {
-        Claimed::Granted => 0,
-        Claimed::Full => 1,
-        Claimed::Unsettled => 2,
-        Claimed::Doubtful => 3,
-        Claimed::Mismatch => 4,
-        Claimed::Taken(_) => 5,
+        ClaimResult::Granted => 0,
+        ClaimResult::Full => 1,
+        ClaimResult::MembershipChanging => 2,
+        ClaimResult::Uncertain => 3,
+        ClaimResult::Mismatch => 4,
+        ClaimResult::Conflict(_) => 5,
     }
 }
 
@@ -144,17 +145,17 @@
     pub(crate) fn claim(&mut self, at: TransactionRef) {
         let now = self.now;
         let keys = &self.processes[at.agent].work.keys;
-        let settled = keys.roster.as_ref().is_some_and(|it| it.is_settled(now, WINDOW_MS));
+        let stable = keys.roster.as_ref().is_some_and(|it| it.is_stable(now, WINDOW_MS));
         let request = self.transaction(at).req.request;
         self.processes[at.agent].work.keys.open.insert(request);
-        self.claim_at(at, !settled);
+        self.claim_at(at, !stable);
     }
 
     /// Sends the claim to the arbiter, and to the others after it has granted the claim.
     fn claim_at(&mut self, at: TransactionRef, all: bool) {
         let key = Self::claim_key(self.transaction(at).req.key.as_deref().unwrap_or_default());
         let me = name(at.agent);
-        let local_only = self.mutant(Mutant::AsksNobody);
+        let local_only = self.mutant(Mutant::ClaimsLocallyOnly);
         let Some(roster) = &self.processes[at.agent].work.keys.roster else {
             return self.refuse(at, CallerResult::NotRun);
         };
@@ -179,8 +180,9 @@
         let digest = transaction.claiming.digest;
         let request = transaction.req.request;
         let key = Self::claim_key(transaction.req.key.as_deref().unwrap_or_default());
-        let by = name(at.agent);
-        let claim = Claim { request, digest: 1, by, state: State::Running, window: WINDOW_MS };
+        let agent = name(at.agent);
+        let claim =
+            Claim { request, digest: 1, agent, state: RequestState::Running, window_ms: WINDOW_MS };
         for &to in targets {
             let call =
                 || Call::Claim { at: to, back: at, key: key.clone(), claim: claim.clone(), digest };
@@ -189,7 +191,7 @@
             if self.chance(0.05) {
                 self.job_after(Job::Call(call()));
             }
-            let timeout = Call::Reply { back: at, from: to, claimed: Some(Claimed::Full) };
+            let timeout = Call::Reply { back: at, from: to, claimed: Some(ClaimResult::Full) };
             self.after(CALL_TIMEOUT_MS, Event::Job(Job::Call(timeout)));
         }
     }
@@ -216,20 +218,20 @@
         digest: Option<u64>,
     ) {
         let (now, request) = (self.now, claim.request);
-        let trusts = self.mutant(Mutant::TrustsForgetters);
+        let trusts = self.mutant(Mutant::TrustsRestartedMembers);
         let it = &mut self.processes[at];
         let mut claimed = None;
         if it.up {
             let keys = &mut it.work.keys;
             let roster = keys.roster.as_ref();
-            let doubtful = roster.is_some_and(|it| it.is_doubtful(key, now, WINDOW_MS));
-            let admitted = roster.is_some_and(|it| it.admits(digest, now, WINDOW_MS));
+            let uncertain = roster.is_some_and(|it| it.is_uncertain(key, now, WINDOW_MS));
+            let admitted = roster.is_some_and(|it| it.accepts_claim(digest, now, WINDOW_MS));
             let result = match keys.claims.claim(key, claim, now) {
-                Claimed::Granted if doubtful && !trusts => Claimed::Doubtful,
-                Claimed::Granted if !admitted && !trusts => Claimed::Unsettled,
+                ClaimResult::Granted if uncertain && !trusts => ClaimResult::Uncertain,
+                ClaimResult::Granted if !admitted && !trusts => ClaimResult::MembershipChanging,
                 it => it,
             };
-            if matches!(result, Claimed::Doubtful | Claimed::Unsettled) {
+            if matches!(result, ClaimResult::Uncertain | ClaimResult::MembershipChanging) {
                 keys.claims.release(key, request);
             }
             claimed = Some(result);
@@ -242,7 +244,7 @@
     }
 
     /// Handles the reply of an agent; `None` if it refused the connection, `Full` also after a timeout.
-    fn handle_reply(&mut self, at: TransactionRef, from: usize, claimed: Option<Claimed>) {
+    fn handle_reply(&mut self, at: TransactionRef, from: usize, claimed: Option<ClaimResult>) {
         if !self.is_current(at) || !self.transaction(at).is_new() {
             return;
         }
@@ -251,12 +253,12 @@
             return;
         };
         claiming.waiting.remove(position);
-        let reply = claimed.unwrap_or(Claimed::Full);
+        let reply = claimed.unwrap_or(ClaimResult::Full);
         // An agent whose reply is lost may have recorded the claim.
-        if matches!(reply, Claimed::Granted | Claimed::Full) {
+        if matches!(reply, ClaimResult::Granted | ClaimResult::Full) {
             claiming.held.push(from);
         }
-        let granted = reply == Claimed::Granted;
+        let granted = reply == ClaimResult::Granted;
         if precedence(&reply) > claiming.refusal.as_ref().map_or(0, precedence) {
             claiming.refusal = Some(reply);
         }
@@ -273,25 +275,27 @@
     fn conclude(&mut self, at: TransactionRef) {
         let claiming = self.transaction(at).claiming.clone();
         match claiming.refusal {
-            None | Some(Claimed::Granted) => self.decide(at, None),
-            Some(Claimed::Unsettled) if !claiming.all => {
+            None | Some(ClaimResult::Granted) => self.decide(at, None),
+            Some(ClaimResult::MembershipChanging) if !claiming.all => {
                 self.settle(at, None);
                 self.claim_at(at, true);
             }
-            Some(Claimed::Taken(claim)) => {
+            Some(ClaimResult::Conflict(claim)) => {
                 let result = match &claim.state {
-                    State::Done(answer) => {
+                    RequestState::Done(answer) => {
                         let ran = answer.body.as_slice().try_into().expect("16 bytes");
                         CallerResult::Complete(u128::from_be_bytes(ran))
                     }
                     // The request may be running.
-                    State::Running if self.mutant(Mutant::DeniesRuns) => CallerResult::NotRun,
-                    State::Running | State::Unknown => CallerResult::Unknown,
+                    RequestState::Running if self.mutant(Mutant::ReportsUnknownAsNotRun) => {
+                        CallerResult::NotRun
+                    }
+                    RequestState::Running | RequestState::Unknown => CallerResult::Unknown,
                 };
                 self.refuse(at, result);
             }
-            Some(Claimed::Doubtful) => self.refuse(at, CallerResult::Unknown),
-            Some(Claimed::Mismatch | Claimed::Unsettled | Claimed::Full) => {
+            Some(ClaimResult::Uncertain) => self.refuse(at, CallerResult::Unknown),
+            Some(ClaimResult::Mismatch | ClaimResult::MembershipChanging | ClaimResult::Full) => {
                 self.refuse(at, CallerResult::NotRun);
             }
         }
@@ -305,18 +309,18 @@
 
     /// Sends the final state of the request to the holders of the claim.
     pub(crate) fn settle_as(&mut self, at: TransactionRef, outcome: Outcome, ran: u128) {
-        let begun = self.transaction(at).dispatch.may_have_begun();
+        let begun = self.transaction(at).dispatch.may_have_started();
         let state = match outcome {
-            Outcome::Relay => Some(answer(ran)),
-            Outcome::Unknown { .. } => Some(State::Unknown),
-            Outcome::Cancelled if begun => Some(State::Unknown),
+            Outcome::Response => Some(answer(ran)),
+            Outcome::Unknown { .. } => Some(RequestState::Unknown),
+            Outcome::Cancelled if begun => Some(RequestState::Unknown),
             Outcome::NotRun { .. } | Outcome::Cancelled => None,
         };
         self.settle(at, state);
     }
 
     /// `None` means that the request has certainly not run.
-    fn settle(&mut self, at: TransactionRef, state: Option<State>) {
+    fn settle(&mut self, at: TransactionRef, state: Option<RequestState>) {
         let transaction = self.transaction(at).clone();
         let Some(key) = transaction.req.key.as_deref().map(Self::claim_key) else {
             return;
@@ -342,7 +346,7 @@
         tries: usize,
     ) {
         let it = &self.processes[from];
-        let known = it.snapshot.agents.get(&name(to)).is_some_and(|it| it.state.answers());
+        let known = it.snapshot.agents.get(&name(to)).is_some_and(|it| it.state.is_alive());
         if !it.up || it.incarnation != incarnation || !known || !self.processes[to].up {
             return;
         }
--- a/crates/core/tests/system/main.rs
+++ b/crates/core/tests/system/main.rs
@@ -8,22 +8,22 @@
 mod world;
 
 use camphorwinch_core::invariant::{Invariant, violations};
-use world::{Plan, Seen, World};
+use world::{Plan, RunResult, World};
 
 const SPAN_MS: u64 = 120_000;
 
-fn run(seed: u64) -> Seen {
+fn run(seed: u64) -> RunResult {
     World::new(Plan { seed, span_ms: SPAN_MS, mutant: None }).run()
 }
 
 #[test]
 fn a_fleet_under_faults_violates_no_guarantee() {
     let seeds = std::env::var("CAMPHORWINCH_SEEDS").ok().and_then(|it| it.parse().ok());
-    let mut total = Seen::default();
+    let mut total = RunResult::default();
     for seed in 0..seeds.unwrap_or(20) {
         let seen = run(seed);
         println!("seed {seed}: {seen:?}");
-        assert!(seen.broken.is_empty(), "seed {seed}: {:?}", seen.broken);
+        assert!(seen.violations.is_empty(), "seed {seed}: {:?}", seen.violations);
         total.faults += seen.faults;
         total.attempts += seen.attempts;
     }
--- a/crates/core/tests/system/platform.rs
+++ b/crates/core/tests/system/platform.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use camphorwinch_core::{
-    lease::{Attempt, LEASES, Term},
+    lease::{LEASES_PER_ZONE, LeaseTerm, LeaseWrite},
     object::{Kind, Object},
     record::Record,
 };
@@ -14,7 +14,7 @@
 /// A conditional write.
 #[derive(Clone, Debug)]
 pub(crate) enum Write {
-    Lease(Attempt),
+    Lease(LeaseWrite),
 }
 
 /// A write in flight: arrival time, index and incarnation of the writer, write.
@@ -30,7 +30,7 @@
     objects: BTreeMap<(String, String), Object>,
     events: Vec<Record>,
     conditional: bool,
-    former: BTreeMap<u8, VecDeque<Term>>,
+    former: BTreeMap<u8, VecDeque<LeaseTerm>>,
     epoch: u8,
 }
 
@@ -163,17 +163,19 @@
         self.put(Kind::Keys, "fleet", json!({ "reset": secret(0), "keys": keys }));
     }
 
-    pub(crate) fn term(object: &Object) -> Term {
+    pub(crate) fn term(object: &Object) -> LeaseTerm {
         let holder = object.spec["holder"].as_str().unwrap_or_default().to_owned();
-        Term { holder, taken_ms: object.spec["taken"].as_u64().unwrap_or(0) }
+        LeaseTerm { holder, acquired_ms: object.spec["taken"].as_u64().unwrap_or(0) }
     }
 
-    pub(crate) fn leases(&self) -> Vec<(u8, u64, Term)> {
+    pub(crate) fn leases(&self) -> Vec<(u8, u64, LeaseTerm)> {
         let lease = |number: u8| {
             let object = self.objects.get(&("lease".to_owned(), format!("seed-{number}")));
-            object.map_or((number, 0, Term::default()), |it| (number, it.version, Self::term(it)))
+            object.map_or((number, 0, LeaseTerm::default()), |it| {
+                (number, it.version, Self::term(it))
+            })
         };
-        (0..LEASES).map(lease).collect()
+        (0..LEASES_PER_ZONE).map(lease).collect()
     }
 
     /// Returns whether the write was accepted, and the stored object.
@@ -182,7 +184,9 @@
         let name = format!("seed-{}", attempt.number);
         let old = self.objects.get(&("lease".to_owned(), name.clone())).cloned();
         let version = old.as_ref().map_or(0, |it| it.version);
-        if let Some(old) = old.as_ref().filter(|_| self.conditional && version != attempt.base) {
+        if let Some(old) =
+            old.as_ref().filter(|_| self.conditional && version != attempt.expected_version)
+        {
             return (false, old.clone());
         }
         if let Some(old) = old {
@@ -191,7 +195,7 @@
                 former.push_back(term);
             }
         }
-        let spec = json!({ "holder": attempt.term.holder, "taken": attempt.term.taken_ms });
+        let spec = json!({ "holder": attempt.term.holder, "taken": attempt.term.acquired_ms });
         (true, self.put(Kind::Lease, &name, spec))
     }
 
--- a/crates/core/tests/system/work.rs
+++ b/crates/core/tests/system/work.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use camphorwinch_core::{
-    budget::Budget,
-    dispatch::{Dispatch, Outcome, Report, Request, Step, View},
-    gate::Gate,
+    backoff::UpstreamBackoff,
+    budget::RetryBudget,
+    dispatch::{Dispatch, DispatchContext, Outcome, Request, Step, StepResult},
     object::Policy,
-    peers::{Hints, Peer},
+    peers::{Peer, PeerLoads},
 };
 use rand::Rng;
 
@@ -74,12 +74,12 @@
     Call(Call),
     Request { agent: usize, incarnation: u64, req: SimRequest },
     Slot { at: TransactionRef },
-    Timeout { at: TransactionRef, report: Report },
+    Timeout { at: TransactionRef, report: StepResult },
     Forward { at: usize, back: TransactionRef, req: SimRequest },
     PeerReply { at: TransactionRef, reply: PeerReply },
     Proceed { at: TransactionRef, back: TransactionRef },
     Upstream { at: TransactionRef, req: SimRequest },
-    UpstreamDone { at: TransactionRef, report: Report, ran: u128 },
+    UpstreamDone { at: TransactionRef, report: StepResult, ran: u128 },
     Reply { caller: u64, request: u128, result: CallerResult },
     Retry { caller: u64 },
 }
@@ -130,9 +130,9 @@
     pub(crate) busy: u32,
     pub(crate) keys: Keys,
     transactions: BTreeMap<u64, Transaction>,
-    gate: Gate,
-    budget: Budget,
-    hints: Hints,
+    backoff: UpstreamBackoff,
+    budget: RetryBudget,
+    peer_loads: PeerLoads,
     next: u64,
 }
 
@@ -149,9 +149,9 @@
             busy: 0,
             keys: Keys::default(),
             transactions: BTreeMap::new(),
-            gate: Gate::new(),
-            budget: Budget::new(0.1, now),
-            hints: Hints::new(),
+            backoff: UpstreamBackoff::new(),
+            budget: RetryBudget::new(0.1, now),
+            peer_loads: PeerLoads::new(),
             next: 0,
         }
     }
@@ -329,30 +329,31 @@
         }
     }
 
-    pub(crate) fn decide(&mut self, at: TransactionRef, report: Option<Report>) {
+    pub(crate) fn decide(&mut self, at: TransactionRef, report: Option<StepResult>) {
         let now = self.now;
         let draining = self.drains(at.agent);
         let ignores = self.mutant(Mutant::IgnoresDrain);
         let seed = self.rng.random();
         let it = &mut self.processes[at.agent];
-        let local = ignores || (!draining && it.work.gate.is_open(now));
+        let local = ignores || (!draining && it.work.backoff.admits(now));
         let candidates = it
             .snapshot
             .candidates(camphorwinch_core::object::ServiceId::new(super::world::SERVICE));
         let peers: Vec<Peer<'_>> = candidates
             .iter()
             .filter(|agent| agent.name != it.name)
-            .map(|agent| Peer { name: &agent.name, near: true, weight: agent.weight })
+            .map(|agent| Peer { name: &agent.name, same_zone: true, weight: agent.weight })
             .collect();
-        let drawn = it.work.hints.draw(&peers, Policy::Steady, seed, now);
+        let selected = it.work.peer_loads.select(&peers, Policy::Steady, seed, now);
         let Work { budget, transactions, .. } = &mut it.work;
         let transaction = transactions.get_mut(&at.transaction).expect("checked to be there");
-        let mut view = View { now, local, peers: &drawn, budget, policy: Policy::Steady };
+        let mut view =
+            DispatchContext { now, local, peers: &selected, budget, policy: Policy::Steady };
         let step = match report {
             None => transaction.dispatch.start(&mut view),
             Some(report) => transaction.dispatch.next(report, &mut view),
         };
-        if report != Some(Report::Slot) && transaction.slot {
+        if report != Some(StepResult::SlotAcquired) && transaction.slot {
             transaction.slot = false;
             it.work.busy -= 1;
         }
@@ -361,7 +362,7 @@
 
     fn execute(&mut self, at: TransactionRef, step: Step) {
         match step {
-            Step::Take { wait_ms } => {
+            Step::AcquireSlot { wait_ms } => {
                 let at = self.enter_stage(at, Stage::AcquiringSlot);
                 if self.processes[at.agent].work.busy < SLOTS_PER_AGENT {
                     return self.try_slot(at);
@@ -370,7 +371,7 @@
             }
             Step::Run => self.run_here(at),
             Step::Offer { to } => self.forward(at, index_of(&to)),
-            Step::Answer(outcome) => self.finish_request(at, outcome, 0),
+            Step::Finish(outcome) => self.finish_request(at, outcome, 0),
         }
     }
 
@@ -380,17 +381,17 @@
         }
         let work = &mut self.processes[at.agent].work;
         if work.busy >= SLOTS_PER_AGENT {
-            return self.decide(at, Some(Report::Full));
+            return self.decide(at, Some(StepResult::SlotTimeout));
         }
         work.busy += 1;
         self.transaction(at).slot = true;
-        self.decide(at, Some(Report::Slot));
+        self.decide(at, Some(StepResult::SlotAcquired));
     }
 
     fn run_here(&mut self, at: TransactionRef) {
         let now = self.now;
-        if !self.processes[at.agent].work.gate.pass(now) {
-            return self.decide(at, Some(Report::Refused { retry_ms: 0 }));
+        if !self.processes[at.agent].work.backoff.admit(now) {
+            return self.decide(at, Some(StepResult::Refused { retry_ms: 0 }));
         }
         if !self.report_ready(at, None) {
             self.begin(at);
@@ -413,7 +414,10 @@
             None => self.enter_stage(at, Stage::Ready(None)),
         };
         self.job_after(Job::PeerReply { at: origin, reply: PeerReply::Ready(at) });
-        self.after(PROCEED_TIMEOUT_MS, Event::Job(Job::Timeout { at, report: Report::Cancelled }));
+        self.after(
+            PROCEED_TIMEOUT_MS,
+            Event::Job(Job::Timeout { at, report: StepResult::Cancelled }),
+        );
         true
     }
 
@@ -429,12 +433,12 @@
         let draw = if self.faults_off { 100 } else { self.rng.random_range(0..100) };
         let ran = req.request;
         let (report, delay) = match draw {
-            0..8 => (Report::Refused { retry_ms: 0 }, 1),
-            8..10 => (Report::Consumed { retry_ms: 0 }, 1),
-            10..12 => (Report::Lost, 1),
-            12..16 => (Report::Lost, 30),
-            16..20 => (Report::Head, 3_500),
-            _ => (Report::Head, self.rng.random_range(3..60)),
+            0..8 => (StepResult::Refused { retry_ms: 0 }, 1),
+            8..10 => (StepResult::BodyConsumed { retry_ms: 0 }, 1),
+            10..12 => (StepResult::ConnectionLost, 1),
+            12..16 => (StepResult::ConnectionLost, 30),
+            16..20 => (StepResult::ResponseStarted, 3_500),
+            _ => (StepResult::ResponseStarted, self.rng.random_range(3..60)),
         };
         if draw >= 12 && !req.idempotent {
             let key = req.key.clone().unwrap_or_else(|| format!("caller-{}", req.caller));
@@ -445,29 +449,31 @@
         self.after(delay, Event::Job(Job::UpstreamDone { at, report, ran }));
     }
 
-    fn handle_upstream_done(&mut self, at: TransactionRef, report: Report, ran: u128) {
+    fn handle_upstream_done(&mut self, at: TransactionRef, report: StepResult, ran: u128) {
         if !self.is_current(at) {
             return;
         }
         let now = self.now;
-        let gate = &mut self.processes[at.agent].work.gate;
+        let backoff = &mut self.processes[at.agent].work.backoff;
         match report {
-            Report::Head => gate.taken(),
-            _ => gate.refused(now),
+            StepResult::ResponseStarted => backoff.record_success(),
+            _ => backoff.record_refusal(now),
         }
         self.report(at, report, ran);
     }
 
     /// Passes a step result to the state machine; a mutant may change it.
-    fn report(&mut self, at: TransactionRef, report: Report, ran: u128) {
+    fn report(&mut self, at: TransactionRef, report: StepResult, ran: u128) {
         let report = match report {
-            Report::Lost if self.mutant(Mutant::SendsAgain) => Report::Refused { retry_ms: 0 },
+            StepResult::ConnectionLost if self.mutant(Mutant::ResendsLostRequests) => {
+                StepResult::Refused { retry_ms: 0 }
+            }
             it => it,
         };
-        if report == Report::Head {
+        if report == StepResult::ResponseStarted {
             let relayed = self.accept_head(at);
             assert!(relayed, "the response headers were rejected");
-            return self.finish_request(at, Outcome::Relay, ran);
+            return self.finish_request(at, Outcome::Response, ran);
         }
         self.decide(at, Some(report));
     }
@@ -476,8 +482,10 @@
         let now = self.now;
         let Work { budget, transactions, .. } = &mut self.processes[at.agent].work;
         let transaction = transactions.get_mut(&at.transaction).expect("checked to be there");
-        let mut view = View { now, local: true, peers: &[], budget, policy: Policy::Steady };
-        transaction.dispatch.next(Report::Head, &mut view) == Step::Answer(Outcome::Relay)
+        let mut view =
+            DispatchContext { now, local: true, peers: &[], budget, policy: Policy::Steady };
+        transaction.dispatch.next(StepResult::ResponseStarted, &mut view)
+            == Step::Finish(Outcome::Response)
     }
 
     fn forward(&mut self, at: TransactionRef, to: usize) {
@@ -493,7 +501,7 @@
             let back = TransactionRef { generation: u64::MAX, ..at };
             self.job_after(Job::Forward { at: to, back, req });
         }
-        let report = Report::Refused { retry_ms: 0 };
+        let report = StepResult::Refused { retry_ms: 0 };
         self.after(FORWARD_TIMEOUT_MS, Event::Job(Job::Timeout { at, report }));
     }
 
@@ -504,14 +512,14 @@
         self.accept(agent, req, Some(back));
     }
 
-    fn handle_timeout(&mut self, at: TransactionRef, report: Report) {
+    fn handle_timeout(&mut self, at: TransactionRef, report: StepResult) {
         match self.transaction(at).stage {
             Stage::Forwarded { to, proceeding: false } => {
                 let now = self.now;
-                self.processes[at.agent].work.hints.refused(&name(to), 0, now);
+                self.processes[at.agent].work.peer_loads.record_refused(&name(to), 0, now);
                 self.decide(at, Some(report));
             }
-            Stage::Ready(_) if report == Report::Cancelled => self.decide(at, Some(report)),
+            Stage::Ready(_) if report == StepResult::Cancelled => self.decide(at, Some(report)),
             _ => {}
         }
     }
@@ -535,13 +543,19 @@
             (PeerReply::Ready(_), true) => {}
             (PeerReply::Refused(retry_ms), _) => {
                 let now = self.now;
-                self.processes[at.agent].work.hints.refused(&name(to), retry_ms, now);
-                self.report(at, Report::Refused { retry_ms }, 0);
+                self.processes[at.agent].work.peer_loads.record_refused(&name(to), retry_ms, now);
+                self.report(at, StepResult::Refused { retry_ms }, 0);
+            }
+            (PeerReply::Head(ran), true) => self.report(at, StepResult::ResponseStarted, ran),
+            (PeerReply::Disconnected, false) => {
+                self.report(at, StepResult::Refused { retry_ms: 0 }, 0)
+            }
+            (PeerReply::Head(_) | PeerReply::Lost, false) => {
+                self.report(at, StepResult::ConnectionLost, 0)
+            }
+            (PeerReply::Lost | PeerReply::Disconnected, true) => {
+                self.report(at, StepResult::ConnectionLost, 0)
             }
-            (PeerReply::Head(ran), true) => self.report(at, Report::Head, ran),
-            (PeerReply::Disconnected, false) => self.report(at, Report::Refused { retry_ms: 0 }, 0),
-            (PeerReply::Head(_) | PeerReply::Lost, false) => self.report(at, Report::Lost, 0),
-            (PeerReply::Lost | PeerReply::Disconnected, true) => self.report(at, Report::Lost, 0),
         }
     }
 
@@ -565,7 +579,7 @@
 
     fn finish_request(&mut self, at: TransactionRef, outcome: Outcome, ran: u128) {
         let outcome = match outcome {
-            Outcome::Unknown { retry_ms } if self.mutant(Mutant::DeniesRuns) => {
+            Outcome::Unknown { retry_ms } if self.mutant(Mutant::ReportsUnknownAsNotRun) => {
                 Outcome::NotRun { retry_ms }
             }
             it => it,
@@ -576,7 +590,7 @@
         let transaction = self.end(at);
         let Some(origin) = transaction.origin else {
             let result = match outcome {
-                Outcome::Relay => CallerResult::Complete(ran),
+                Outcome::Response => CallerResult::Complete(ran),
                 Outcome::NotRun { .. } => CallerResult::NotRun,
                 Outcome::Unknown { .. } => CallerResult::Unknown,
                 Outcome::Cancelled => CallerResult::NoResponse,
@@ -585,7 +599,7 @@
             return self.job_after(Job::Reply { caller, request, result });
         };
         let reply = match outcome {
-            Outcome::Relay => PeerReply::Head(ran),
+            Outcome::Response => PeerReply::Head(ran),
             Outcome::NotRun { retry_ms } => PeerReply::Refused(retry_ms),
             Outcome::Unknown { .. } => PeerReply::Lost,
             Outcome::Cancelled => PeerReply::Disconnected,
--- a/crates/core/tests/system/world.rs
+++ b/crates/core/tests/system/world.rs
@@ -8,16 +8,17 @@
 
 use camphorwinch_core::{
     assemble::Assembler,
-    lease::Keeper,
+    failure_detector::{
+        AGENT_GRACE_MS, BALANCER_GRACE_MS, ExpiredSuspect, FailureDetector, PAUSE_DETECTION_MS,
+        SILENT_GRACE_MS, Verdict,
+    },
+    lease::LeaseClient,
     member::{Agent, AgentState, Balancer, BalancerState, Place},
     object::{Kind, Object, ServiceId},
     place::Placer,
-    record::{Mark, Member, Record, Role, Version},
+    record::{Member, Record, Role, Version, Watermark},
     snapshot::Snapshot,
-    suspect::{
-        AGENT_GRACE_MS, BALANCER_GRACE_MS, Finding, PAUSE_MS, SILENT_GRACE_MS, Suspects, Verdict,
-    },
-    view::{Adoption, BUCKETS, Scope, Summary, View},
+    view::{BUCKET_COUNT, Scope, Summary, View, WatermarkOutcome},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -44,29 +45,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Mutant {
     /// Sends a lost request again as if it had certainly not started.
-    SendsAgain,
+    ResendsLostRequests,
     /// Returns "not run" for an unknown outcome.
-    DeniesRuns,
+    ReportsUnknownAsNotRun,
     /// Runs requests without claiming their keys.
     SkipsClaims,
     /// Records a claim only at the claiming agent.
-    AsksNobody,
+    ClaimsLocallyOnly,
     /// Grants a claim although an earlier one may be lost.
-    TrustsForgetters,
+    TrustsRestartedMembers,
     /// Does not detect a restart of a member.
     IgnoresRestarts,
     /// Starts requests while the agent is draining.
     IgnoresDrain,
     /// Views accept lower versions.
-    TakesLower,
+    AcceptsLowerVersions,
     /// Balancers ignore the service in a connection ID.
     IgnoresService,
     /// Balancers place packets of established flows as new flows.
-    ForgetsOwners,
+    IgnoresFlowOwners,
     /// Processes never compare their views.
-    SkipsComparing,
+    SkipsSync,
     /// The platform ignores the versions of conditional writes.
-    SkipsVersions,
+    SkipsVersionChecks,
 }
 
 /// Parameters of a run.
@@ -79,7 +80,7 @@
 
 /// Externally visible results of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Seen {
+pub(crate) struct RunResult {
     pub(crate) faults: u64,
     pub(crate) attempts: u64,
     pub(crate) whole: u64,
@@ -89,15 +90,15 @@
     pub(crate) placed: u64,
     pub(crate) drains: u64,
     /// Number of violated guarantees by name.
-    pub(crate) broken: BTreeMap<&'static str, u64>,
+    pub(crate) violations: BTreeMap<&'static str, u64>,
 }
 
 /// Control message between processes.
 #[derive(Clone, Debug)]
 pub(crate) enum Control {
     Heartbeat(Member),
-    Records(Vec<Record>, Option<Mark>),
-    Digest(Box<[u64; BUCKETS]>),
+    Records(Vec<Record>, Option<Watermark>),
+    Digest(Box<[u64; BUCKET_COUNT]>),
     Summary(Summary),
 }
 
@@ -139,13 +140,13 @@
     pub(crate) snapshot: Snapshot,
     pub(crate) placer: Option<Placer>,
     pub(crate) work: Work,
-    pub(crate) keeper: Keeper,
+    pub(crate) lease_client: LeaseClient,
     pub(crate) write_pending: bool,
     /// End of the last kill, pause or isolation.
     pub(crate) disturbed_until: u64,
     assembler: Assembler,
     own: Member,
-    suspects: Suspects,
+    failure_detector: FailureDetector,
     last_heartbeats: BTreeMap<usize, u64>,
     versions: BTreeMap<String, u64>,
     stale: View,
@@ -162,7 +163,7 @@
     pub(crate) platform: Platform,
     pub(crate) callers: BTreeMap<u64, Caller>,
     pub(crate) flows: Vec<Flow>,
-    pub(crate) seen: Seen,
+    pub(crate) seen: RunResult,
     /// Runs of requests at upstreams: key, time and request.
     pub(crate) upstream_runs: Vec<(String, u64, u128)>,
     pub(crate) faults_off: bool,
@@ -196,7 +197,7 @@
             connections: 50,
             state: AgentState::Ready,
         };
-        Role::Agent { agent, homes: vec![name(index % BALANCERS)] }
+        Role::Agent { agent, balancers: vec![name(index % BALANCERS)] }
     };
     Member { version: Version::member(incarnation, 0), since_ms: incarnation, role }
 }
@@ -221,12 +222,12 @@
             snapshot: Snapshot::default(),
             placer: None,
             work: Work::new(now),
-            keeper: Keeper::new(&name(index)),
+            lease_client: LeaseClient::new(&name(index)),
             write_pending: false,
             disturbed_until: now,
             assembler: Assembler::new(),
             own,
-            suspects: Suspects::new(),
+            failure_detector: FailureDetector::new(),
             last_heartbeats: BTreeMap::new(),
             versions: BTreeMap::new(),
             stale: View::new(),
@@ -244,10 +245,10 @@
             rng: StdRng::seed_from_u64(plan.seed),
             now: 1_000,
             processes: (0..ALL).map(|it| Process::new(it, 1_000)).collect(),
-            platform: Platform::new(plan.mutant != Some(Mutant::SkipsVersions)),
+            platform: Platform::new(plan.mutant != Some(Mutant::SkipsVersionChecks)),
             callers: BTreeMap::new(),
             flows: Vec::new(),
-            seen: Seen::default(),
+            seen: RunResult::default(),
             upstream_runs: Vec::new(),
             faults_off: true,
             trace: Vec::new(),
@@ -264,7 +265,7 @@
     }
 
     /// Runs without faults, with faults and without again, then checks the final state.
-    pub(crate) fn run(mut self) -> Seen {
+    pub(crate) fn run(mut self) -> RunResult {
         self.run_until(20_000);
         self.faults_off = false;
         self.after(1, Event::Fault);
@@ -282,7 +283,7 @@
     }
 
     pub(crate) fn report_violation(&mut self, what: &'static str) {
-        *self.seen.broken.entry(what).or_default() += 1;
+        *self.seen.violations.entry(what).or_default() += 1;
     }
 
     pub(crate) fn record_trace(&mut self, subject: &str, text: String) {
@@ -393,7 +394,7 @@
             return;
         }
         let it = &mut self.processes[index];
-        if self.now - it.last_tick > PAUSE_MS {
+        if self.now - it.last_tick > PAUSE_DETECTION_MS {
             // This process was paused, so missing heartbeats are no evidence.
             it.last_heartbeats.values_mut().for_each(|at| *at = self.now);
         }
@@ -402,7 +403,7 @@
         if turn.is_multiple_of(HEARTBEAT_MS) {
             self.send_heartbeats(index);
         }
-        if turn.is_multiple_of(COMPARE_MS) && !self.mutant(Mutant::SkipsComparing) {
+        if turn.is_multiple_of(COMPARE_MS) && !self.mutant(Mutant::SkipsSync) {
             let peers = if index < BALANCERS { ALL } else { BALANCERS };
             let peer = self.rng.random_range(0..peers);
             if peer != index {
@@ -413,7 +414,7 @@
         if index < BALANCERS {
             self.suspect(index);
             self.keep_lease(index);
-            if self.processes[index].keeper.last().is_some() {
+            if self.processes[index].lease_client.last_held().is_some() {
                 self.watch(index);
             }
         }
@@ -431,7 +432,7 @@
         }
     }
 
-    /// Detects missing heartbeats at a balancer; as in the daemon, an agent is declared silent first and dead much
+    /// Detects missing heartbeats at a balancer; as in the daemon, an agent is declared silent first and down much
     /// later.
     fn suspect(&mut self, index: usize) {
         let now = self.now;
@@ -442,24 +443,26 @@
             };
             let silent = matches!(&member.role, Role::Agent { agent, .. } if agent.state == AgentState::Silent);
             let (due, verdict) = match peer < BALANCERS {
-                true => (now + BALANCER_GRACE_MS, Verdict::Dead),
-                false if silent => (now + SILENT_GRACE_MS, Verdict::Dead),
+                true => (now + BALANCER_GRACE_MS, Verdict::Down),
+                false if silent => (now + SILENT_GRACE_MS, Verdict::Down),
                 false => (now, Verdict::Silent),
             };
             if now - heard > HEARTBEAT_TIMEOUT_MS {
-                it.suspects.suspect(&name(peer), member.version, due, verdict);
+                it.failure_detector.suspect(&name(peer), member.version, due, verdict);
             }
         }
         let view = &it.view;
-        let due = it.suspects.due(now, true, |name| view.member(name).map(|it| it.version));
+        let due = it
+            .failure_detector
+            .take_expired(now, true, |name| view.member(name).map(|it| it.version));
         let mut records = Vec::new();
-        for Finding { name, verdict } in due {
+        for ExpiredSuspect { name, verdict } in due {
             let Some(member) = view.member(&name).filter(|it| !it.is_down()) else {
                 continue;
             };
             records.push(Record::Member(match verdict {
-                Verdict::Silent => member.silent(now),
-                Verdict::Dead => member.down(now),
+                Verdict::Silent => member.as_silent(now),
+                Verdict::Down => member.as_down(now),
             }));
         }
         if !records.is_empty() {
@@ -467,7 +470,7 @@
         }
     }
 
-    /// Handles a link closed by the peer: the peer is declared dead after a grace period.
+    /// Handles a link closed by the peer: the peer is declared down after a grace period.
     pub(crate) fn link_closed(&mut self, index: usize, peer: usize) {
         let now = self.now;
         let it = &mut self.processes[index];
@@ -475,7 +478,7 @@
             return;
         };
         let version = member.version;
-        it.suspects.suspect(&name(peer), version, now + AGENT_GRACE_MS, Verdict::Dead);
+        it.failure_detector.suspect(&name(peer), version, now + AGENT_GRACE_MS, Verdict::Down);
     }
 
     /// Applies the platform's watch events or lists.
@@ -489,9 +492,9 @@
             let mut changed = Vec::new();
             for kind in Kind::CONFIG {
                 let objects = self.platform.list(kind);
-                changed.extend(self.processes[index].view.take_list(kind, &objects, revision));
+                changed.extend(self.processes[index].view.merge_list(kind, &objects, revision));
             }
-            self.processes[index].view.confirm(revision);
+            self.processes[index].view.confirm_revision(revision);
             self.broadcast(index, &changed, None);
             return;
         }
@@ -513,13 +516,13 @@
                 changed_records.push(record);
             }
         }
-        if self.processes[index].view.advance(revision) || !changed_records.is_empty() {
+        if self.processes[index].view.advance_revision(revision) || !changed_records.is_empty() {
             self.broadcast(index, &changed_records, None);
         }
     }
 
     fn broadcast(&mut self, index: usize, records: &[Record], except: Option<usize>) {
-        let mark = self.processes[index].view.mark();
+        let mark = self.processes[index].view.watermark();
         for to in 0..ALL {
             let linked = index < BALANCERS || to < BALANCERS;
             if to != index && Some(to) != except && linked && self.processes[to].up {
@@ -534,7 +537,7 @@
             Control::Heartbeat(member) => {
                 let now = self.now;
                 self.processes[to].last_heartbeats.insert(from, now);
-                self.processes[to].suspects.clear(member.name());
+                self.processes[to].failure_detector.clear(member.name());
                 self.merge_records(to, &[Record::Member(member)], None, Some(from));
             }
             Control::Records(records, mark) => self.merge_records(to, &records, mark, Some(from)),
@@ -546,8 +549,8 @@
             }
             Control::Summary(summary) => {
                 let found = self.processes[to].view.compare(&scope, &summary);
-                let mark = self.processes[to].view.mark();
-                self.send(to, from, Control::Records(found.lacking, mark));
+                let mark = self.processes[to].view.watermark();
+                self.send(to, from, Control::Records(found.missing_at_peer, mark));
                 if !found.deleted.is_empty() {
                     self.broadcast(to, &found.deleted, None);
                 }
@@ -559,7 +562,7 @@
         &mut self,
         index: usize,
         records: &[Record],
-        mark: Option<Mark>,
+        mark: Option<Watermark>,
         from: Option<usize>,
     ) {
         let now = self.now;
@@ -570,16 +573,17 @@
                 changed_records.push(record.clone());
             }
         }
-        let adoption = mark.map_or(Adoption::Known, |mark| it.view.adopt(&mark));
-        if let (Adoption::Differs, Some(from)) = (adoption, from) {
-            if now - it.last_compare >= 500 && self.plan.mutant != Some(Mutant::SkipsComparing) {
+        let outcome =
+            mark.map_or(WatermarkOutcome::Unchanged, |mark| it.view.apply_watermark(&mark));
+        if let (WatermarkOutcome::Differs, Some(from)) = (outcome, from) {
+            if now - it.last_compare >= 500 && self.plan.mutant != Some(Mutant::SkipsSync) {
                 it.last_compare = now;
                 let digest = it.view.digest(&Scope::All);
                 self.send(index, from, Control::Digest(Box::new(digest)));
             }
         }
         let it = &mut self.processes[index];
-        // A newer announcement under this process's name means that it was declared dead.
+        // A newer announcement under this process's name means that it was declared down.
         let seen = it.view.member(&it.name).map(|it| it.version);
         if seen.is_some_and(|seen| seen > it.own.version) {
             it.own.version = seen.expect("checked").next();
@@ -587,7 +591,7 @@
             it.view.merge(&record, now);
             changed_records.push(record);
         }
-        if !changed_records.is_empty() || adoption == Adoption::Taken {
+        if !changed_records.is_empty() || outcome == WatermarkOutcome::Advanced {
             self.broadcast(index, &changed_records, from);
         }
         self.apply(index);
@@ -595,11 +599,13 @@
 
     /// Applies the process's view to its snapshot and placer.
     fn apply(&mut self, index: usize) {
-        let lower = self.mutant(Mutant::TakesLower) && self.chance(0.01);
+        let lower = self.mutant(Mutant::AcceptsLowerVersions) && self.chance(0.01);
         let it = &mut self.processes[index];
         if lower {
             std::mem::swap(&mut it.view, &mut it.stale);
-        } else if self.plan.mutant == Some(Mutant::TakesLower) && self.now.is_multiple_of(7) {
+        } else if self.plan.mutant == Some(Mutant::AcceptsLowerVersions)
+            && self.now.is_multiple_of(7)
+        {
             it.stale = it.view.clone();
         }
         // Errors are ignored: during an address swap one of the two services may conflict with the other.
@@ -633,7 +639,8 @@
 
     fn keep_lease(&mut self, index: usize) {
         let now = self.now;
-        let watches = |it: &Process| it.up && it.paused_until <= now && it.keeper.last().is_some();
+        let watches =
+            |it: &Process| it.up && it.paused_until <= now && it.lease_client.last_held().is_some();
         if !self.processes[..BALANCERS].iter().any(watches) {
             // Both holders are down, so no process reads the platform until a lease has expired.
             self.platform.disturbed_until = self.platform.disturbed_until.max(now);
@@ -642,15 +649,15 @@
             return;
         }
         let mut attempt = None;
-        if self.processes[index].keeper.holds(now).is_some() {
+        if self.processes[index].lease_client.holds(now).is_some() {
             if self.rng.random_bool(0.1) {
-                attempt = self.processes[index].keeper.renew(now);
+                attempt = self.processes[index].lease_client.renew(now);
             }
         } else if self.platform.down_until <= now && self.rng.random_bool(0.3) {
             for (number, version, term) in self.platform.leases() {
-                self.processes[index].keeper.observe(now, number, version, term);
+                self.processes[index].lease_client.observe(now, number, version, term);
             }
-            attempt = self.processes[index].keeper.take(now, now);
+            attempt = self.processes[index].lease_client.try_acquire(now, now);
         }
         if let Some(attempt) = attempt {
             self.processes[index].write_pending = true;
@@ -693,15 +700,15 @@
         let Write::Lease(attempt) = write;
         match stored {
             Some((true, object)) => {
-                it.keeper.written(now, attempt, object.version);
+                it.lease_client.confirm_write(now, attempt, object.version);
             }
             Some((false, object)) => {
                 let term = Platform::term(&object);
-                it.keeper.observe(now, attempt.number, object.version, term);
+                it.lease_client.observe(now, attempt.number, object.version, term);
             }
             None if self.platform.down_until <= now => {
                 for (number, version, term) in self.platform.leases() {
-                    self.processes[index].keeper.observe(now, number, version, term);
+                    self.processes[index].lease_client.observe(now, number, version, term);
                 }
             }
             None => {}
@@ -714,7 +721,7 @@
         let mut held = BTreeSet::new();
         let mut duplicates = 0;
         for it in self.processes.iter().filter(|it| it.up) {
-            if let Some(number) = it.keeper.holds(self.now) {
+            if let Some(number) = it.lease_client.holds(self.now) {
                 duplicates += u64::from(!held.insert(number));
             }
         }
@@ -743,7 +750,7 @@
             }
             for (from, to) in [(peer, index), (index, peer)] {
                 let digest = self.processes[from].view.digest(&Scope::All);
-                if !self.mutant(Mutant::SkipsComparing) {
+                if !self.mutant(Mutant::SkipsSync) {
                     self.send(from, to, Control::Digest(Box::new(digest)));
                 }
             }
--- a/crates/core/tests/view.rs
+++ b/crates/core/tests/view.rs
@@ -9,7 +9,7 @@
     object::{Kind, Object},
     record::{Key, Member, Record, Role, Version},
     revision::Revision,
-    view::{Adoption, FORGET_MS, Scope, View},
+    view::{DOWN_MEMBER_TTL_MS, Scope, View, WatermarkOutcome},
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use serde_json::json;
@@ -27,7 +27,7 @@
     Watch { view: u8, back: u8, skipped: bool },
     /// A view applies a list of the platform.
     List { view: u8 },
-    /// A view receives a record of another, without a mark.
+    /// A view receives a record of another, without a watermark.
     Gossip { from: u8, to: u8, name: u8 },
     /// Two views compare; `lost` drops all but one of the sent records.
     Compare { from: u8, to: u8, lost: bool },
@@ -90,21 +90,21 @@
 }
 
 fn list(platform: &Platform, view: &mut View) {
-    view.take_list(Kind::Change, &platform.list(), platform.revision);
-    view.confirm(platform.revision);
+    view.merge_list(Kind::Change, &platform.list(), platform.revision);
+    view.confirm_revision(platform.revision);
 }
 
-/// Sync exchange after a difference: digest, summary, missing records and mark.
-fn compare(from: &mut View, to: &mut View, lost: bool) -> Adoption {
+/// Sync exchange after a difference: digest, summary, missing records and watermark.
+fn compare(from: &mut View, to: &mut View, lost: bool) -> WatermarkOutcome {
     let scope = Scope::All;
     let summary = to.summary(&scope, &from.digest(&scope));
-    let lacking = from.compare(&scope, &summary).lacking;
+    let lacking = from.compare(&scope, &summary).missing_at_peer;
     let back = from.summary(&scope, &to.digest(&scope));
     to.compare(&scope, &back);
     for record in lacking.iter().take(if lost { 1 } else { usize::MAX }) {
         to.merge(record, 0);
     }
-    from.mark().map_or(Adoption::Known, |it| to.adopt(&it))
+    from.watermark().map_or(WatermarkOutcome::Unchanged, |it| to.apply_watermark(&it))
 }
 
 fn versions(view: &View) -> BTreeMap<String, u64> {
@@ -167,11 +167,11 @@
                 view.merge(record, 0);
             }
         }
-        view.advance(events[newest].version().major);
+        view.advance_revision(events[newest].version().major);
     }
 }
 
-/// After any losses, a list and a comparison with the view that read it complete every view. No version in force is
+/// After lost messages, a list and a comparison with the view that read it complete every view. No version in force is
 /// ever replaced by an older one.
 fn complete_after_list_and_compare(steps: Vec<Step>) -> bool {
     let mut run = Run::new();
@@ -191,14 +191,14 @@
     let mut seed = run.views[0].clone();
     for view in &mut run.views[1..] {
         compare(&mut seed, view, false);
-        let adoption = compare(&mut seed, view, false);
-        assert_ne!(adoption, Adoption::Differs);
+        let outcome = compare(&mut seed, view, false);
+        assert_ne!(outcome, WatermarkOutcome::Differs);
         assert_eq!(versions(view), stored_versions(&run.platform));
     }
     versions(&seed) == stored_versions(&run.platform) && violations(Invariant::VersionGrows) == 0
 }
 
-/// Without skipped events, a view that adopted a mark holds what the platform stored at that revision.
+/// Without skipped events, a view that applied a watermark holds what the platform stored at that revision.
 fn marks_match_platform(steps: Vec<Step>) -> bool {
     let mut run = Run::new();
     let mut history = vec![(0, BTreeMap::new())];
@@ -257,10 +257,10 @@
         connections: 1,
         state: AgentState::Ready,
     };
-    Member { version, since_ms: 0, role: Role::Agent { agent, homes: Vec::new() } }
+    Member { version, since_ms: 0, role: Role::Agent { agent, balancers: Vec::new() } }
 }
 
-/// Regression: a view adopted a mark without having received a deletion, and a third view restored the object.
+/// Regression: a view applied a watermark without having received a deletion, and a third view restored the object.
 #[test]
 fn a_mark_includes_deletions_that_the_receiver_missed() {
     let mut run = Run::new();
@@ -281,7 +281,7 @@
     assert_eq!(versions(&run.views[3]), stored_versions(&run.platform));
 }
 
-/// Regression: an object newer than the mark was left out of the sum, which hid that the receiver lacked it.
+/// Regression: an object newer than the watermark was left out of the sum, which hid that the receiver lacked it.
 #[test]
 fn a_newer_version_does_not_hide_a_missing_object() {
     let mut run = Run::new();
@@ -308,7 +308,7 @@
     let alive = agent("a", "p", Version::member(5, 3));
     assert!(view.merge(&Record::Member(alive.clone()), 0));
     assert!(!view.merge(&Record::Member(agent("a", "p", Version::member(4, 9))), 0));
-    let down = alive.down(1_000);
+    let down = alive.as_down(1_000);
     assert!(view.merge(&Record::Member(down.clone()), 1_000));
     assert!(
         !view.merge(&Record::Member(alive), 1_000),
@@ -320,10 +320,10 @@
 #[test]
 fn dead_members_expire_and_are_not_restored() {
     let mut view = View::new();
-    let down = agent("a", "p", Version::member(1, 0)).down(1_000);
+    let down = agent("a", "p", Version::member(1, 0)).as_down(1_000);
     view.merge(&Record::Member(down.clone()), 1_000);
-    let later = 1_001 + FORGET_MS;
-    assert_eq!(view.forget(later), 1);
+    let later = 1_001 + DOWN_MEMBER_TTL_MS;
+    assert_eq!(view.purge_down_members(later), 1);
     assert!(!view.merge(&Record::Member(down), later), "a late record does not restore it");
 }
 
@@ -343,7 +343,7 @@
     home.merge(&Record::Member(agent("x", "q", version)), 0);
     let scope = Scope::Pools(["p".to_owned()].into());
     let summary = View::new().summary(&scope, &home.digest(&scope));
-    let lacking = home.compare(&scope, &summary).lacking;
+    let lacking = home.compare(&scope, &summary).missing_at_peer;
     let names: Vec<_> = lacking.iter().map(Record::key).collect();
     assert_eq!(names, [Key::Member("a".to_owned()), Key::Member("b".to_owned())]);
 }
@@ -380,17 +380,17 @@
     }
 }
 
-// Guards against reverting confirmed changes after the platform was restored from an older backup.
+// Guards against reverting confirmed changes after the platform was reset to an older copy.
 #[test]
 fn a_restored_backup_does_not_revert_confirmed_changes() {
     let mut view = View::new();
     let at = |era, number| Revision::new(era, number).packed();
     let known = [object_at(0, 25, "changed"), object_at(0, 26, "lost"), object_at(0, 20, "same")];
-    view.take_list(Kind::Change, &known, at(0, 26));
-    view.confirm(at(0, 26));
+    view.merge_list(Kind::Change, &known, at(0, 26));
+    view.confirm_revision(at(0, 26));
     let backup = [object_at(1, 18, "changed"), object_at(1, 20, "same")];
-    assert!(view.take_copy(Kind::Change, &backup, 0).is_empty());
-    view.advance(at(1, 21));
+    assert!(view.merge_reset_list(Kind::Change, &backup, 0).is_empty());
+    view.advance_revision(at(1, 21));
     let kept = [("changed", at(0, 25)), ("lost", at(0, 26)), ("same", at(0, 20))];
     assert_eq!(versions(&view), kept.map(|(name, it)| (name.to_owned(), it)).into());
     assert_eq!(view.floor(), at(0, 26), "no object counts as deleted");
@@ -399,26 +399,26 @@
     assert!(view.merge(&news, 0));
     // Complete lists apply after the writers had time to write again.
     let list = [object_at(1, 22, "changed"), object_at(1, 20, "same")];
-    view.take_list(Kind::Change, &list, at(1, 23));
+    view.merge_list(Kind::Change, &list, at(1, 23));
     assert_eq!(
         versions(&view),
         [("changed".to_owned(), at(1, 22)), ("same".to_owned(), at(1, 20))].into()
     );
 }
 
-// Guards against a process started after the reset, which has only the backup, reverting its peers.
+// Guards against a process started after the reset, which has only the older copy, reverting its peers.
 #[test]
 fn a_view_of_only_the_backup_does_not_revert_its_peers() {
     let at = |era, number| Revision::new(era, number).packed();
     let (mut old, mut new) = (View::new(), View::new());
-    old.take_list(
+    old.merge_list(
         Kind::Change,
         &[object_at(0, 25, "changed"), object_at(0, 26, "lost")],
         at(0, 26),
     );
-    old.confirm(at(0, 26));
-    new.take_copy(Kind::Change, &[object_at(1, 18, "changed")], 0);
-    new.advance(at(1, 21));
+    old.confirm_revision(at(0, 26));
+    new.merge_reset_list(Kind::Change, &[object_at(1, 18, "changed")], 0);
+    new.advance_revision(at(1, 21));
     for _ in 0..2 {
         compare(&mut new, &mut old, false);
         compare(&mut old, &mut new, false);
--- a/crates/daemon/src/agent/body.rs
+++ b/crates/daemon/src/agent/body.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use bytes::{Buf, Bytes};
-use camphorwinch_core::claims::{Answer, MAX_ANSWER};
-use camphorwinch_wire::handover::{Kind, Resume};
+use camphorwinch_core::claims::{MAX_RESPONSE_BYTES, RecordedResponse};
+use camphorwinch_wire::handover::{Continue, Kind};
 use futures::FutureExt;
 use h3::{error::Code, server::RequestStream};
 use http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode};
@@ -194,7 +194,7 @@
     }
 
     /// The recorded response, if it is complete.
-    pub(crate) fn take_recorded(&mut self) -> Option<Answer> {
+    pub(crate) fn take_recorded(&mut self) -> Option<RecordedResponse> {
         self.recorder.take()?.into_response()
     }
 
@@ -224,7 +224,7 @@
     pub(crate) async fn send_continue(&mut self) {
         if let ResponseTarget::Link(link) = &mut self.target {
             // If the link is closed, reading the body fails too.
-            let _ = link.send(Kind::Resume(Resume {})).await;
+            let _ = link.send(Kind::Continue(Continue {})).await;
         }
     }
 
@@ -328,7 +328,7 @@
 
     /// Stores a chunk of the body.
     pub(crate) fn record_data(&mut self, chunk: &[u8]) {
-        self.overflow |= self.body.len() + chunk.len() > MAX_ANSWER;
+        self.overflow |= self.body.len() + chunk.len() > MAX_RESPONSE_BYTES;
         if !self.overflow {
             self.body.extend_from_slice(chunk);
         }
@@ -339,15 +339,15 @@
         self.complete = true;
     }
 
-    /// The response; none if it was aborted or is larger than [`MAX_ANSWER`].
-    pub(crate) fn into_response(self) -> Option<Answer> {
+    /// The response; none if it was aborted or is larger than [`MAX_RESPONSE_BYTES`].
+    pub(crate) fn into_response(self) -> Option<RecordedResponse> {
         if self.overflow || !self.complete {
             return None;
         }
         let field = |(name, value): (&HeaderName, &HeaderValue)| {
             (name.as_str().to_owned(), value.as_bytes().to_vec())
         };
-        Some(Answer {
+        Some(RecordedResponse {
             status: self.status.as_u16(),
             headers: self.headers.iter().map(field).collect(),
             body: self.body,
