--- a/crates/daemon/src/agent/claim.rs
+++ b/crates/daemon/src/agent/claim.rs
@@ -8,7 +8,7 @@
 use std::{hash::Hasher, sync::Arc, time::Duration};
 
 use camphorwinch_core::{
-    claims::{Answer, Claim, ClaimKey, MAX_KEY, RequestId, State},
+    claims::{Claim, ClaimKey, MAX_KEY_BYTES, RecordedResponse, RequestId, RequestState},
     object::ServiceId,
 };
 use camphorwinch_wire::handover::{ClaimCall, ClaimPurpose, ClaimRecord, ClaimVerdict};
@@ -36,7 +36,7 @@
     /// The claim is granted; its holders must receive the result.
     Run(HeldClaim),
     /// An earlier request with the key had this response.
-    Replay(Arc<Answer>),
+    Replay(Arc<RecordedResponse>),
     /// An earlier request with the key may be running.
     InProgress,
     /// An earlier request with the key may have run, and its response is lost.
@@ -57,7 +57,7 @@
     active: ActiveRequest,
 }
 
-/// Invalid idempotency key: empty, longer than [`MAX_KEY`] bytes, or not visible ASCII.
+/// Invalid idempotency key: empty, longer than [`MAX_KEY_BYTES`] bytes, or not visible ASCII.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BadKey;
 
@@ -71,7 +71,7 @@
         return Ok(None);
     };
     let text = value.to_str().map_err(|_| BadKey)?;
-    if !(1..=MAX_KEY).contains(&text.len()) {
+    if !(1..=MAX_KEY_BYTES).contains(&text.len()) {
         return Err(BadKey);
     }
     Ok(Some(ClaimKey { service, key: text.to_owned() }))
@@ -80,12 +80,12 @@
 /// Reply of one agent to a claim.
 enum ClaimVote {
     Granted,
-    Taken(Claim),
+    Conflict(Claim),
     Mismatch,
     /// An earlier claim may have been lost.
-    MayBeLost,
+    Uncertain,
     /// The membership is changing: all members must be queried.
-    MembersChanging,
+    MembershipChanging,
     /// Not reachable, or out of capacity.
     Unavailable,
 }
@@ -109,15 +109,15 @@
     let claim = Claim {
         request: context.head.id,
         digest: digest(&context.head),
-        by: node.settings.name.clone(),
-        state: State::Running,
-        window: u64::from(context.service.entry().spec.key_window_s) * 1_000,
+        agent: node.settings.name.clone(),
+        state: RequestState::Running,
+        window_ms: u64::from(context.service.entry().spec.key_window_s) * 1_000,
     };
     let stable = node.rosters.lock().is_stable(&key, clock::now_ms());
     if stable {
         let (held, refusal) = claim_from_holders(node, &key, &claim, false).await;
         match refusal {
-            Some(ClaimVote::MembersChanging) => held.resolve(node, None),
+            Some(ClaimVote::MembershipChanging) => held.resolve(node, None),
             other => return finish_claim(node, held, other).await,
         }
     }
@@ -170,10 +170,10 @@
 ) -> ClaimOutcome {
     let outcome = match refusal {
         None | Some(ClaimVote::Granted) => return ClaimOutcome::Run(held),
-        Some(ClaimVote::Taken(claim)) => taken_outcome(node, claim).await,
+        Some(ClaimVote::Conflict(claim)) => conflict_outcome(node, claim).await,
         Some(ClaimVote::Mismatch) => ClaimOutcome::Mismatch,
-        Some(ClaimVote::MayBeLost) => ClaimOutcome::Unknown,
-        Some(ClaimVote::MembersChanging | ClaimVote::Unavailable) => ClaimOutcome::Unavailable,
+        Some(ClaimVote::Uncertain) => ClaimOutcome::Unknown,
+        Some(ClaimVote::MembershipChanging | ClaimVote::Unavailable) => ClaimOutcome::Unavailable,
     };
     held.resolve(node, None);
     outcome
@@ -185,36 +185,36 @@
         match self {
             ClaimVote::Granted => 0,
             ClaimVote::Unavailable => 1,
-            ClaimVote::MembersChanging => 2,
-            ClaimVote::MayBeLost => 3,
+            ClaimVote::MembershipChanging => 2,
+            ClaimVote::Uncertain => 3,
             ClaimVote::Mismatch => 4,
-            ClaimVote::Taken(_) => 5,
+            ClaimVote::Conflict(_) => 5,
         }
     }
 }
 
-async fn taken_outcome(node: &Arc<Node>, claim: Claim) -> ClaimOutcome {
+async fn conflict_outcome(node: &Arc<Node>, claim: Claim) -> ClaimOutcome {
     match &claim.state {
-        State::Done(answer) => ClaimOutcome::Replay(Arc::clone(answer)),
-        State::Unknown => ClaimOutcome::Unknown,
-        State::Running if is_in_progress(node, &claim).await => ClaimOutcome::InProgress,
-        State::Running => ClaimOutcome::Unknown,
+        RequestState::Done(answer) => ClaimOutcome::Replay(Arc::clone(answer)),
+        RequestState::Unknown => ClaimOutcome::Unknown,
+        RequestState::Running if is_in_progress(node, &claim).await => ClaimOutcome::InProgress,
+        RequestState::Running => ClaimOutcome::Unknown,
     }
 }
 
 /// Whether the agent that made the claim is still processing the request, which ends with its process.
 async fn is_in_progress(node: &Arc<Node>, claim: &Claim) -> bool {
-    if claim.by == node.settings.name {
+    if claim.agent == node.settings.name {
         return node.keyed_requests.lock().contains(&claim.request);
     }
-    let is_alive = node.snapshot().agents.get(&claim.by).is_some_and(|it| it.state.answers());
+    let is_alive = node.snapshot().agents.get(&claim.agent).is_some_and(|it| it.state.is_alive());
     if !is_alive {
         return false;
     }
     let key = ClaimKey { service: ServiceId(0), key: "-".to_owned() };
     let record = ClaimRecord::new(&key, claim);
     let call = ClaimCall::new(ClaimPurpose::Probe, record);
-    match time::timeout(CLAIM_TIMEOUT, send_call(node, &claim.by, call)).await {
+    match time::timeout(CLAIM_TIMEOUT, send_call(node, &claim.agent, call)).await {
         Ok(Ok(reply)) => reply.verdict == ClaimVerdict::Granted as i32,
         Ok(Err(e)) => !is_connection_refused(&e),
         Err(_) => true,
@@ -243,7 +243,7 @@
 impl HeldClaim {
     /// Sends the request's result to the holders of the claim. Without a state, the request has not run and
     /// the claim is released.
-    pub(crate) fn resolve(self, node: &Arc<Node>, state: Option<State>) {
+    pub(crate) fn resolve(self, node: &Arc<Node>, state: Option<RequestState>) {
         let node = Arc::clone(node);
         let tasks = node.tasks.clone();
         tasks.spawn(async move {
@@ -251,15 +251,15 @@
             let claim = Claim {
                 request,
                 digest: 0,
-                by: node.settings.name.clone(),
-                state: state.clone().unwrap_or(State::Running),
-                window: 0,
+                agent: node.settings.name.clone(),
+                state: state.clone().unwrap_or(RequestState::Running),
+                window_ms: 0,
             };
             let record = ClaimRecord::new(&key, &claim);
-            let record = if state.is_none() { record.with_release() } else { record };
+            let record = if state.is_none() { record.into_released() } else { record };
             let sends = holders
                 .iter()
-                .map(|it| send_until_accepted(&node, it, ClaimPurpose::Settle, &record));
+                .map(|it| send_until_accepted(&node, it, ClaimPurpose::Resolve, &record));
             future::join_all(sends).await;
             drop(active);
         });
--- a/crates/daemon/src/agent/claim/client.rs
+++ b/crates/daemon/src/agent/claim/client.rs
@@ -2,7 +2,7 @@
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
-use camphorwinch_core::claims::{Claim, ClaimKey, Claimed};
+use camphorwinch_core::claims::{Claim, ClaimKey, ClaimResult};
 use camphorwinch_wire::handover::{
     ClaimCall, ClaimPurpose, ClaimRecord, ClaimReply, ClaimVerdict, HandoverError, Kind,
 };
@@ -54,7 +54,7 @@
     }
     for delay_ms in SEND_DELAYS_MS {
         time::sleep(Duration::from_millis(delay_ms)).await;
-        let is_alive = node.snapshot().agents.get(agent_name).is_some_and(|it| it.state.answers());
+        let is_alive = node.snapshot().agents.get(agent_name).is_some_and(|it| it.state.is_alive());
         if !is_alive {
             return;
         }
@@ -106,14 +106,14 @@
     e.chain().any(|it| it.downcast_ref::<io::Error>().is_some_and(refused))
 }
 
-fn vote(claimed: Claimed) -> ClaimVote {
+fn vote(claimed: ClaimResult) -> ClaimVote {
     match claimed {
-        Claimed::Granted => ClaimVote::Granted,
-        Claimed::Doubtful => ClaimVote::MayBeLost,
-        Claimed::Unsettled => ClaimVote::MembersChanging,
-        Claimed::Taken(claim) => ClaimVote::Taken(claim),
-        Claimed::Mismatch => ClaimVote::Mismatch,
-        Claimed::Full => ClaimVote::Unavailable,
+        ClaimResult::Granted => ClaimVote::Granted,
+        ClaimResult::Uncertain => ClaimVote::Uncertain,
+        ClaimResult::MembershipChanging => ClaimVote::MembershipChanging,
+        ClaimResult::Conflict(claim) => ClaimVote::Conflict(claim),
+        ClaimResult::Mismatch => ClaimVote::Mismatch,
+        ClaimResult::Full => ClaimVote::Unavailable,
     }
 }
 
@@ -121,12 +121,12 @@
     match ClaimVerdict::try_from(reply.verdict) {
         Ok(ClaimVerdict::Granted) => Ok(ClaimVote::Granted),
         Ok(ClaimVerdict::Mismatch) => Ok(ClaimVote::Mismatch),
-        Ok(ClaimVerdict::Doubtful) => Ok(ClaimVote::MayBeLost),
-        Ok(ClaimVerdict::Unsettled) => Ok(ClaimVote::MembersChanging),
+        Ok(ClaimVerdict::Uncertain) => Ok(ClaimVote::Uncertain),
+        Ok(ClaimVerdict::MembershipChanging) => Ok(ClaimVote::MembershipChanging),
         Ok(ClaimVerdict::Full) | Err(_) => Ok(ClaimVote::Unavailable),
-        Ok(ClaimVerdict::Taken) => {
+        Ok(ClaimVerdict::Conflict) => {
             let holder = reply.holder.as_ref().ok_or(HandoverError("holder of a claim"))?;
-            Ok(holder.claim()?.map_or(ClaimVote::Unavailable, ClaimVote::Taken))
+            Ok(holder.claim()?.map_or(ClaimVote::Unavailable, ClaimVote::Conflict))
         }
     }
 }
--- a/crates/daemon/src/agent/claim/transfer.rs
+++ b/crates/daemon/src/agent/claim/transfer.rs
@@ -2,8 +2,8 @@
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use camphorwinch_core::{object::ServiceId, roster::Lost};
-use camphorwinch_wire::handover::{ClaimCall, ClaimPurpose, ClaimRecord, Loss};
+use camphorwinch_core::{object::ServiceId, roster::FailedMember};
+use camphorwinch_wire::handover::{self, ClaimCall, ClaimPurpose, ClaimRecord};
 use futures::{StreamExt, future, stream};
 use tokio::time;
 
@@ -28,8 +28,9 @@
     let send_claims = stream::iter(transfers).for_each_concurrent(
         CONCURRENT_TRANSFERS,
         |(names, record)| async move {
-            let sends =
-                names.iter().map(|it| send_until_accepted(node, it, ClaimPurpose::Adopt, &record));
+            let sends = names
+                .iter()
+                .map(|it| send_until_accepted(node, it, ClaimPurpose::Transfer, &record));
             future::join_all(sends).await;
         },
     );
@@ -44,22 +45,22 @@
 }
 
 /// Sends the recently failed members of a service to the other members.
-async fn send_failed_members(node: &Node, service: ServiceId, failed: Vec<Lost>) {
+async fn send_failed_members(node: &Node, service: ServiceId, failed: Vec<FailedMember>) {
     let names = node.rosters.lock().other_members(service);
     let now = clock::now_ms();
-    let mut losses = Vec::new();
+    let mut failed_members = Vec::new();
     for it in failed {
-        losses.push(Loss {
+        failed_members.push(handover::FailedMember {
             service: service.0,
             name: it.name,
             incarnation: it.incarnation,
             zone: it.zone,
-            age_ms: now.saturating_sub(it.at),
-            old: it.old,
+            age_ms: now.saturating_sub(it.failed_at),
+            was_stable: it.was_stable,
         });
     }
-    let purpose = ClaimPurpose::Losses as i32;
-    let call = ClaimCall { purpose, losses, ..ClaimCall::default() };
+    let purpose = ClaimPurpose::FailedMembers as i32;
+    let call = ClaimCall { purpose, failed_members, ..ClaimCall::default() };
     for name in names {
         if let Ok(Err(e)) = time::timeout(CLAIM_TIMEOUT, send_call(node, &name, call.clone())).await
         {
--- a/crates/daemon/src/agent/datagram.rs
+++ b/crates/daemon/src/agent/datagram.rs
@@ -10,7 +10,7 @@
 use camphorwinch_core::{
     candidates::Candidates,
     invariant::{self, Invariant},
-    seal::{CID_LEN, Home, KeyRing},
+    seal::{CID_LEN, FlowOwner, KeyRing},
 };
 use camphorwinch_wire::encap::{self, Header};
 use quinn::{
@@ -111,13 +111,13 @@
     let Some(cid) = destination_cid(payload) else {
         return DatagramOutcome::NotQuic;
     };
-    let home = ring.open(cid);
-    let same_service = home.is_none_or(|it| it.service == header.service);
+    let owner = ring.open(cid);
+    let same_service = owner.is_none_or(|it| it.service == header.service);
     if !invariant::check(Invariant::SameService, same_service) {
         return DatagramOutcome::WrongService;
     }
     if header.candidates.as_slice().is_empty() {
-        return handle_established(node, ring, &header, payload, (cid, home), scratch);
+        return handle_established(node, ring, &header, payload, (cid, owner), scratch);
     }
     let Some(service) = node.get_or_open_service(header.service) else {
         return DatagramOutcome::UnknownService;
@@ -147,14 +147,14 @@
     ring: &KeyRing,
     header: &Header,
     payload: &[u8],
-    (cid, home): (&[u8], Option<Home>),
+    (cid, owner): (&[u8], Option<FlowOwner>),
     scratch: &mut Vec<u8>,
 ) -> DatagramOutcome {
-    let other_agent = home.map(|it| it.agent).filter(|it| *it != node.data_address);
+    let other_agent = owner.map(|it| it.agent).filter(|it| *it != node.data_address);
     if let Some(to) = other_agent {
         let snapshot = node.snapshot();
         let is_alive =
-            snapshot.agents.values().any(|it| it.data == to.into() && it.state.answers());
+            snapshot.agents.values().any(|it| it.data == to.into() && it.state.is_alive());
         if is_alive || node.down_agents.may_resume(to) {
             let header = Header { hop: 0, candidates: Candidates::NONE, ..*header };
             return send(node, ring, &header, payload, to, scratch, DatagramOutcome::Forwarded);
--- a/crates/daemon/src/agent/down_agents.rs
+++ b/crates/daemon/src/agent/down_agents.rs
@@ -80,7 +80,7 @@
         let Some(data) = seal::sealable(agent.data) else {
             continue;
         };
-        if agent.state.answers() {
+        if agent.state.is_alive() {
             down.remove(&data);
         } else {
             down.insert(data, agent.control);
--- a/crates/daemon/src/agent/handover.rs
+++ b/crates/daemon/src/agent/handover.rs
@@ -4,10 +4,10 @@
 
 use bytes::Bytes;
 use camphorwinch_core::{
-    dispatch::{Outcome, Report},
+    dispatch::{Outcome, StepResult},
     object::ServiceId,
 };
-use camphorwinch_wire::handover::{self as wire, Chunk, Go, Kind, Lost, Offer, Refused};
+use camphorwinch_wire::handover::{self as wire, Aborted, Chunk, Kind, Offer, Rejected, Start};
 use futures::stream::SplitStream;
 use h3::error::Code;
 use http::{Method, StatusCode};
@@ -26,8 +26,8 @@
 };
 use crate::{
     clock,
-    control::{Accepted, Stream},
-    event::{About, Id},
+    control::{AcceptedLink, FramedStream},
+    event::{EventId, EventSubject},
 };
 
 /// Timeout for a peer's reply to an offer.
@@ -42,47 +42,47 @@
     body: &mut RequestBody,
     writer: &mut ResponseWriter,
     end_watcher: &mut EndWatcher,
-) -> Option<Report> {
+) -> Option<StepResult> {
     if !body.rewind() {
-        return Some(Report::Consumed { retry_ms: 0 });
+        return Some(StepResult::BodyConsumed { retry_ms: 0 });
     }
     let node = Arc::clone(&context.node);
     let reply = tokio::select! {
         reply = time::timeout(OFFER_TIMEOUT, send_offer(context, to, body)) => reply,
-        _ = end_watcher.wait() => return Some(Report::Cancelled),
+        _ = end_watcher.wait() => return Some(StepResult::Cancelled),
     };
     let now = clock::now_ms();
     let (mut link, load) = match reply {
         Ok(Ok(OfferReply::Accepted(link, load))) => (link, load),
         Ok(Ok(OfferReply::Rejected(link, retry_ms))) => {
             // `retry_ms` is meant for callers: a full peer usually has a free slot earlier.
-            node.hints.lock().refused(to, 0, now);
+            node.peer_loads.lock().record_refused(to, 0, now);
             node.links.put_idle(link);
             metrics::count(&metrics::ATTEMPTS, "peer-refused");
-            return Some(Report::Refused { retry_ms });
+            return Some(StepResult::Refused { retry_ms });
         }
         Ok(Err(e)) => {
             tracing::debug!("offer request {} to {to}: {e:#}", context.head.id_text());
-            node.hints.lock().refused(to, UNREACHABLE_BACKOFF_MS, now);
+            node.peer_loads.lock().record_refused(to, UNREACHABLE_BACKOFF_MS, now);
             metrics::count(&metrics::ATTEMPTS, "peer-unreached");
-            return Some(Report::Refused { retry_ms: 0 });
+            return Some(StepResult::Refused { retry_ms: 0 });
         }
         Err(_) => {
-            node.hints.lock().refused(to, UNREACHABLE_BACKOFF_MS, now);
+            node.peer_loads.lock().record_refused(to, UNREACHABLE_BACKOFF_MS, now);
             metrics::count(&metrics::ATTEMPTS, "peer-late");
-            return Some(Report::Refused { retry_ms: 0 });
+            return Some(StepResult::Refused { retry_ms: 0 });
         }
     };
-    node.hints.lock().took(to, load, now);
+    node.peer_loads.lock().record_accepted(to, load, now);
     // The peer has not started the request so far; it may once any byte of `Go` is sent.
     if writer.wait_for_start(body, load).await.is_err() {
-        return Some(Report::Cancelled);
+        return Some(StepResult::Cancelled);
     }
-    if link.sink.send(Kind::Go(Go {})).await.is_err() {
-        return Some(Report::Lost);
+    if link.sink.send(Kind::Start(Start {})).await.is_err() {
+        return Some(StepResult::ConnectionLost);
     }
-    let about = About::new().with_service(&context.service.name);
-    throttled::emit(Id::RequestHanded, about.with_request(&context.head.id_text()), to);
+    let about = EventSubject::new().with_service(&context.service.name);
+    throttled::emit(EventId::RequestHanded, about.with_request(&context.head.id_text()), to);
     let exchange = exchange(context, &mut link, body, writer, end_watcher).await;
     match exchange {
         Exchange::NoResponse(report) => {
@@ -139,7 +139,7 @@
         service: context.service.id.0,
         request: head.id.to_be_bytes().to_vec(),
         hop: u32::from(head.hop) + 1,
-        left_ms: head.deadline.map_or(0, |it| it.saturating_sub(clock::now_ms()).max(1)),
+        remaining_ms: head.deadline.map_or(0, |it| it.saturating_sub(clock::now_ms()).max(1)),
         method: head.method.as_str().to_owned(),
         path: head.path.clone(),
         fields: link::fields(&head.headers),
@@ -147,15 +147,15 @@
     };
     link.sink.send(Kind::Offer(offer)).await?;
     match link.recv().await? {
-        Kind::Taken(it) => Ok(OfferReply::Accepted(link, it.load)),
-        Kind::Refused(it) => Ok(OfferReply::Rejected(link, it.retry_ms)),
+        Kind::Accepted(it) => Ok(OfferReply::Accepted(link, it.load)),
+        Kind::Rejected(it) => Ok(OfferReply::Rejected(link, it.retry_ms)),
         _ => anyhow::bail!("{} sent an unexpected reply to an offer", link.peer),
     }
 }
 
 enum Exchange {
     /// There was no response to relay.
-    NoResponse(Report),
+    NoResponse(StepResult),
     /// The response was relayed completely; `reusable` if the link is idle again.
     Complete { reusable: bool },
     /// The response was aborted; holds the outcome for the request metric.
@@ -177,7 +177,7 @@
     let head = loop {
         tokio::select! {
             kind = link::recv(stream) => match kind {
-                Ok(Kind::Resume(_)) => {
+                Ok(Kind::Continue(_)) => {
                     continued.cancel();
                     writer.send_continue().await;
                 }
@@ -186,22 +186,22 @@
             result = &mut body_copy, if !body_done => {
                 body_done = true;
                 if result == Err(BodyError::Caller) {
-                    return Exchange::NoResponse(Report::Cancelled);
+                    return Exchange::NoResponse(StepResult::Cancelled);
                 }
             }
-            _ = end_watcher.wait() => return Exchange::NoResponse(Report::Cancelled),
-            () = &mut timed_out => return Exchange::NoResponse(Report::Lost),
+            _ = end_watcher.wait() => return Exchange::NoResponse(StepResult::Cancelled),
+            () = &mut timed_out => return Exchange::NoResponse(StepResult::ConnectionLost),
         }
     };
     let head = match head {
         Ok(Kind::Head(it)) => it,
-        Ok(Kind::Refused(Refused { retry_ms })) => {
-            return Exchange::NoResponse(Report::Refused { retry_ms });
+        Ok(Kind::Rejected(Rejected { retry_ms })) => {
+            return Exchange::NoResponse(StepResult::Refused { retry_ms });
         }
-        Ok(_) | Err(_) => return Exchange::NoResponse(Report::Lost),
+        Ok(_) | Err(_) => return Exchange::NoResponse(StepResult::ConnectionLost),
     };
     let Some(status) = parse_status(head.status) else {
-        return Exchange::NoResponse(Report::Lost);
+        return Exchange::NoResponse(StepResult::ConnectionLost);
     };
     if !context.on_response_head() {
         return Exchange::Aborted("cut");
@@ -231,13 +231,13 @@
 }
 
 async fn relay_response(
-    stream: &mut SplitStream<Stream>,
+    stream: &mut SplitStream<FramedStream>,
     writer: &mut ResponseWriter,
 ) -> Result<(), &'static str> {
     loop {
         let (data, last) = match link::recv(stream).await {
             Ok(Kind::Chunk(Chunk { data, last })) => (data, last),
-            Ok(Kind::Resume(_)) => continue,
+            Ok(Kind::Continue(_)) => continue,
             Ok(_) | Err(_) => {
                 writer.reset(Code::H3_INTERNAL_ERROR);
                 return Err("cut");
@@ -287,7 +287,7 @@
 }
 
 /// Serves a link that another agent opened, until it closes.
-pub(crate) async fn serve_link(node: Arc<Node>, accepted: Accepted) {
+pub(crate) async fn serve_link(node: Arc<Node>, accepted: AcceptedLink) {
     let peer = accepted.peer;
     let (mut receiver, mut sender, closed) = link::accept(accepted.stream);
     loop {
@@ -304,14 +304,18 @@
                     sent.is_ok().then_some((receiver, sender))
                 }
                 Err(e) => {
-                    throttled::emit(Id::LinkRefused, About::new(), &format!("{peer}: {e}"));
+                    throttled::emit(
+                        EventId::LinkRefused,
+                        EventSubject::new(),
+                        &format!("{peer}: {e}"),
+                    );
                     None
                 }
             },
             Some(_) => {
                 throttled::emit(
-                    Id::LinkRefused,
-                    About::new(),
+                    EventId::LinkRefused,
+                    EventSubject::new(),
                     &format!("{peer}: unexpected message"),
                 );
                 None
@@ -335,7 +339,7 @@
 ) -> Option<(LinkReceiver, LinkSender)> {
     let service = node.get_or_open_service(ServiceId(offer.service));
     let (Some(service), Some(head)) = (service, request_head(&offer)) else {
-        sender.send(Kind::Refused(Refused { retry_ms: UNREACHABLE_BACKOFF_MS })).await.ok()?;
+        sender.send(Kind::Rejected(Rejected { retry_ms: UNREACHABLE_BACKOFF_MS })).await.ok()?;
         return Some((receiver, sender));
     };
     let mut context = RequestContext::new(Arc::clone(node), service, head);
@@ -346,11 +350,11 @@
         return None;
     };
     match outcome {
-        None | Some(Outcome::Relay) => {}
+        None | Some(Outcome::Response) => {}
         Some(Outcome::NotRun { retry_ms }) => {
-            sender.send(Kind::Refused(Refused { retry_ms })).await.ok()?;
+            sender.send(Kind::Rejected(Rejected { retry_ms })).await.ok()?;
         }
-        Some(Outcome::Unknown { .. }) => sender.send(Kind::Lost(Lost {})).await.ok()?,
+        Some(Outcome::Unknown { .. }) => sender.send(Kind::Aborted(Aborted {})).await.ok()?,
         Some(Outcome::Cancelled) => return None,
     }
     let receiver =
@@ -360,7 +364,8 @@
 
 /// Head of the request in an offer; none if it is malformed.
 fn request_head(offer: &Offer) -> Option<RequestHead> {
-    let deadline = (offer.left_ms > 0).then(|| clock::now_ms().saturating_add(offer.left_ms));
+    let deadline =
+        (offer.remaining_ms > 0).then(|| clock::now_ms().saturating_add(offer.remaining_ms));
     Some(RequestHead {
         id: wire::request_id(&offer.request).ok()?,
         method: Method::from_bytes(offer.method.as_bytes()).ok()?,
--- a/crates/daemon/src/agent/link.rs
+++ b/crates/daemon/src/agent/link.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context, bail};
 use bytes::Bytes;
-use camphorwinch_wire::handover::{Chunk, Field, Head, Kind, Packet, Taken};
+use camphorwinch_wire::handover::{Accepted, Chunk, Envelope, Head, HeaderField, Kind};
 use futures::{
     SinkExt, StreamExt,
     future::BoxFuture,
@@ -22,7 +22,7 @@
     body::Disconnected,
     quic::{EndWatcher, StreamEnd},
 };
-use crate::control::{Control, Stream};
+use crate::control::{Control, FramedStream};
 
 /// Idle links are closed after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
@@ -38,7 +38,7 @@
         &'a self,
         peer: &'a str,
         address: SocketAddr,
-    ) -> BoxFuture<'a, anyhow::Result<Stream>>;
+    ) -> BoxFuture<'a, anyhow::Result<FramedStream>>;
 }
 
 impl Dial for Control {
@@ -46,7 +46,7 @@
         &'a self,
         peer: &'a str,
         address: SocketAddr,
-    ) -> BoxFuture<'a, anyhow::Result<Stream>> {
+    ) -> BoxFuture<'a, anyhow::Result<FramedStream>> {
         Box::pin(Control::dial(self, peer, address))
     }
 }
@@ -61,16 +61,16 @@
 pub(crate) struct Link {
     pub(crate) peer: String,
     pub(crate) sink: MessageSink,
-    pub(crate) stream: SplitStream<Stream>,
+    pub(crate) stream: SplitStream<FramedStream>,
 }
 
 /// The sending side of a link.
-pub(crate) struct MessageSink(SplitSink<Stream, Bytes>);
+pub(crate) struct MessageSink(SplitSink<FramedStream, Bytes>);
 
 impl MessageSink {
     /// Sends a message. Fails if the link is closed.
     pub(crate) async fn send(&mut self, kind: Kind) -> Result<(), Disconnected> {
-        self.0.send(Packet::encoded(kind)).await.map_err(|_| Disconnected)
+        self.0.send(Envelope::to_frame(kind)).await.map_err(|_| Disconnected)
     }
 }
 
@@ -82,11 +82,11 @@
 }
 
 /// Receives the next message of a stream.
-pub(crate) async fn recv(stream: &mut SplitStream<Stream>) -> anyhow::Result<Kind> {
+pub(crate) async fn recv(stream: &mut SplitStream<FramedStream>) -> anyhow::Result<Kind> {
     let Some(frame) = stream.next().await else {
         bail!("connection closed");
     };
-    Ok(Packet::decoded(&frame?)?)
+    Ok(Envelope::parse(&frame?)?)
 }
 
 impl LinkCache {
@@ -146,7 +146,7 @@
     /// Waits for the start message.
     pub(crate) async fn wait_for_start(&mut self) -> Result<(), Disconnected> {
         match time::timeout(START_TIMEOUT, self.messages.recv()).await {
-            Ok(Some(Kind::Go(_))) => {
+            Ok(Some(Kind::Start(_))) => {
                 self.started = true;
                 Ok(())
             }
@@ -195,7 +195,7 @@
 
     /// Accepts an offer and reports the load; a slot is reserved for it.
     pub(crate) async fn accept_offer(&mut self, load: f64) -> Result<(), Disconnected> {
-        self.send(Kind::Taken(Taken { load })).await
+        self.send(Kind::Accepted(Accepted { load })).await
     }
 
     /// Sends the head of a response.
@@ -230,7 +230,7 @@
 }
 
 /// Splits a link that another agent opened. A task reads from it until it closes, which cancels the token.
-pub(crate) fn accept(stream: Stream) -> (LinkReceiver, LinkSender, CancellationToken) {
+pub(crate) fn accept(stream: FramedStream) -> (LinkReceiver, LinkSender, CancellationToken) {
     let (sink, mut stream) = stream.split();
     let (sender, messages) = mpsc::channel(MESSAGE_CHANNEL_CAPACITY);
     let closed = CancellationToken::new();
@@ -264,8 +264,8 @@
 }
 
 /// Converts headers to the fields of a message.
-pub(crate) fn fields(headers: &HeaderMap) -> Vec<Field> {
-    let field = |(name, value): (&HeaderName, &HeaderValue)| Field {
+pub(crate) fn fields(headers: &HeaderMap) -> Vec<HeaderField> {
+    let field = |(name, value): (&HeaderName, &HeaderValue)| HeaderField {
         name: name.as_str().to_owned(),
         value: value.as_bytes().to_vec(),
     };
@@ -273,7 +273,7 @@
 }
 
 /// Converts the fields of a message to headers; malformed ones are left out.
-pub(crate) fn headers(fields: &[Field]) -> HeaderMap {
+pub(crate) fn headers(fields: &[HeaderField]) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for field in fields {
         let name = HeaderName::from_bytes(field.name.as_bytes());
--- a/crates/daemon/src/agent/local.rs
+++ b/crates/daemon/src/agent/local.rs
@@ -3,7 +3,7 @@
 use std::{io, pin::pin, time::Duration};
 
 use bytes::Bytes;
-use camphorwinch_core::dispatch::Report;
+use camphorwinch_core::dispatch::StepResult;
 use futures::future::{self, Either};
 use h3::error::Code;
 use http::{HeaderMap, Request, Response, StatusCode, header};
@@ -37,18 +37,18 @@
     writer: &mut ResponseWriter,
     end_watcher: &mut EndWatcher,
     slot: Slot,
-) -> Option<Report> {
+) -> Option<StepResult> {
     let node = context.node.clone();
-    if !node.gate.lock().pass(clock::now_ms()) {
-        return Some(Report::Refused { retry_ms: 0 });
+    if !node.backoff.lock().admit(clock::now_ms()) {
+        return Some(StepResult::Refused { retry_ms: 0 });
     }
     if !body.rewind() {
-        node.gate.lock().dropped();
-        return Some(Report::Consumed { retry_ms: 0 });
+        node.backoff.lock().record_abandoned();
+        return Some(StepResult::BodyConsumed { retry_ms: 0 });
     }
-    if writer.wait_for_start(body, node.work.load()).await.is_err() {
-        node.gate.lock().dropped();
-        return Some(Report::Cancelled);
+    if writer.wait_for_start(body, node.slot_limiter.load()).await.is_err() {
+        node.backoff.lock().record_abandoned();
+        return Some(StepResult::Cancelled);
     }
     let mut conn = match node.upstream.connect(context.head.is_idempotent()).await {
         Ok(it) => it,
@@ -59,9 +59,9 @@
     let request = match build_request(context, payload, body, &continued) {
         Ok(it) => it,
         Err(e) => {
-            node.gate.lock().dropped();
+            node.backoff.lock().record_abandoned();
             tracing::debug!("build the request to the upstream: {e}");
-            return Some(Report::Refused { retry_ms: 0 });
+            return Some(StepResult::Refused { retry_ms: 0 });
         }
     };
     let body_copy = copy_body(body, sender, &continued);
@@ -80,7 +80,7 @@
 
 enum Exchange {
     /// There was no response to relay.
-    NoResponse(Report),
+    NoResponse(StepResult),
     /// The response was relayed completely.
     Complete,
     /// The response was aborted.
@@ -115,8 +115,8 @@
             result = &mut body_copy, if !body_done => {
                 body_done = true;
                 if result.is_err() {
-                    node.gate.lock().dropped();
-                    return Exchange::NoResponse(Report::Cancelled);
+                    node.backoff.lock().record_abandoned();
+                    return Exchange::NoResponse(StepResult::Cancelled);
                 }
             }
             () = continued.cancelled(), if !continue_sent => {
@@ -124,13 +124,13 @@
                 writer.send_continue().await;
             }
             _ = end_watcher.wait() => {
-                node.gate.lock().dropped();
-                return Exchange::NoResponse(Report::Cancelled);
+                node.backoff.lock().record_abandoned();
+                return Exchange::NoResponse(StepResult::Cancelled);
             }
             () = &mut timed_out => {
-                node.gate.lock().refused(clock::now_ms());
+                node.backoff.lock().record_refusal(clock::now_ms());
                 metrics::count(&metrics::ATTEMPTS, "given-up");
-                return Exchange::NoResponse(Report::Lost);
+                return Exchange::NoResponse(StepResult::ConnectionLost);
             }
             () = time::sleep_until(started + MAX_SLOT_HOLD), if slot.is_some() && !body_done => slot = None,
         }
@@ -141,10 +141,10 @@
     };
     if let Some(retry_ms) = rejected_retry_ms(&response) {
         metrics::count(&metrics::ATTEMPTS, "refused");
-        node.gate.lock().refused(clock::now_ms());
-        return Exchange::NoResponse(Report::Refused { retry_ms });
+        node.backoff.lock().record_refusal(clock::now_ms());
+        return Exchange::NoResponse(StepResult::Refused { retry_ms });
     }
-    node.gate.lock().taken();
+    node.backoff.lock().record_success();
     if !context.on_response_head() {
         return Exchange::Aborted;
     }
@@ -235,17 +235,17 @@
 }
 
 /// Records a failed attempt.
-fn record_failure(context: &RequestContext, e: &AttemptError) -> Report {
+fn record_failure(context: &RequestContext, e: &AttemptError) -> StepResult {
     tracing::debug!("request {}: {e}", context.head.id_text());
-    context.node.gate.lock().refused(clock::now_ms());
+    context.node.backoff.lock().record_refusal(clock::now_ms());
     match e {
         AttemptError::NotSent(_) => {
             metrics::count(&metrics::ATTEMPTS, "not-sent");
-            Report::Refused { retry_ms: 0 }
+            StepResult::Refused { retry_ms: 0 }
         }
         AttemptError::MaybeSent(_) => {
             metrics::count(&metrics::ATTEMPTS, "lost");
-            Report::Lost
+            StepResult::ConnectionLost
         }
     }
 }
--- a/crates/daemon/src/agent/metrics.rs
+++ b/crates/daemon/src/agent/metrics.rs
@@ -34,7 +34,7 @@
 
 /// Time from the head of a request to the head of its response.
 pub(crate) static RESPONSE_SECONDS: LazyLock<Histogram> = LazyLock::new(|| {
-    metrics::seconds("agent_answer_seconds", "Time from a request's head to the answer's head")
+    metrics::histogram("agent_answer_seconds", "Time from a request's head to the answer's head")
 });
 
 /// Increments the counter of `outcome`.
--- a/crates/daemon/src/agent/mod.rs
+++ b/crates/daemon/src/agent/mod.rs
@@ -25,5 +25,5 @@
 
 pub(crate) use self::{
     node::{Node, Settings},
-    run::Running,
+    run::AgentTasks,
 };
--- a/crates/daemon/src/agent/node.rs
+++ b/crates/daemon/src/agent/node.rs
@@ -15,12 +15,12 @@
 use anyhow::Context;
 use arc_swap::{ArcSwap, ArcSwapOption};
 use camphorwinch_core::{
-    admit::Intake,
+    admit::Availability,
+    backoff::UpstreamBackoff,
     claims::{Claims, RequestId},
-    gate::Gate,
     member::AgentState,
     object::ServiceId,
-    peers::Hints,
+    peers::PeerLoads,
     seal::{self, KeyRing},
     snapshot::Snapshot,
 };
@@ -43,7 +43,7 @@
 use crate::{
     clock,
     config::{AddressMode, AgentConfig},
-    event::{self, About, Id},
+    event::{self, EventId, EventSubject},
 };
 
 /// Settings of one agent.
@@ -94,9 +94,9 @@
     pub(crate) data_address: SocketAddrV4,
     pub(crate) data_socket: Arc<DataSocket>,
     pub(crate) key_ring: Arc<ArcSwapOption<KeyRing>>,
-    pub(crate) work: SlotLimiter,
-    pub(crate) gate: Mutex<Gate>,
-    pub(crate) hints: Mutex<Hints>,
+    pub(crate) slot_limiter: SlotLimiter,
+    pub(crate) backoff: Mutex<UpstreamBackoff>,
+    pub(crate) peer_loads: Mutex<PeerLoads>,
     pub(crate) upstream: Upstream,
     pub(crate) links: LinkCache,
     pub(crate) claims: Mutex<Claims>,
@@ -176,9 +176,9 @@
             data_address,
             data_socket,
             key_ring: Arc::default(),
-            work: SlotLimiter::new(settings.slots),
-            gate: Mutex::new(Gate::new()),
-            hints: Mutex::new(Hints::new()),
+            slot_limiter: SlotLimiter::new(settings.slots),
+            backoff: Mutex::new(UpstreamBackoff::new()),
+            peer_loads: Mutex::new(PeerLoads::new()),
             upstream: Upstream::new(settings.upstream),
             links: LinkCache::new(dial),
             claims: Mutex::new(Claims::new()),
@@ -212,7 +212,7 @@
         self.snapshot.store(Arc::clone(&snapshot));
         self.down_agents.retain(&snapshot);
         self.rosters.lock().apply(&snapshot, clock::now_ms());
-        self.hints.lock().retain(|it| snapshot.agents.contains_key(it));
+        self.peer_loads.lock().retain(|it| snapshot.agents.contains_key(it));
         self.update_draining();
         for service in self.services() {
             service.apply(&snapshot, self);
@@ -228,13 +228,17 @@
             return;
         }
         let Some(ring) = KeyRing::new(keys) else {
-            event::emit(Id::ConfigRefused, About::new(), "keys/fleet: no key with use \"seal\"");
+            event::emit(
+                EventId::ConfigRefused,
+                EventSubject::new(),
+                "keys/fleet: no key with use \"seal\"",
+            );
             return;
         };
         let epoch = ring.epoch();
         let previous = self.key_ring.swap(Some(Arc::new(ring)));
         if previous.is_some_and(|it| it.epoch() != epoch) {
-            event::emit(Id::KeyRotated, About::new(), &format!("key epoch {epoch}"));
+            event::emit(EventId::KeyRotated, EventSubject::new(), &format!("key epoch {epoch}"));
         }
     }
 
@@ -262,7 +266,7 @@
     }
 
     /// Receiver that is notified of each change of the agent's state.
-    pub(crate) fn changed(&self) -> watch::Receiver<u64> {
+    pub(crate) fn subscribe(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
@@ -277,15 +281,15 @@
     }
 
     /// Whether the agent accepts new work.
-    pub(crate) fn intake(&self) -> Intake {
+    pub(crate) fn availability(&self) -> Availability {
         if self.is_draining() {
-            return Intake::Draining;
+            return Availability::Draining;
         }
         let upstream_reachable = *self.upstream_reachable.borrow();
-        if upstream_reachable && self.gate.lock().is_open(clock::now_ms()) {
-            Intake::Open
+        if upstream_reachable && self.backoff.lock().admits(clock::now_ms()) {
+            Availability::Open
         } else {
-            Intake::Closed
+            Availability::Closed
         }
     }
 
@@ -295,7 +299,7 @@
         if self.stopping.load(Ordering::SeqCst) {
             return AgentState::Draining;
         }
-        let closed_ms = self.gate.lock().closed_for(clock::now_ms());
+        let closed_ms = self.backoff.lock().refused_for_ms(clock::now_ms());
         if *self.upstream_reachable.borrow() && closed_ms < MAX_CLOSED_MS {
             AgentState::Ready
         } else {
@@ -316,7 +320,7 @@
     }
 
     /// Epochs of the keys that open flows still use.
-    pub(crate) fn epochs(&self) -> Vec<u8> {
+    pub(crate) fn key_epochs(&self) -> Vec<u8> {
         self.epoch_counts.lock().keys().copied().collect()
     }
 
@@ -346,8 +350,8 @@
             }
             Err(e) => {
                 drop(services);
-                let about = About::new().with_service(&entry.name);
-                throttled::emit(Id::ConfigRefused, about, &format!("{e:#}"));
+                let about = EventSubject::new().with_service(&entry.name);
+                throttled::emit(EventId::ConfigRefused, about, &format!("{e:#}"));
                 None
             }
         }
@@ -361,33 +365,37 @@
             "state": self.state(),
             "draining": self.is_draining(),
             "flows": self.flows(),
-            "busy": self.work.busy(),
-            "slots": self.work.slots(),
+            "busy": self.slot_limiter.busy(),
+            "slots": self.slot_limiter.slots(),
             "services": services,
         })
     }
 
     /// Reports once that a drain is complete: no flow and no request is left.
     pub(crate) fn report_drained(&self) {
-        let done = self.is_draining() && self.flows() == 0 && self.work.busy() == 0;
+        let done = self.is_draining() && self.flows() == 0 && self.slot_limiter.busy() == 0;
         if self.drain_reported.swap(done, Ordering::SeqCst) || !done {
             return;
         }
-        let about = About::new().with_upstream(&self.settings.name);
-        event::emit(Id::DrainDone, about, "no flow or request is left");
+        let about = EventSubject::new().with_upstream(&self.settings.name);
+        event::emit(EventId::DrainDone, about, "no flow or request is left");
     }
 
     fn update_draining(&self) {
         let it = &self.settings;
-        let configured = self.snapshot.load().drains(&it.name, &it.vm, &it.zone);
+        let configured = self.snapshot.load().is_draining(&it.name, &it.vm, &it.zone);
         let draining = configured || self.stopping.load(Ordering::SeqCst);
         let was_draining = self.draining.swap(draining, Ordering::SeqCst);
         if draining && !was_draining {
-            let text = format!("{} flows, {} requests", self.flows(), self.work.busy());
-            event::emit(Id::DrainStarted, About::new().with_upstream(&it.name), &text);
+            let text = format!("{} flows, {} requests", self.flows(), self.slot_limiter.busy());
+            event::emit(EventId::DrainStarted, EventSubject::new().with_upstream(&it.name), &text);
         }
         if was_draining && !draining {
-            event::emit(Id::DrainEnded, About::new().with_upstream(&it.name), "accepts new work");
+            event::emit(
+                EventId::DrainEnded,
+                EventSubject::new().with_upstream(&it.name),
+                "accepts new work",
+            );
         }
         self.notify_changed();
     }
--- a/crates/daemon/src/agent/request.rs
+++ b/crates/daemon/src/agent/request.rs
@@ -7,9 +7,9 @@
 
 use bytes::Bytes;
 use camphorwinch_core::{
-    admit::Intake,
-    claims::{Answer, ClaimKey, RequestId, State},
-    dispatch::{Dispatch, Outcome, Report, Request, Step, View},
+    admit::Availability,
+    claims::{ClaimKey, RecordedResponse, RequestId, RequestState},
+    dispatch::{Dispatch, DispatchContext, Outcome, Request, Step, StepResult},
     peers::Peer,
 };
 use h3::{
@@ -30,7 +30,7 @@
 };
 use crate::{
     clock,
-    event::{About, Id},
+    event::{EventId, EventSubject},
 };
 
 const SERVICE: HeaderName = HeaderName::from_static("camphorwinch-service");
@@ -181,7 +181,7 @@
         self.decide(None)
     }
 
-    fn next(&mut self, report: Report) -> Step {
+    fn next(&mut self, report: StepResult) -> Step {
         self.decide(Some(report))
     }
 
@@ -190,13 +190,18 @@
         if self.head.hop == 0 {
             metrics::RESPONSE_SECONDS.observe(self.started.elapsed().as_secs_f64());
         }
-        self.next(Report::Head) == Step::Answer(Outcome::Relay)
+        self.next(StepResult::ResponseStarted) == Step::Finish(Outcome::Response)
     }
 
-    fn decide(&mut self, report: Option<Report>) -> Step {
-        let local = self.node.intake() == Intake::Open && self.service.is_local(&self.node);
-        let no_failure =
-            matches!(report, None | Some(Report::Slot | Report::Head | Report::Cancelled));
+    fn decide(&mut self, report: Option<StepResult>) -> Step {
+        let local =
+            self.node.availability() == Availability::Open && self.service.is_local(&self.node);
+        let no_failure = matches!(
+            report,
+            None | Some(
+                StepResult::SlotAcquired | StepResult::ResponseStarted | StepResult::Cancelled
+            )
+        );
         let snapshot = self.node.snapshot();
         let now = clock::now_ms();
         let policy = self.service.entry().spec.policy;
@@ -211,14 +216,14 @@
                 .filter(peer)
                 .map(|it| Peer {
                     name: &it.name,
-                    near: it.place.zone == own.zone,
+                    same_zone: it.place.zone == own.zone,
                     weight: snapshot.weight(self.service.id, it),
                 })
                 .collect();
-            self.node.hints.lock().draw(&peers, policy, self.head.id as u64 ^ now, now)
+            self.node.peer_loads.lock().select(&peers, policy, self.head.id as u64 ^ now, now)
         };
         let mut budget = self.service.budget.lock();
-        let mut view = View { now, local, peers: &peers, budget: &mut budget, policy };
+        let mut view = DispatchContext { now, local, peers: &peers, budget: &mut budget, policy };
         match report {
             None => self.dispatch.start(&mut view),
             Some(report) => self.dispatch.next(report, &mut view),
@@ -227,7 +232,7 @@
 
     /// Whether an upstream may have started the request.
     fn may_have_begun(&self) -> bool {
-        self.dispatch.may_have_begun()
+        self.dispatch.may_have_started()
     }
 
     /// Adds the load balancer's headers to a response.
@@ -282,7 +287,7 @@
     match claim::idempotency_key(&context.head, context.service.id) {
         Ok(None) => {
             let outcome = execute(&mut context, &mut body, &mut writer, end_watcher).await;
-            send_outcome(&context, &mut writer, outcome.unwrap_or(Outcome::Relay)).await;
+            send_outcome(&context, &mut writer, outcome.unwrap_or(Outcome::Response)).await;
         }
         Err(BadKey) => send_claim_outcome(&context, &mut writer, ClaimOutcome::BadKey).await,
         Ok(Some(key)) => run_once(&mut context, key, &mut body, &mut writer).await,
@@ -315,11 +320,15 @@
     let state = match outcome {
         Some(Outcome::NotRun { .. }) => None,
         Some(Outcome::Cancelled) if !context.may_have_begun() => None,
-        Some(_) => Some(State::Unknown),
-        None => Some(writer.take_recorded().map_or(State::Unknown, |it| State::Done(Arc::new(it)))),
+        Some(_) => Some(RequestState::Unknown),
+        None => Some(
+            writer
+                .take_recorded()
+                .map_or(RequestState::Unknown, |it| RequestState::Done(Arc::new(it))),
+        ),
     };
     held.resolve(&context.node, state);
-    send_outcome(context, writer, outcome.unwrap_or(Outcome::Relay)).await;
+    send_outcome(context, writer, outcome.unwrap_or(Outcome::Response)).await;
 }
 
 /// Responds to a request that is not run because of its idempotency key.
@@ -328,19 +337,26 @@
     writer: &mut ResponseWriter,
     outcome: ClaimOutcome,
 ) {
-    let about =
-        || About::new().with_service(&context.service.name).with_request(&context.head.id_text());
+    let about = || {
+        EventSubject::new()
+            .with_service(&context.service.name)
+            .with_request(&context.head.id_text())
+    };
     let mut headers = HeaderMap::new();
     let (status, body) = match outcome {
         ClaimOutcome::Replay(response) => {
-            throttled::emit(Id::ClaimRepeated, about(), "sent the stored response");
+            throttled::emit(EventId::ClaimRepeated, about(), "sent the stored response");
             metrics::count(&metrics::REQUESTS, "repeated");
             headers = stored_headers(&response);
             set_header(&mut headers, AGENT, &context.node.settings.name);
             (StatusCode::from_u16(response.status), response.body.clone())
         }
         ClaimOutcome::Mismatch => {
-            throttled::emit(Id::ClaimRepeated, about(), "the key was used for a different request");
+            throttled::emit(
+                EventId::ClaimRepeated,
+                about(),
+                "the key was used for a different request",
+            );
             metrics::count(&metrics::REQUESTS, "key-mismatch");
             context.add_response_headers(&mut headers, None);
             set_header(&mut headers, OUTCOME, "not-run");
@@ -354,7 +370,7 @@
         }
         ClaimOutcome::Unknown => {
             throttled::emit(
-                Id::ClaimRepeated,
+                EventId::ClaimRepeated,
                 about(),
                 "an earlier request with this key may have run",
             );
@@ -380,7 +396,7 @@
     }
 }
 
-fn stored_headers(response: &Answer) -> HeaderMap {
+fn stored_headers(response: &RecordedResponse) -> HeaderMap {
     let mut headers = HeaderMap::new();
     for (name, value) in &response.headers {
         let name = HeaderName::from_bytes(name.as_bytes());
@@ -402,21 +418,21 @@
     let mut step = context.start();
     loop {
         let report = match step {
-            Step::Answer(outcome) => return Some(outcome),
-            Step::Take { wait_ms } => tokio::select! {
-                acquired = context.node.work.acquire(wait_ms) => {
+            Step::Finish(outcome) => return Some(outcome),
+            Step::AcquireSlot { wait_ms } => tokio::select! {
+                acquired = context.node.slot_limiter.acquire(wait_ms) => {
                     slot = acquired;
-                    if slot.is_some() { Report::Slot } else { Report::Full }
+                    if slot.is_some() { StepResult::SlotAcquired } else { StepResult::SlotTimeout }
                 }
-                _ = end_watcher.wait() => Report::Cancelled,
+                _ = end_watcher.wait() => StepResult::Cancelled,
             },
             Step::Run => match slot.take() {
                 Some(slot) => local::run(context, body, writer, end_watcher, slot).await?,
-                None => Report::Refused { retry_ms: 0 },
+                None => StepResult::Refused { retry_ms: 0 },
             },
             Step::Offer { to } => handover::offer(context, &to, body, writer, end_watcher).await?,
         };
-        if report != Report::Slot {
+        if report != StepResult::SlotAcquired {
             slot = None;
         }
         step = context.next(report);
@@ -425,18 +441,21 @@
 
 /// Sends the response for an outcome other than a relayed response.
 async fn send_outcome(context: &RequestContext, writer: &mut ResponseWriter, outcome: Outcome) {
-    let about =
-        || About::new().with_service(&context.service.name).with_request(&context.head.id_text());
+    let about = || {
+        EventSubject::new()
+            .with_service(&context.service.name)
+            .with_request(&context.head.id_text())
+    };
     let (status, outcome_name, retry_ms) = match outcome {
-        Outcome::Relay => return,
+        Outcome::Response => return,
         Outcome::NotRun { retry_ms } => {
             metrics::count(&metrics::REQUESTS, "not-run");
-            throttled::emit(Id::RequestRefused, about(), "no upstream accepted it");
+            throttled::emit(EventId::RequestRefused, about(), "no upstream accepted it");
             (StatusCode::SERVICE_UNAVAILABLE, "not-run", retry_ms)
         }
         Outcome::Unknown { retry_ms } => {
             metrics::count(&metrics::REQUESTS, "unknown");
-            throttled::emit(Id::RequestUnknown, about(), "an upstream may have run it");
+            throttled::emit(EventId::RequestUnknown, about(), "an upstream may have run it");
             (StatusCode::BAD_GATEWAY, "unknown", retry_ms)
         }
         Outcome::Cancelled => {
--- a/crates/daemon/src/agent/rosters.rs
+++ b/crates/daemon/src/agent/rosters.rs
@@ -6,7 +6,7 @@
     claims::ClaimKey,
     member::{Agent, AgentState},
     object::ServiceId,
-    roster::{Lost, Part, Roster, Seen},
+    roster::{ClaimRole, FailedMember, MemberInfo, Roster},
     snapshot::{ServiceEntry, Snapshot},
 };
 
@@ -52,14 +52,14 @@
     /// Records that this process was paused until `now`.
     pub(crate) fn record_pause(&mut self, now: u64) {
         for it in self.services.values_mut() {
-            it.roster.wake(&self.me, now);
+            it.roster.resume(&self.me, now);
         }
     }
 
     /// Whether the membership of the key's service has been stable for as long as a key is remembered.
     pub(crate) fn is_stable(&self, key: &ClaimKey, now: u64) -> bool {
         let entry = self.services.get(&key.service);
-        entry.is_some_and(|it| it.roster.is_settled(now, it.window))
+        entry.is_some_and(|it| it.roster.is_stable(now, it.window))
     }
 
     /// Whether a claim on `key` may be recorded here; see [`Roster::admits`].
@@ -70,7 +70,7 @@
         now: u64,
     ) -> bool {
         let entry = self.services.get(&key.service);
-        entry.is_some_and(|it| it.roster.admits(expected_digest, now, it.window))
+        entry.is_some_and(|it| it.roster.accepts_claim(expected_digest, now, it.window))
     }
 
     /// Digest of the membership of the key's service.
@@ -96,10 +96,10 @@
     }
 
     /// Members that failed recently, by service.
-    pub(crate) fn failed_members(&self) -> Vec<(ServiceId, Vec<Lost>)> {
+    pub(crate) fn failed_members(&self) -> Vec<(ServiceId, Vec<FailedMember>)> {
         let mut failed = Vec::new();
         for (id, it) in &self.services {
-            let lost = it.roster.losses();
+            let lost = it.roster.failed_members();
             if !lost.is_empty() {
                 failed.push((*id, lost.to_vec()));
             }
@@ -108,16 +108,16 @@
     }
 
     /// Adds failed members that another agent reported.
-    pub(crate) fn add_failed_members(&mut self, service: ServiceId, failed: &[Lost]) {
+    pub(crate) fn add_failed_members(&mut self, service: ServiceId, failed: &[FailedMember]) {
         if let Some(it) = self.services.get_mut(&service) {
-            it.roster.add_losses(failed);
+            it.roster.add_failed_members(failed);
         }
     }
 
     /// Whether an earlier claim on `key` may have been lost.
-    pub(crate) fn claim_may_be_lost(&self, key: &ClaimKey, now: u64) -> bool {
+    pub(crate) fn is_uncertain(&self, key: &ClaimKey, now: u64) -> bool {
         let entry = self.services.get(&key.service);
-        entry.is_some_and(|it| it.roster.is_doubtful(key, now, it.window))
+        entry.is_some_and(|it| it.roster.is_uncertain(key, now, it.window))
     }
 }
 
@@ -126,27 +126,27 @@
     snapshot: &'a Snapshot,
     service: &ServiceEntry,
     pools: &BTreeSet<String>,
-) -> Vec<Seen<'a>> {
+) -> Vec<MemberInfo<'a>> {
     let mut members = Vec::new();
     for agent in snapshot.agents.values() {
-        if !pools.contains(&agent.pool) || !agent.state.answers() {
+        if !pools.contains(&agent.pool) || !agent.state.is_alive() {
             continue;
         }
         let incarnation = snapshot.incarnations.get(&agent.name).copied().unwrap_or_default();
-        let part = part(agent, service);
-        members.push(Seen { name: &agent.name, incarnation, zone: &agent.place.zone, part });
+        let role = role(agent, service);
+        members.push(MemberInfo { name: &agent.name, incarnation, zone: &agent.place.zone, role });
     }
     members
 }
 
-fn part(agent: &Agent, service: &ServiceEntry) -> Part {
+fn role(agent: &Agent, service: &ServiceEntry) -> ClaimRole {
     if agent.state == AgentState::Leaving {
-        Part::Leaving
+        ClaimRole::Leaving
     } else if agent.pool == service.spec.pool && agent.state == AgentState::Silent {
-        Part::Silent
+        ClaimRole::Silent
     } else if agent.pool == service.spec.pool {
-        Part::Member
+        ClaimRole::Member
     } else {
-        Part::Former
+        ClaimRole::Former
     }
 }
--- a/crates/daemon/src/agent/run.rs
+++ b/crates/daemon/src/agent/run.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use anyhow::Context;
-use camphorwinch_core::{snapshot::Snapshot, suspect::PAUSE_MS};
+use camphorwinch_core::{failure_detector::PAUSE_DETECTION_MS, snapshot::Snapshot};
 use serde::Deserialize;
 use tokio::{
     sync::{mpsc, watch},
@@ -14,8 +14,8 @@
 use super::{claim, datagram, handover, node::Node};
 use crate::{
     clock,
-    control::Accepted,
-    event::{self, About, Id},
+    control::AcceptedLink,
+    event::{self, EventId, EventSubject},
 };
 
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
@@ -34,30 +34,30 @@
 }
 
 /// Background tasks of an agent, which are aborted on drop.
-pub(crate) struct Running {
+pub(crate) struct AgentTasks {
     node: Arc<Node>,
     tasks: JoinSet<()>,
 }
 
-impl Running {
+impl AgentTasks {
     /// Starts the tasks. Sends the revision of each applied snapshot to `applied`.
     pub(crate) fn start(
         node: Arc<Node>,
         snapshots: watch::Receiver<Arc<Snapshot>>,
         applied: watch::Sender<u64>,
-    ) -> Running {
+    ) -> AgentTasks {
         let mut tasks = JoinSet::new();
         tasks.spawn(apply_snapshots(Arc::clone(&node), snapshots, applied));
         tasks.spawn(probe_upstream(Arc::clone(&node)));
         tasks.spawn(datagram::run(Arc::clone(&node)));
         tasks.spawn(detect_pauses(Arc::clone(&node)));
-        Running { node, tasks }
+        AgentTasks { node, tasks }
     }
 
     /// Serves links that other agents open, until the channel closes.
-    pub(crate) fn links(
+    pub(crate) fn serve_links(
         &self,
-        accepted: Option<mpsc::Receiver<Accepted>>,
+        accepted: Option<mpsc::Receiver<AcceptedLink>>,
     ) -> impl Future<Output = ()> + Send + 'static {
         let node = Arc::clone(&self.node);
         async move {
@@ -85,12 +85,12 @@
         self.node.stop();
         self.node.tasks.close();
         let done = time::timeout(timeout, self.node.tasks.wait()).await.is_ok();
-        let about = About::new().with_upstream(&self.node.settings.name);
+        let about = EventSubject::new().with_upstream(&self.node.settings.name);
         if done {
             self.node.report_drained();
         } else {
             let text = format!("{} flows are still open", self.node.flows());
-            event::emit(Id::DrainTimeout, about, &text);
+            event::emit(EventId::DrainTimeout, about, &text);
         }
         claim::transfer_claims(&self.node, CLAIM_TRANSFER_TIMEOUT).await;
         done
@@ -124,7 +124,7 @@
     loop {
         time::sleep(PAUSE_CHECK_INTERVAL).await;
         let now = clock::now_ms();
-        if now.saturating_sub(last) > PAUSE_MS {
+        if now.saturating_sub(last) > PAUSE_DETECTION_MS {
             node.rosters.lock().record_pause(now);
         }
         last = now;
@@ -138,20 +138,20 @@
     let mut reachable = false;
     loop {
         ticks.tick().await;
-        let about = || About::new().with_upstream(&node.settings.name);
+        let about = || EventSubject::new().with_upstream(&node.settings.name);
         match query_load(&node).await {
             Ok(load) => {
                 failures = 0;
                 if !reachable {
                     reachable = true;
-                    event::emit(Id::UpstreamBack, about(), &format!("state {}", load.state));
+                    event::emit(EventId::UpstreamBack, about(), &format!("state {}", load.state));
                 }
             }
             Err(e) => {
                 failures += 1;
                 if reachable && failures >= LOST_AFTER_FAILURES {
                     reachable = false;
-                    event::emit(Id::UpstreamLost, about(), &format!("{e:#}"));
+                    event::emit(EventId::UpstreamLost, about(), &format!("{e:#}"));
                 }
             }
         }
--- a/crates/daemon/src/agent/service.rs
+++ b/crates/daemon/src/agent/service.rs
@@ -13,10 +13,10 @@
 use anyhow::Context;
 use arc_swap::{ArcSwap, ArcSwapOption};
 use camphorwinch_core::{
-    admit::{Admission, Room, admit},
-    budget::Budget,
+    admit::{Admission, AgentLoad, admit},
+    budget::RetryBudget,
     object::{Certificate, ServiceId},
-    seal::{CID_LEN, Home, KeyRing, NONCE_LEN},
+    seal::{CID_LEN, FlowOwner, KeyRing, NONCE_LEN},
     snapshot::{ServiceEntry, Snapshot},
 };
 use parking_lot::Mutex;
@@ -41,7 +41,7 @@
 use crate::{
     clock,
     config::AddressMode,
-    event::{self, About, Id},
+    event::{self, EventId, EventSubject},
 };
 
 /// With the encapsulation, a payload of this size fits an Ethernet frame.
@@ -93,7 +93,7 @@
     pub(crate) id: ServiceId,
     pub(crate) name: String,
     pub(crate) socket: Arc<ServiceSocket>,
-    pub(crate) budget: Mutex<Budget>,
+    pub(crate) budget: Mutex<RetryBudget>,
     entry: ArcSwap<ServiceEntry>,
     certificate: Arc<CertificateStore>,
     /// Last error of the certificate; empty if there is none.
@@ -130,7 +130,7 @@
             id,
             name: entry.name.clone(),
             socket,
-            budget: Mutex::new(Budget::new(entry.spec.retry_budget, clock::now_ms())),
+            budget: Mutex::new(RetryBudget::new(entry.spec.retry_budget, clock::now_ms())),
             entry: ArcSwap::from_pointee(entry.clone()),
             certificate,
             certificate_error: Mutex::default(),
@@ -162,14 +162,14 @@
     }
 
     fn apply_certificate(&self, entry: &ServiceEntry, snapshot: &Snapshot) {
-        let about = || About::new().with_service(&self.name);
+        let about = || EventSubject::new().with_service(&self.name);
         let name = &entry.spec.certificate;
         let error = match snapshot.certificates.get(name).map(|it| self.certificate.set(it)) {
             None => format!("certificate/{name}: missing"),
             Some(Err(e)) => format!("certificate/{name}: {e:#}"),
             Some(Ok(replaced)) => {
                 if replaced {
-                    event::emit(Id::CertificateChanged, about(), name);
+                    event::emit(EventId::CertificateChanged, about(), name);
                 }
                 String::new()
             }
@@ -177,7 +177,7 @@
         // Each error is reported once, not with every snapshot.
         let previous = std::mem::replace(&mut *self.certificate_error.lock(), error.clone());
         if !error.is_empty() && previous != error {
-            event::emit(Id::ConfigRefused, about(), &error);
+            event::emit(EventId::ConfigRefused, about(), &error);
         }
     }
 
@@ -220,24 +220,24 @@
 
     fn admit(&self, node: &Node, next: Option<SocketAddrV4>) -> FlowDecision {
         let entry = self.entry();
-        let room = Room {
+        let agent_load = AgentLoad {
             flows: self.flows(),
             flow_limit: entry.spec.connections,
             all_flows: node.flows(),
             all_limit: node.settings.connections,
-            busy: node.work.busy(),
-            slots: node.work.slots(),
+            busy: node.slot_limiter.busy(),
+            slots: node.slot_limiter.slots(),
         };
         let can_accept = self.is_local(node) && self.certificate.is_set();
         let admission = match (can_accept, next) {
-            (true, _) => admit(entry.spec.policy, node.intake(), &room, next.is_none()),
-            (false, Some(_)) => Admission::Pass,
+            (true, _) => admit(entry.spec.policy, node.availability(), &agent_load, next.is_none()),
+            (false, Some(_)) => Admission::Forward,
             (false, None) => Admission::Refuse,
         };
         match (admission, next) {
             (Admission::Accept, _) => FlowDecision::Accepted(Some(node.count_flow(&self.flows))),
-            (Admission::Pass, Some(to)) => FlowDecision::Forwarded(to),
-            (Admission::Pass, None) | (Admission::Refuse, _) => FlowDecision::Rejected,
+            (Admission::Forward, Some(to)) => FlowDecision::Forwarded(to),
+            (Admission::Forward, None) | (Admission::Refuse, _) => FlowDecision::Rejected,
         }
     }
 
@@ -335,7 +335,7 @@
 /// Generates connection IDs that contain the encrypted address of the agent and the service ID.
 struct CidGenerator {
     ring: Arc<ArcSwapOption<KeyRing>>,
-    home: Home,
+    owner: FlowOwner,
 }
 
 impl ConnectionIdGenerator for CidGenerator {
@@ -343,7 +343,7 @@
         let nonce: [u8; NONCE_LEN] = rand::random();
         let ring = self.ring.load();
         let ring = ring.as_ref().expect("a service is opened only once there are keys");
-        ConnectionId::new(&ring.seal(self.home, nonce))
+        ConnectionId::new(&ring.seal(self.owner, nonce))
     }
 
     fn cid_len(&self) -> usize {
@@ -362,8 +362,8 @@
     // After a failure of an agent all its flows need a reset at once. Each reset is smaller than the packet it answers.
     config.min_reset_interval(Duration::ZERO);
     let ring = Arc::clone(&node.key_ring);
-    let home = Home { agent: node.data_address, service: id };
-    config.cid_generator(move || Box::new(CidGenerator { ring: Arc::clone(&ring), home }));
+    let owner = FlowOwner { agent: node.data_address, service: id };
+    config.cid_generator(move || Box::new(CidGenerator { ring: Arc::clone(&ring), owner }));
     Ok(config)
 }
 
@@ -403,6 +403,6 @@
 /// Counts and reports a rejected flow.
 pub(crate) fn report_rejected(service: &Service, caller: SocketAddr) {
     metrics::count(&metrics::FLOWS, "refused");
-    let about = About::new().with_service(&service.name);
-    throttled::emit(Id::FlowRefused, about, &format!("caller {caller}"));
+    let about = EventSubject::new().with_service(&service.name);
+    throttled::emit(EventId::FlowRefused, about, &format!("caller {caller}"));
 }
--- a/crates/daemon/src/agent/tests.rs
+++ b/crates/daemon/src/agent/tests.rs
@@ -267,9 +267,9 @@
     assert_eq!(other.send(TestRequest::new(Method::GET, "/screen")).await.status, StatusCode::OK);
     let feed = feed.await.expect("the caller's task panicked");
     assert!(feed.text().contains("sum "), "{feed:?}");
-    assert_eq!(harness.agents[0].node.epochs(), [1, 2], "each flow keeps the key of its start");
+    assert_eq!(harness.agents[0].node.key_epochs(), [1, 2], "each flow keeps the key of its start");
     drop(flow);
-    while harness.agents[0].node.epochs() != [2] {
+    while harness.agents[0].node.key_epochs() != [2] {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/crates/daemon/src/agent/tests/harness.rs
+++ b/crates/daemon/src/agent/tests/harness.rs
@@ -43,9 +43,9 @@
 };
 
 use crate::{
-    agent::{Node, Running, Settings, link::Dial},
+    agent::{AgentTasks, Node, Settings, link::Dial},
     config::{AddressMode, FleetPem},
-    control::{Accepted, Stream},
+    control::{AcceptedLink, FramedStream},
     tls::Tls,
 };
 
@@ -60,7 +60,7 @@
 pub(crate) struct TestAgent {
     pub(crate) node: Arc<Node>,
     pub(crate) upstream: Upstream,
-    running: Option<Running>,
+    running: Option<AgentTasks>,
     links: Vec<JoinHandle<()>>,
     member: Agent,
 }
@@ -146,7 +146,7 @@
         ));
         harness.snapshot.send_replace(Arc::new(snapshot));
         for agent in &harness.agents {
-            let mut changed = agent.node.changed();
+            let mut changed = agent.node.subscribe();
             while agent.node.state() != AgentState::Ready || agent.node.snapshot().revision == 0 {
                 changed.changed().await.expect("the agent is running");
             }
@@ -193,11 +193,11 @@
             state: AgentState::Ready,
         };
         let (applied, _) = watch::channel(0);
-        let running = Running::start(Arc::clone(&node), self.snapshot.subscribe(), applied);
+        let running = AgentTasks::start(Arc::clone(&node), self.snapshot.subscribe(), applied);
         let (sender, accepted) = mpsc::channel(16);
         let links = vec![
             tokio::spawn(accept_links(listener, self.tls.clone(), sender)),
-            tokio::spawn(running.links(Some(accepted))),
+            tokio::spawn(running.serve_links(Some(accepted))),
         ];
         TestAgent { node, upstream, running: Some(running), links, member }
     }
@@ -272,7 +272,7 @@
         });
         let revision = self.snapshot.borrow().revision;
         for agent in &self.agents {
-            let mut changed = agent.node.changed();
+            let mut changed = agent.node.subscribe();
             while agent.node.snapshot().revision < revision {
                 changed.changed().await.expect("the agent is running");
             }
@@ -287,7 +287,7 @@
             it.changes.insert("drain".to_owned(), change);
         });
         let node = &self.agents[index].node;
-        let mut changed = node.changed();
+        let mut changed = node.subscribe();
         while !node.is_draining() {
             changed.changed().await.expect("the agent is running");
         }
@@ -379,7 +379,7 @@
         &'a self,
         _peer: &'a str,
         address: SocketAddr,
-    ) -> BoxFuture<'a, anyhow::Result<Stream>> {
+    ) -> BoxFuture<'a, anyhow::Result<FramedStream>> {
         Box::pin(async move {
             let stream = self.tls.connect(TcpStream::connect(address).await?).await?;
             let mut frames = frame::frames(stream);
@@ -389,7 +389,7 @@
     }
 }
 
-async fn accept_links(listener: TcpListener, tls: Tls, accepted: mpsc::Sender<Accepted>) {
+async fn accept_links(listener: TcpListener, tls: Tls, accepted: mpsc::Sender<AcceptedLink>) {
     while let Ok((stream, _)) = listener.accept().await {
         // The connection may only have checked whether the agent listens.
         let Ok(stream) = tls.accept(stream).await else {
@@ -398,7 +398,7 @@
         let mut stream = frame::frames(stream);
         let hello = stream.next().await.expect("greeting").expect("greeting");
         let peer = String::from_utf8_lossy(&hello).into_owned();
-        if accepted.send(Accepted { peer, stream }).await.is_err() {
+        if accepted.send(AcceptedLink { peer, stream }).await.is_err() {
             return;
         }
     }
@@ -450,13 +450,13 @@
         };
         let to = match ring.open(cid) {
             Some(_) if drop_established.load(Ordering::Relaxed) => continue,
-            Some(home) => {
-                let down = |it: &&Agent| it.data == home.agent.into() && !it.state.answers();
+            Some(owner) => {
+                let down = |it: &&Agent| it.data == owner.agent.into() && !it.state.is_alive();
                 let is_down = now.agents.values().any(|it| down(&it));
-                let live = now.agents.values().find(|it| it.state.answers());
+                let live = now.agents.values().find(|it| it.state.is_alive());
                 match live.map(|it| it.data) {
                     Some(SocketAddr::V4(data)) if is_down => data,
-                    _ => home.agent,
+                    _ => owner.agent,
                 }
             }
             None => {
--- a/crates/daemon/src/agent/throttled.rs
+++ b/crates/daemon/src/agent/throttled.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     clock,
-    event::{self, About, Id},
+    event::{self, EventId, EventSubject},
 };
 
 const EVENTS_PER_S: u32 = 5;
@@ -21,7 +21,7 @@
 static WINDOWS: LazyLock<Mutex<BTreeMap<u16, Window>>> = LazyLock::new(Mutex::default);
 
 /// Emits an event unless the limit of its kind is reached. The next emitted one reports how many were suppressed.
-pub(crate) fn emit(id: Id, about: About, text: &str) {
+pub(crate) fn emit(id: EventId, about: EventSubject, text: &str) {
     let Some(suppressed) = admit(id) else {
         return;
     };
@@ -32,7 +32,7 @@
     }
 }
 
-fn admit(id: Id) -> Option<u64> {
+fn admit(id: EventId) -> Option<u64> {
     let second = clock::now_ms() / 1_000;
     let mut windows = WINDOWS.lock();
     let window = windows.entry(id as u16).or_default();
--- a/crates/daemon/src/cmd/agent.rs
+++ b/crates/daemon/src/cmd/agent.rs
@@ -4,18 +4,18 @@
 
 use bpaf::Bpaf;
 use camphorwinch_core::{
-    admit::Intake,
+    admit::Availability,
     member::{self, AgentState},
 };
 use serde_json::{Value, json};
 use tokio::{runtime::Builder, sync::watch};
 
 use crate::{
-    agent::{Node, Running, Settings},
+    agent::{AgentTasks, Node, Settings},
     cmd::Run,
     config::{AgentConfig, AgentFlags, agent_flags},
     control::{Control, Load, Role},
-    event::{self, About, Id},
+    event::{self, EventId, EventSubject},
     log,
     operator::{self, Inspect},
     signal, violations,
@@ -46,26 +46,30 @@
     let control = Control::start(&config.common, Role::Agent(member(&config))).await?;
     let node = Node::new(Settings::new(&config), Arc::new(control.clone()))?;
     let (applied, in_force) = watch::channel(0);
-    let mut running = Running::start(Arc::clone(&node), control.watch(), applied);
-    let link_tasks = tokio::spawn(running.links(control.accepted()));
+    let mut running = AgentTasks::start(Arc::clone(&node), control.watch(), applied);
+    let link_tasks = tokio::spawn(running.serve_links(control.accepted()));
     let publisher = tokio::spawn(publish_agent_state(control.clone(), Arc::clone(&node), in_force));
     let inspect = AgentInspector { control: control.clone(), node };
     operator::serve(config.common.operator, Arc::new(inspect)).await?;
     tokio::spawn(violations::run());
-    event::emit(Id::ProcessStarted, About::new(), &format!("agent {}", config.common.name));
+    event::emit(
+        EventId::ProcessStarted,
+        EventSubject::new(),
+        &format!("agent {}", config.common.name),
+    );
 
     let mut fenced = control.fenced();
     tokio::select! {
         () = stop.cancelled() => {}
         _ = fenced.wait_for(|it| *it) => {}
     }
-    event::emit(Id::ProcessStopping, About::new(), "waiting for flows to end");
+    event::emit(EventId::ProcessStopping, EventSubject::new(), "waiting for flows to end");
     running.drain(config.drain_timeout).await;
     publisher.abort();
     control.leave().await;
     link_tasks.abort();
     running.stop().await;
-    event::emit(Id::ProcessStopped, About::new(), "stopped");
+    event::emit(EventId::ProcessStopped, EventSubject::new(), "stopped");
     Ok(())
 }
 
@@ -89,7 +93,7 @@
     node: Arc<Node>,
     mut in_force: watch::Receiver<u64>,
 ) {
-    let mut changed = node.changed();
+    let mut changed = node.subscribe();
     let mut state = AgentState::Starting;
     loop {
         tokio::select! {
@@ -101,8 +105,8 @@
             },
         }
         control.set_applied(*in_force.borrow_and_update());
-        control.set_epochs(node.epochs());
-        control.set_load(Load { flows: node.flows(), busy: node.work.busy() });
+        control.set_epochs(node.key_epochs());
+        control.set_load(Load { flows: node.flows(), busy: node.slot_limiter.busy() });
         let now = node.state();
         if now != state {
             state = now;
@@ -121,10 +125,10 @@
         if !self.control.synced() {
             return Err("the configuration has not been received yet".to_owned());
         }
-        match self.node.intake() {
-            Intake::Open => Ok(()),
-            Intake::Closed => Err("the upstream accepts no requests".to_owned()),
-            Intake::Draining => Err("draining".to_owned()),
+        match self.node.availability() {
+            Availability::Open => Ok(()),
+            Availability::Closed => Err("the upstream accepts no requests".to_owned()),
+            Availability::Draining => Err("draining".to_owned()),
         }
     }
 
--- a/crates/daemon/src/cmd/balance.rs
+++ b/crates/daemon/src/cmd/balance.rs
@@ -12,7 +12,7 @@
     cmd::Run,
     config::{BalanceConfig, BalanceFlags, balance_flags},
     control::{Control, Role},
-    event::{self, About, Id},
+    event::{self, EventId, EventSubject},
     log,
     operator::{self, Inspect},
     relay::{self, Relay},
@@ -46,7 +46,11 @@
     let inspect = BalancerInspector { control: control.clone(), shared, stop: stop.clone() };
     operator::serve(config.common.operator, Arc::new(inspect)).await?;
     tokio::spawn(violations::run());
-    event::emit(Id::ProcessStarted, About::new(), &format!("balancer {}", config.common.name));
+    event::emit(
+        EventId::ProcessStarted,
+        EventSubject::new(),
+        &format!("balancer {}", config.common.name),
+    );
 
     let mut fenced = control.fenced();
     tokio::select! {
@@ -56,10 +60,14 @@
     }
     // Makes the fabric's health checks fail from now on.
     stop.cancel();
-    event::emit(Id::ProcessStopping, About::new(), "relaying until datagrams stop arriving");
+    event::emit(
+        EventId::ProcessStopping,
+        EventSubject::new(),
+        "relaying until datagrams stop arriving",
+    );
     control.leave().await;
     relay.drain(&control).await;
-    event::emit(Id::ProcessStopped, About::new(), "stopped");
+    event::emit(EventId::ProcessStopped, EventSubject::new(), "stopped");
     Ok(())
 }
 
--- a/crates/daemon/src/config_watch.rs
+++ b/crates/daemon/src/config_watch.rs
@@ -5,7 +5,7 @@
 use camphorwinch_core::{
     object::Kind,
     record::Record,
-    revision::{Revision, WRITTEN_AGAIN_MS},
+    revision::{RESET_GRACE_MS, Revision},
 };
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Remaining time in which lists may lack objects that were lost in a restore and that their writers are still
+    /// Remaining time in which lists may lack objects that were lost in a reset and that their writers are still
     /// rewriting; 0 in the first era.
     fn unsettled_ms(&self) -> u64 {
         if self.number == 0 {
             return 0;
         }
-        (self.since_ms + WRITTEN_AGAIN_MS).saturating_sub(now_ms())
+        (self.since_ms + RESET_GRACE_MS).saturating_sub(now_ms())
     }
 }
 
@@ -112,15 +112,15 @@
     let mut state = inner.state.lock();
     let mut changed = Vec::new();
     for (kind, list) in &lists {
-        changed.extend(state.view.take_list(*kind, &list.items, list.revision));
+        changed.extend(state.view.merge_list(*kind, &list.items, list.revision));
     }
     let advanced = match changed.is_empty() && state.view.synced() {
         // No changes: raise the floor without sending it to peers.
         true => {
             let revision = state.view.revision().min(revision);
-            state.view.confirm(revision)
+            state.view.confirm_revision(revision)
         }
-        false => state.view.confirm(revision),
+        false => state.view.confirm_revision(revision),
     };
     if advanced || !changed.is_empty() {
         state.flood(&changed, None);
@@ -138,14 +138,14 @@
     Ok(lists)
 }
 
-/// Whether all lists are of one era. After a restore between them they would be inconsistent.
+/// Whether all lists are of one era. After a reset between them they would be inconsistent.
 fn same_era(lists: &[(Kind, List)]) -> bool {
     let mut eras = lists.iter().map(|(_, it)| Revision::unpacked(it.revision).era);
     let first = eras.next();
     eras.all(|it| Some(it) == first)
 }
 
-/// Applies the lists of a platform that may just have been restored from a backup.
+/// Applies the lists of a platform that may just have been reset to an older copy.
 fn apply_restored_lists(inner: &Inner, lists: &[(Kind, List)], revision: u64) {
     let mut state = inner.state.lock();
     let known = Revision::unpacked(state.view.revision()).era;
@@ -153,9 +153,9 @@
     let previous = if state.view.synced() { previous.min(known) } else { previous };
     let mut changed = Vec::new();
     for (kind, list) in lists {
-        changed.extend(state.view.take_copy(*kind, &list.items, previous));
+        changed.extend(state.view.merge_reset_list(*kind, &list.items, previous));
     }
-    let advanced = state.view.advance(revision);
+    let advanced = state.view.advance_revision(revision);
     if advanced || !changed.is_empty() {
         state.flood(&changed, None);
         drop(state);
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -40,7 +40,7 @@
 use crate::{
     config::CommonConfig,
     control::{dial::Dials, state::State},
-    event::{self, About, Id},
+    event::{self, EventId, EventSubject},
     lease,
     platform::{Platform, PlatformError},
     report::{self, Reports},
@@ -60,7 +60,7 @@
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A framed TLS connection to another process.
-pub(crate) type Stream = Frames<TlsStream<TcpStream>>;
+pub(crate) type FramedStream = Frames<TlsStream<TcpStream>>;
 
 #[derive(Clone, Debug)]
 #[expect(clippy::large_enum_variant, reason = "there is one in each process")]
@@ -80,10 +80,10 @@
 }
 
 /// A handover link opened by another agent, with its hello message already read.
-pub(crate) struct Accepted {
+pub(crate) struct AcceptedLink {
     /// Name of the agent that opened it.
     pub(crate) peer: String,
-    pub(crate) stream: Stream,
+    pub(crate) stream: FramedStream,
 }
 
 /// Handle of the control plane.
@@ -102,8 +102,8 @@
     pub(crate) state: Mutex<State>,
     pub(crate) snapshot: watch::Sender<Arc<Snapshot>>,
     fenced: watch::Sender<bool>,
-    accepted_tx: mpsc::Sender<Accepted>,
-    accepted: Mutex<Option<mpsc::Receiver<Accepted>>>,
+    accepted_tx: mpsc::Sender<AcceptedLink>,
+    accepted: Mutex<Option<mpsc::Receiver<AcceptedLink>>>,
     dirty: Notify,
     /// Triggers an immediate heartbeat.
     pub(crate) heartbeat: Notify,
@@ -160,7 +160,11 @@
         }
         state.applied = revision;
         drop(state);
-        event::emit_local(Id::ConfigInForce, About::new(), &format!("revision {revision}"));
+        event::emit_local(
+            EventId::ConfigInForce,
+            EventSubject::new(),
+            &format!("revision {revision}"),
+        );
         self.inner.heartbeat.notify_one();
         self.inner.report.notify_one();
     }
@@ -207,12 +211,16 @@
     }
 
     /// Receiver of handover links opened by other agents; `None` from the second call.
-    pub(crate) fn accepted(&self) -> Option<mpsc::Receiver<Accepted>> {
+    pub(crate) fn accepted(&self) -> Option<mpsc::Receiver<AcceptedLink>> {
         self.inner.accepted.lock().take()
     }
 
     /// Opens a handover link to another agent.
-    pub(crate) async fn dial(&self, peer: &str, address: SocketAddr) -> anyhow::Result<Stream> {
+    pub(crate) async fn dial(
+        &self,
+        peer: &str,
+        address: SocketAddr,
+    ) -> anyhow::Result<FramedStream> {
         let connect = async {
             let stream = TcpStream::connect(address).await?;
             stream.set_nodelay(true)?;
@@ -231,9 +239,9 @@
     pub(crate) fn status(&self) -> Value {
         let state = self.inner.state.lock();
         let peers: BTreeSet<&str> = state.links.values().map(|it| it.peer.as_str()).collect();
-        let (lease, homes) = match &state.own.role {
+        let (lease, balancers) = match &state.own.role {
             MemberRole::Balancer { lease, .. } => (*lease, None),
-            MemberRole::Agent { homes, .. } => (None, Some(homes)),
+            MemberRole::Agent { balancers, .. } => (None, Some(balancers)),
         };
         json!({
             "name": state.own.name(),
@@ -244,7 +252,7 @@
             "members": state.view.members().count(),
             "links": peers,
             "lease": lease,
-            "homes": homes,
+            "homes": balancers,
             "platform": !self.inner.platform_unreachable.load(Ordering::Relaxed),
         })
     }
@@ -284,14 +292,18 @@
     /// Records a failed platform call; emits an event on the first failure.
     pub(crate) fn platform_failed(&self, e: &PlatformError) {
         if !self.platform_unreachable.swap(true, Ordering::Relaxed) {
-            event::emit(Id::PlatformLost, About::new(), &e.to_string());
+            event::emit(EventId::PlatformLost, EventSubject::new(), &e.to_string());
         }
     }
 
     /// Records a successful platform call; emits an event after an outage.
     pub(crate) fn platform_recovered(&self) {
         if self.platform_unreachable.swap(false, Ordering::Relaxed) {
-            event::emit(Id::PlatformBack, About::new(), "the platform is reachable again");
+            event::emit(
+                EventId::PlatformBack,
+                EventSubject::new(),
+                "the platform is reachable again",
+            );
         }
     }
 
@@ -316,10 +328,10 @@
             (snapshot, faults, state.fenced)
         };
         for fault in faults {
-            event::emit(Id::ConfigRefused, About::new(), &fault.to_string());
+            event::emit(EventId::ConfigRefused, EventSubject::new(), &fault.to_string());
         }
         if fenced && !self.fenced.send_replace(true) {
-            event::emit(Id::Fenced, About::new(), "a newer process uses this name");
+            event::emit(EventId::Fenced, EventSubject::new(), "a newer process uses this name");
         }
         self.snapshot.send_if_modified(|it| {
             let not_older = check(Invariant::VersionGrows, snapshot.revision >= it.revision);
--- a/crates/daemon/src/control/dial.rs
+++ b/crates/daemon/src/control/dial.rs
@@ -14,7 +14,7 @@
     record::Role,
     report::{LEASE_PREFIX, Lease},
 };
-use camphorwinch_wire::message::{Body, Bye, Interest};
+use camphorwinch_wire::message::{Body, Disconnect, Subscription};
 use rand::{Rng, seq::SliceRandom};
 use tokio::time::sleep;
 
@@ -26,7 +26,7 @@
         state::{State, mesh_peers},
         tick,
     },
-    event::{self, About, Id},
+    event::{self, EventId, EventSubject},
 };
 
 const RETRY_DELAY_MS: u64 = 1_000;
@@ -181,14 +181,18 @@
 
     /// Reports a new link and updates the announcement.
     pub(crate) fn on_link_up(&self, id: LinkId, peer: &str) {
-        event::emit(Id::LinkUp, About::new(), &format!("link {id} to {peer}"));
+        event::emit(EventId::LinkUp, EventSubject::new(), &format!("link {id} to {peer}"));
         self.announce_homes();
         self.heartbeat.notify_one();
     }
 
     /// Reports a closed link and, if this process monitors the peer, suspects it.
     pub(crate) fn on_link_down(&self, id: LinkId, peer: &str, reason: &str) {
-        event::emit(Id::LinkDown, About::new(), &format!("link {id} to {peer}: {reason}"));
+        event::emit(
+            EventId::LinkDown,
+            EventSubject::new(),
+            &format!("link {id} to {peer}: {reason}"),
+        );
         let mut state = self.state.lock();
         let Some(link) = state.links.remove(&id) else {
             return;
@@ -202,7 +206,7 @@
             member.filter(|it| !link.closing && !tick::is_monitored_elsewhere(&state, it));
         if let Some(version) = monitored.map(|it| it.version) {
             let (grace, verdict) = tick::grace_and_verdict(link.kind, link.timed_out);
-            state.suspects.suspect(peer, version, now_ms() + grace, verdict);
+            state.failure_detector.suspect(peer, version, now_ms() + grace, verdict);
         }
         drop(state);
         self.announce_homes();
@@ -216,22 +220,26 @@
             return;
         }
         let alive = state.balancers();
-        let ranked = mesh::homes(state.own.name(), &self.common.place.zone, &mesh_peers(&alive));
-        let mut homes: Vec<String> = Vec::new();
+        let ranked = mesh::balancers_for_agent(
+            state.own.name(),
+            &self.common.place.zone,
+            &mesh_peers(&alive),
+        );
+        let mut balancers: Vec<String> = Vec::new();
         for name in ranked {
             if state.has_link(name) {
-                homes.push(name.to_owned());
+                balancers.push(name.to_owned());
             }
         }
         for link in state.links.values() {
-            if !homes.contains(&link.peer) {
-                homes.push(link.peer.clone());
+            if !balancers.contains(&link.peer) {
+                balancers.push(link.peer.clone());
             }
         }
         let before = state.own.version;
         state.announce(|role| {
-            if let Role::Agent { homes: own, .. } = role {
-                *own = homes;
+            if let Role::Agent { balancers: own, .. } = role {
+                *own = balancers;
             }
         });
         let changed = state.own.version != before;
@@ -251,7 +259,7 @@
         let scope = camphorwinch_core::view::Scope::Pools(pools.iter().cloned().collect());
         for link in state.links.values_mut() {
             link.scope = scope.clone();
-            link.send(Body::Interest(Interest { pools: pools.clone() }));
+            link.send(Body::Subscription(Subscription { pools: pools.clone() }));
         }
     }
 }
@@ -285,7 +293,7 @@
         let version = state.view.member(name).filter(|it| !it.is_down()).map(|it| it.version);
         if let Some(version) = version {
             let (grace, verdict) = tick::grace_and_verdict(LinkKind::Mesh, false);
-            state.suspects.suspect(name, version, now_ms() + grace, verdict);
+            state.failure_detector.suspect(name, version, now_ms() + grace, verdict);
         }
     }
 }
@@ -297,7 +305,7 @@
     let Role::Agent { agent, .. } = &state.own.role else {
         return (Vec::new(), Vec::new());
     };
-    let desired = mesh::homes(&agent.name, &agent.place.zone, &mesh_peers(&alive));
+    let desired = mesh::balancers_for_agent(&agent.name, &agent.place.zone, &mesh_peers(&alive));
     let mut targets = Vec::new();
     for balancer in &alive {
         if desired.contains(&balancer.name.as_str()) && !state.has_link(&balancer.name) {
@@ -315,7 +323,7 @@
     desired.extend(holder.map(|it| it.name.as_str()));
     let mut targets = Vec::new();
     for balancer in &alive {
-        let suspect = state.suspects.contains(&balancer.name);
+        let suspect = state.failure_detector.contains(&balancer.name);
         let missing = !state.has_link(&balancer.name) && balancer.name != own;
         if missing && (suspect || desired.contains(&balancer.name.as_str())) {
             targets.push(Target::new(balancer));
@@ -353,7 +361,7 @@
     for link in state.links.values_mut() {
         if link.opened && !link.closing && !desired.contains(&link.peer) {
             link.closing = true;
-            link.send(Body::Bye(Bye {}));
+            link.send(Body::Disconnect(Disconnect {}));
         }
     }
 }
--- a/crates/daemon/src/control/link.rs
+++ b/crates/daemon/src/control/link.rs
@@ -14,7 +14,7 @@
 use camphorwinch_core::view::Scope;
 use camphorwinch_wire::{
     frame,
-    message::{Body, Frame, Hello, PROTOCOL, Purpose},
+    message::{Body, Frame, Hello, PROTOCOL_VERSION, Purpose},
 };
 use futures::{SinkExt, StreamExt, stream::SplitSink, stream::SplitStream};
 use prometheus::IntCounterVec;
@@ -29,11 +29,11 @@
 use crate::{
     clock::now_ms,
     control::{
-        Accepted, Inner, Stream,
+        AcceptedLink, FramedStream, Inner,
         peer::{Link, LinkId, LinkKind},
         state::State,
     },
-    event::{self, About, Id},
+    event::{self, EventId, EventSubject},
     metrics,
 };
 
@@ -90,10 +90,10 @@
         return;
     }
     LAST_REFUSED_EVENT_MS.store(now.max(1), Ordering::Relaxed);
-    event::emit(Id::LinkRefused, About::new(), &format!("{address}: {reason}"));
+    event::emit(EventId::LinkRefused, EventSubject::new(), &format!("{address}: {reason}"));
 }
 
-async fn accept(inner: &Inner, stream: TcpStream) -> anyhow::Result<(Stream, Hello)> {
+async fn accept(inner: &Inner, stream: TcpStream) -> anyhow::Result<(FramedStream, Hello)> {
     stream.set_nodelay(true)?;
     let stream = inner.tls.accept(stream).await.context("TLS handshake")?;
     let mut stream = frame::frames(stream);
@@ -104,15 +104,15 @@
     Ok((stream, hello))
 }
 
-async fn read_hello(stream: &mut Stream) -> anyhow::Result<Hello> {
+async fn read_hello(stream: &mut FramedStream) -> anyhow::Result<Hello> {
     let bytes = stream.next().await.context("connection closed before the hello message")??;
     metrics::control_received(bytes.len() as u64 + FRAME_OVERHEAD_BYTES);
     let Body::Hello(hello) = Frame::parse(&bytes)? else {
         bail!("the first frame is not a hello message");
     };
-    if hello.protocol != PROTOCOL {
+    if hello.protocol != PROTOCOL_VERSION {
         bail!(
-            "unsupported protocol version {} of {:?}; expected {PROTOCOL}",
+            "unsupported protocol version {} of {:?}; expected {PROTOCOL_VERSION}",
             hello.protocol,
             hello.name
         );
@@ -122,13 +122,13 @@
 
 pub(crate) async fn send_hello(
     inner: &Inner,
-    stream: &mut Stream,
+    stream: &mut FramedStream,
     purpose: Purpose,
 ) -> anyhow::Result<()> {
     let hello = {
         let state = inner.state.lock();
         Hello {
-            protocol: PROTOCOL,
+            protocol: PROTOCOL_VERSION,
             purpose: purpose as i32,
             name: state.own.name().to_owned(),
             incarnation: state.own.version.major,
@@ -140,11 +140,11 @@
     stream.send(Bytes::from(frame)).await.context("send the hello message")
 }
 
-async fn serve(inner: Arc<Inner>, stream: Stream, hello: Hello, address: SocketAddr) {
+async fn serve(inner: Arc<Inner>, stream: FramedStream, hello: Hello, address: SocketAddr) {
     let is_agent = inner.state.lock().is_agent();
     match hello.purpose() {
         Purpose::Handover if is_agent => {
-            let accepted = Accepted { peer: hello.name, stream };
+            let accepted = AcceptedLink { peer: hello.name, stream };
             if inner.accepted_tx.try_send(accepted).is_err() {
                 record_refused(address, "too many handover links are waiting to be accepted");
             }
@@ -179,7 +179,7 @@
 }
 
 /// Runs a link until either side closes it.
-async fn run(inner: Arc<Inner>, stream: Stream, hello: Hello, kind: LinkKind, opened: bool) {
+async fn run(inner: Arc<Inner>, stream: FramedStream, hello: Hello, kind: LinkKind, opened: bool) {
     let (sink, source) = stream.split();
     let (outbox, frames) = mpsc::channel(OUTBOX_FRAMES);
     let stop = inner.stop.child_token();
@@ -242,7 +242,7 @@
 }
 
 async fn write(
-    mut sink: SplitSink<Stream, Bytes>,
+    mut sink: SplitSink<FramedStream, Bytes>,
     mut frames: mpsc::Receiver<Bytes>,
     stop: CancellationToken,
 ) {
@@ -270,7 +270,7 @@
 async fn read(
     inner: &Arc<Inner>,
     id: LinkId,
-    mut source: SplitStream<Stream>,
+    mut source: SplitStream<FramedStream>,
     stop: &CancellationToken,
 ) -> String {
     loop {
--- a/crates/daemon/src/control/peer.rs
+++ b/crates/daemon/src/control/peer.rs
@@ -37,7 +37,7 @@
     pub(crate) timed_out: bool,
     /// When the last frame arrived.
     pub(crate) last_received_ms: u64,
-    /// Whether the peer's mark differs and a digest is still to be sent.
+    /// Whether the peer's watermark differs and a digest is still to be sent.
     pub(crate) digest_pending: bool,
     /// When a digest was last sent because of a difference.
     pub(crate) last_digest_ms: u64,
--- a/crates/daemon/src/control/receive.rs
+++ b/crates/daemon/src/control/receive.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeSet;
 
 use camphorwinch_core::{
-    record::{Deletion, Mark, Record},
+    record::{Deletion, Record, Watermark},
     timeline,
     view::{self, Scope},
 };
 use camphorwinch_wire::message::{
-    Beat, Body, Interest, MessageError, Report, Stamp, Summary, Update,
+    Body, Heartbeat, MessageError, Report, Stamp, Subscription, Summary, Update,
 };
 
 use crate::{
@@ -28,7 +28,7 @@
         }
         match body {
             Body::Hello(_) => {}
-            Body::Beat(it) => self.receive_beat(id, it),
+            Body::Heartbeat(it) => self.receive_heartbeat(id, it),
             Body::Digest(it) => {
                 let theirs = it.to_buckets()?;
                 let state = self.state.lock();
@@ -39,9 +39,9 @@
             }
             Body::Summary(it) => self.receive_summary(id, &it)?,
             Body::Update(it) => self.receive_update(id, &it)?,
-            Body::Interest(it) => self.receive_interest(id, it),
+            Body::Subscription(it) => self.receive_subscription(id, it),
             Body::Report(it) => self.receive_report(id, it),
-            Body::Bye(_) => {
+            Body::Disconnect(_) => {
                 if let Some(link) = self.state.lock().links.get_mut(&id) {
                     link.closing = true;
                     link.stop.cancel();
@@ -51,8 +51,8 @@
         Ok(())
     }
 
-    fn receive_beat(&self, id: LinkId, beat: Beat) {
-        observe_stamp(beat.stamp);
+    fn receive_heartbeat(&self, id: LinkId, heartbeat: Heartbeat) {
+        observe_stamp(heartbeat.stamp);
         let mut guard = self.state.lock();
         let state = &mut *guard;
         let Some(link) = state.links.get(&id) else {
@@ -61,12 +61,16 @@
         if link.kind != LinkKind::Agent {
             return;
         }
-        let load = Load { flows: beat.flows, busy: beat.busy };
-        let agent =
-            LinkedAgent { applied: beat.applied, load, epochs: beat.epochs, primary: beat.primary };
+        let load = Load { flows: heartbeat.flows, busy: heartbeat.busy_slots };
+        let agent = LinkedAgent {
+            applied: heartbeat.applied,
+            load,
+            epochs: heartbeat.key_epochs,
+            primary: heartbeat.primary,
+        };
         let before = state.linked_agents.insert(link.peer.clone(), agent);
-        state.queue_events(parse_events(&beat.events));
-        if before.is_none_or(|it| it.applied != beat.applied) {
+        state.queue_events(parse_events(&heartbeat.events));
+        if before.is_none_or(|it| it.applied != heartbeat.applied) {
             self.report.notify_one();
         }
     }
@@ -86,7 +90,7 @@
             Record::Member(member) => !agent || member.name() == own,
             Record::Object { .. } | Record::Deleted { .. } => true,
         };
-        let missing: Vec<&Record> = outcome.lacking.iter().filter(eligible).collect();
+        let missing: Vec<&Record> = outcome.missing_at_peer.iter().filter(eligible).collect();
         if let Some(link) = state.links.get(&id) {
             state.send_records(link, &missing);
         }
@@ -104,25 +108,25 @@
         for part in &update.records {
             records.push(Record::try_from(part)?);
         }
-        let mark = update.mark.as_ref().map(Mark::try_from).transpose()?;
-        // The mark carries deletions that may not be known here yet.
-        for it in mark.iter().flat_map(|it| &it.deleted) {
+        let watermark = update.mark.as_ref().map(Watermark::try_from).transpose()?;
+        // The watermark carries deletions that may not be known here yet.
+        for it in watermark.iter().flat_map(|it| &it.deleted) {
             let Deletion { kind, name, revision } = it.clone();
             records.push(Record::Deleted { kind, name, revision });
         }
-        let changed = self.state.lock().apply(&records, mark, Some(id));
+        let changed = self.state.lock().apply(&records, watermark, Some(id));
         if changed {
             self.request_publish();
         }
         Ok(())
     }
 
-    fn receive_interest(&self, id: LinkId, interest: Interest) {
+    fn receive_subscription(&self, id: LinkId, subscription: Subscription) {
         let mut state = self.state.lock();
         let Some(link) = state.links.get_mut(&id) else {
             return;
         };
-        let pools: BTreeSet<String> = interest.pools.into_iter().collect();
+        let pools: BTreeSet<String> = subscription.pools.into_iter().collect();
         link.scope = Scope::Pools(pools);
         state.send_digest(id);
     }
@@ -143,7 +147,7 @@
     let Some(it) = stamp else {
         return;
     };
-    if !event::observe_stamp(timeline::Stamp { ms: it.ms, counter: it.counter }) {
+    if !event::observe_stamp(timeline::HlcTimestamp { ms: it.ms, counter: it.counter }) {
         tracing::debug!("ignored a stamp too far ahead of the local clock: {} ms", it.ms);
     }
 }
--- a/crates/daemon/src/control/state.rs
+++ b/crates/daemon/src/control/state.rs
@@ -4,14 +4,14 @@
 
 use camphorwinch_core::{
     assemble::Assembler,
+    failure_detector::FailureDetector,
     member::{AgentState, Balancer, BalancerState},
     mesh::Peer,
     object::SpecError,
-    record::{Mark, Member, Record, Role as MemberRole, Version},
+    record::{Member, Record, Role as MemberRole, Version, Watermark},
     snapshot::Snapshot,
-    suspect::Suspects,
     timeline::Event,
-    view::{Adoption, View},
+    view::{View, WatermarkOutcome},
 };
 use camphorwinch_wire::message::{Body, Digest, RecordPart, Stamp, Update};
 use prost::Message;
@@ -23,7 +23,7 @@
         Load, Role,
         peer::{Link, LinkId, LinkedAgent},
     },
-    event::{self, About, Id},
+    event::{self, EventId, EventSubject},
 };
 
 /// Size from which an update is split into several frames.
@@ -53,7 +53,7 @@
     pub(crate) epochs: Vec<u8>,
     pub(crate) links: BTreeMap<LinkId, Link>,
     /// Members suspected to have failed.
-    pub(crate) suspects: Suspects,
+    pub(crate) failure_detector: FailureDetector,
     /// Agents linked to this balancer.
     pub(crate) linked_agents: BTreeMap<String, LinkedAgent>,
     /// Events of linked agents to forward.
@@ -85,7 +85,7 @@
             load: Load::default(),
             epochs: Vec::new(),
             links: BTreeMap::new(),
-            suspects: Suspects::new(),
+            failure_detector: FailureDetector::new(),
             linked_agents: BTreeMap::new(),
             events: VecDeque::new(),
             pools,
@@ -114,7 +114,7 @@
     /// Adds a link and returns its ID.
     pub(crate) fn add_link(&mut self, link: Link) -> LinkId {
         self.next_link += 1;
-        self.suspects.clear(&link.peer);
+        self.failure_detector.clear(&link.peer);
         self.links.insert(self.next_link, link);
         self.next_link
     }
@@ -137,7 +137,7 @@
         if state_name(&before) != state_name(&self.own.role) {
             self.own.since_ms = wall_ms();
             let text = format!("{} is {}", self.own.name(), state_name(&self.own.role));
-            event::emit(Id::MemberChanged, About::new(), &text);
+            event::emit(EventId::MemberChanged, EventSubject::new(), &text);
         }
         self.own.version = self.own.version.next();
         self.publish_own();
@@ -170,11 +170,11 @@
         });
     }
 
-    /// Merges records and their mark and forwards the changes; returns whether anything changed.
+    /// Merges records and their watermark and forwards the changes; returns whether anything changed.
     pub(crate) fn apply(
         &mut self,
         records: &[Record],
-        mark: Option<Mark>,
+        watermark: Option<Watermark>,
         from: Option<LinkId>,
     ) -> bool {
         let wall = wall_ms();
@@ -185,15 +185,16 @@
                 changed.push(record.clone());
             }
         }
-        let adoption = mark.map_or(Adoption::Known, |it| self.view.adopt(&it));
-        if !changed.is_empty() || adoption == Adoption::Taken {
+        let outcome =
+            watermark.map_or(WatermarkOutcome::Unchanged, |it| self.view.apply_watermark(&it));
+        if !changed.is_empty() || outcome == WatermarkOutcome::Advanced {
             self.flood(&changed, from);
         }
-        if let (Adoption::Differs, Some(id)) = (adoption, from) {
+        if let (WatermarkOutcome::Differs, Some(id)) = (outcome, from) {
             self.send_digest_limited(id);
         }
         self.resolve_name_conflict();
-        !changed.is_empty() || adoption == Adoption::Taken
+        !changed.is_empty() || outcome == WatermarkOutcome::Advanced
     }
 
     /// Merges records of the platform's watch, complete up to `revision`; returns whether anything changed.
@@ -205,7 +206,7 @@
                 changed.push(record.clone());
             }
         }
-        let advanced = self.view.advance(revision);
+        let advanced = self.view.advance_revision(revision);
         if advanced || !changed.is_empty() {
             self.flood(&changed, None);
         }
@@ -231,15 +232,15 @@
         } else {
             self.own.version = seen.next();
             event::emit(
-                Id::MemberBack,
-                About::new(),
+                EventId::MemberBack,
+                EventSubject::new(),
                 "refuted a failure report about this process",
             );
         }
         self.publish_own();
     }
 
-    /// Forwards records and the own mark on all links except the one they came from.
+    /// Forwards records and the own watermark on all links except the one they came from.
     pub(crate) fn flood(&self, records: &[Record], except: Option<LinkId>) {
         let agent = self.is_agent();
         for (id, link) in &self.links {
@@ -258,7 +259,7 @@
         }
     }
 
-    /// Sends records on one link, split into frames; the last one carries the mark.
+    /// Sends records on one link, split into frames; the last one carries the watermark.
     pub(crate) fn send_records(&self, link: &Link, records: &[&Record]) {
         let mut update = Update::default();
         let mut size = 0;
@@ -271,7 +272,7 @@
                 size = 0;
             }
         }
-        update.mark = self.view.mark().as_ref().map(Into::into);
+        update.mark = self.view.watermark().as_ref().map(Into::into);
         update.stamp = Some(stamp());
         link.send(Body::Update(update));
     }
@@ -362,7 +363,7 @@
 
 fn own_role(common: &CommonConfig, role: &Role) -> MemberRole {
     match role {
-        Role::Agent(agent) => MemberRole::Agent { agent: agent.clone(), homes: Vec::new() },
+        Role::Agent(agent) => MemberRole::Agent { agent: agent.clone(), balancers: Vec::new() },
         Role::Balancer => MemberRole::Balancer {
             balancer: Balancer {
                 name: common.name.clone(),
--- a/crates/daemon/src/control/tests.rs
+++ b/crates/daemon/src/control/tests.rs
@@ -7,7 +7,7 @@
     record::{Member, Record, Version},
     report::{Lease, Report},
 };
-use camphorwinch_wire::message::{Body, Frame, Hello, PROTOCOL, RecordPart, Update};
+use camphorwinch_wire::message::{Body, Frame, Hello, PROTOCOL_VERSION, RecordPart, Update};
 use prost::Message;
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair};
 
@@ -191,7 +191,7 @@
     let report = report_of(&fleet, "z1").unwrap();
     assert!(
         report.upstreams.is_empty() && report.balancers.is_empty(),
-        "the report in a lease is brief"
+        "the report in a lease is a summary"
     );
     wait_until("the full report is written", || {
         let object = fleet.platform.read("report", "z1");
@@ -199,7 +199,7 @@
         whole.is_some_and(|it| it.upstreams.iter().any(|it| it.name == "a1" && it.slots == 4))
     })
     .await;
-    assert!(report.changes.iter().any(|it| it.done_ms >= it.seen_ms && it.done_ms > 0));
+    assert!(report.changes.iter().any(|it| it.in_force_ms >= it.seen_ms && it.in_force_ms > 0));
     wait_until("the timeline is written", || {
         fleet.platform.read("timeline", "events-z2-0").is_some()
     })
@@ -273,23 +273,23 @@
 
 fn home_balancers(control: &Control) -> Vec<String> {
     match &control.inner.state.lock().own.role {
-        MemberRole::Agent { homes, .. } => homes.clone(),
+        MemberRole::Agent { balancers, .. } => balancers.clone(),
         MemberRole::Balancer { .. } => Vec::new(),
     }
 }
 
-// The first home balancer decides which zone reports the agent. The order must be updated when zones become known after
-// the links are up.
+// The first balancer in the list decides which zone reports the agent. The order must be updated when zones become
+// known after the links are up.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn home_balancers_are_reordered_when_their_zones_become_known() {
+async fn balancers_are_reordered_when_their_zones_become_known() {
     let fleet = Fleet::new().await;
     let _b1 = fleet.balancer("b1", "z1").await;
     let _b2 = fleet.balancer("b2", "z2").await;
     let a1 = fleet.agent("a1", "z1", "p").await;
     wait_until("linked to both balancers", || home_balancers(&a1) == ["b1", "b2"]).await;
     a1.inner.state.lock().announce(|role| {
-        if let MemberRole::Agent { homes, .. } = role {
-            homes.reverse();
+        if let MemberRole::Agent { balancers, .. } = role {
+            balancers.reverse();
         }
     });
     wait_until("the balancer of the own zone is first", || home_balancers(&a1) == ["b1", "b2"])
@@ -355,14 +355,14 @@
 }
 
 /// Connects as an agent that sends no heartbeats and keeps its link open.
-async fn connect_as_agent(fleet: &Fleet, home: &Control, agent: &Member) -> Stream {
+async fn connect_as_agent(fleet: &Fleet, home: &Control, agent: &Member) -> FramedStream {
     use futures::SinkExt;
 
     let tls = Tls::new(&fleet.pem).unwrap();
     let stream = TcpStream::connect(home.inner.common.control).await.unwrap();
     let mut frames = frame::frames(tls.connect(stream).await.unwrap());
     let hello = Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         purpose: Purpose::Agent as i32,
         name: agent.name().to_owned(),
         incarnation: agent.version.major,
@@ -392,12 +392,12 @@
         connections: 100,
         state: AgentState::Ready,
     };
-    let role = MemberRole::Agent { agent, homes: vec!["b1".to_owned()] };
+    let role = MemberRole::Agent { agent, balancers: vec!["b1".to_owned()] };
     let mut member = Member { version: Version::member(7, 0), since_ms: 0, role };
     let first = connect_as_agent(&fleet, &b1, &member).await;
     wait_until("ready", || state_in(&b1, "a1") == Some(AgentState::Ready)).await;
     wait_until("silent", || state_in(&b1, "a1") == Some(AgentState::Silent)).await;
-    assert!(AgentState::Silent.answers() && !AgentState::Silent.takes_work());
+    assert!(AgentState::Silent.is_alive() && !AgentState::Silent.takes_work());
     sleep(Duration::from_secs(4)).await;
     assert_eq!(state_in(&b1, "a1"), Some(AgentState::Silent), "not down within the grace period");
     member.version = Version::member(7, 2);
@@ -438,7 +438,7 @@
     snapshot.services.get(&ServiceId::new(name)).map(|it| it.spec.address.port())
 }
 
-// A restored platform reuses revisions. Without eras, processes ignored new changes and could not take leases.
+// A reset platform reuses revisions. Without eras, processes ignored new changes and could not take leases.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn changes_are_applied_after_the_platform_is_restored_from_a_backup() {
     let fleet = Fleet::new().await;
--- a/crates/daemon/src/control/tick.rs
+++ b/crates/daemon/src/control/tick.rs
@@ -3,14 +3,14 @@
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
 use camphorwinch_core::{
+    failure_detector::{
+        AGENT_GRACE_MS, BALANCER_GRACE_MS, ExpiredSuspect, ORPHAN_GRACE_MS, PAUSE_DETECTION_MS,
+        SILENT_GRACE_MS, Verdict,
+    },
     mesh,
     record::{Member, Record, Role},
-    suspect::{
-        AGENT_GRACE_MS, BALANCER_GRACE_MS, Finding, ORPHAN_GRACE_MS, PAUSE_MS, SILENT_GRACE_MS,
-        Verdict,
-    },
 };
-use camphorwinch_wire::message::{Beat, Body};
+use camphorwinch_wire::message::{Body, Heartbeat};
 use tokio::time::{MissedTickBehavior, interval};
 
 use crate::{
@@ -20,7 +20,7 @@
         peer::{LinkId, LinkKind},
         state::{State, mesh_peers, stamp, state_name},
     },
-    event::{self, About, Id},
+    event::{self, EventId, EventSubject},
 };
 
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
@@ -55,7 +55,7 @@
             () = inner.stop.cancelled() => return,
         }
         let now = now_ms();
-        let paused = now.saturating_sub(last) > PAUSE_MS;
+        let paused = now.saturating_sub(last) > PAUSE_DETECTION_MS;
         last = now;
         inner.tick(count, paused);
         inner.open_missing_links();
@@ -76,7 +76,7 @@
             send_next_digest(state, count / DIGEST_TICKS);
         }
         if count.is_multiple_of(PURGE_TICKS) {
-            state.view.forget(wall_ms());
+            state.view.purge_down_members(wall_ms());
         }
         if state.is_agent() {
             return;
@@ -115,22 +115,22 @@
     pub(crate) fn send_heartbeats(&self, mesh: bool) {
         let state = self.state.lock();
         let primary = match &state.own.role {
-            Role::Agent { homes, .. } => homes.first().cloned(),
+            Role::Agent { balancers, .. } => balancers.first().cloned(),
             Role::Balancer { .. } => None,
         };
         for link in state.links.values().filter(|it| mesh || it.kind != LinkKind::Mesh) {
-            let mut beat = Beat { stamp: Some(stamp()), ..Beat::default() };
+            let mut heartbeat = Heartbeat { stamp: Some(stamp()), ..Heartbeat::default() };
             if link.kind == LinkKind::Balancer {
-                beat.applied = state.applied;
-                beat.flows = state.load.flows;
-                beat.busy = state.load.busy;
-                beat.epochs.clone_from(&state.epochs);
-                beat.primary = primary.as_ref() == Some(&link.peer);
+                heartbeat.applied = state.applied;
+                heartbeat.flows = state.load.flows;
+                heartbeat.busy_slots = state.load.busy;
+                heartbeat.key_epochs.clone_from(&state.epochs);
+                heartbeat.primary = primary.as_ref() == Some(&link.peer);
             }
-            if beat.primary {
-                beat.events = take_event_batch();
+            if heartbeat.primary {
+                heartbeat.events = take_event_batch();
             }
-            link.send(Body::Beat(beat));
+            link.send(Body::Heartbeat(heartbeat));
         }
     }
 }
@@ -156,9 +156,11 @@
     let only_balancer = state.balancers().iter().all(|it| it.name == own);
     let connected = only_balancer || !state.links.is_empty();
     let view = &state.view;
-    let found = state.suspects.due(now, connected, |name| view.member(name).map(|it| it.version));
+    let found = state
+        .failure_detector
+        .take_expired(now, connected, |name| view.member(name).map(|it| it.version));
     let mut updates = Vec::new();
-    for Finding { name, verdict } in found {
+    for ExpiredSuspect { name, verdict } in found {
         let Some(member) = view.member(&name).filter(|it| !it.is_down()) else {
             continue;
         };
@@ -167,8 +169,8 @@
         }
         emit_member_failure(member, verdict);
         updates.push(match verdict {
-            Verdict::Silent => member.silent(wall_ms()),
-            Verdict::Dead => member.down(wall_ms()),
+            Verdict::Silent => member.as_silent(wall_ms()),
+            Verdict::Down => member.as_down(wall_ms()),
         });
     }
     updates
@@ -176,24 +178,24 @@
 
 /// Whether the member is an agent that other live balancers monitor and this one does not.
 pub(crate) fn is_monitored_elsewhere(state: &State, member: &Member) -> bool {
-    let Role::Agent { homes, .. } = &member.role else {
+    let Role::Agent { balancers, .. } = &member.role else {
         return false;
     };
     let own = state.own.name();
-    let alive = |home: &String| state.balancers().iter().any(|it| it.name == *home);
-    !homes.iter().any(|it| it == own) && homes.iter().any(alive)
+    let alive = |balancer: &String| state.balancers().iter().any(|it| it.name == *balancer);
+    !balancers.iter().any(|it| it == own) && balancers.iter().any(alive)
 }
 
 fn emit_member_failure(member: &Member, verdict: Verdict) {
     let leaving = state_name(&member.role) == "leaving";
     let (id, text) = match verdict {
-        Verdict::Dead if leaving => (Id::MemberChanged, "left"),
-        Verdict::Dead => (Id::MemberDown, "is down"),
-        Verdict::Silent => (Id::MemberChanged, "is silent and gets no new requests"),
+        Verdict::Down if leaving => (EventId::MemberChanged, "left"),
+        Verdict::Down => (EventId::MemberDown, "is down"),
+        Verdict::Silent => (EventId::MemberChanged, "is silent and gets no new requests"),
     };
     let about = match &member.role {
-        Role::Agent { agent, .. } => About::new().with_upstream(&agent.name),
-        Role::Balancer { .. } => About::new(),
+        Role::Agent { agent, .. } => EventSubject::new().with_upstream(&agent.name),
+        Role::Balancer { .. } => EventSubject::new(),
     };
     event::emit(id, about, &format!("{} {text}", member.name()));
 }
@@ -208,17 +210,18 @@
     let names: BTreeSet<&str> = alive.iter().map(|it| it.name.as_str()).collect();
     let mut suspected = Vec::new();
     for member in state.view.members() {
-        let Role::Agent { homes, .. } = &member.role else {
+        let Role::Agent { balancers, .. } = &member.role else {
             continue;
         };
         if member.is_down() || state.has_link(member.name()) {
             continue;
         }
-        if state_name(&member.role) == "silent" && homes.iter().any(|it| it == state.own.name()) {
+        if state_name(&member.role) == "silent" && balancers.iter().any(|it| it == state.own.name())
+        {
             suspected.push((member.name().to_owned(), member.version, now + SILENT_GRACE_MS));
             continue;
         }
-        let monitored = homes.iter().any(|home| names.contains(home.as_str()));
+        let monitored = balancers.iter().any(|it| names.contains(it.as_str()));
         if monitored || minority {
             continue;
         }
@@ -227,15 +230,15 @@
         suspected.push((member.name().to_owned(), member.version, due));
     }
     for (name, version, due) in suspected {
-        state.suspects.suspect(&name, version, due, Verdict::Dead);
+        state.failure_detector.suspect(&name, version, due, Verdict::Down);
     }
 }
 
 /// Grace period and verdict for the peer of a lost link, unless the peer announces itself again.
 pub(crate) fn grace_and_verdict(kind: LinkKind, silent: bool) -> (u64, Verdict) {
     match kind {
-        LinkKind::Mesh | LinkKind::Balancer => (BALANCER_GRACE_MS, Verdict::Dead),
+        LinkKind::Mesh | LinkKind::Balancer => (BALANCER_GRACE_MS, Verdict::Down),
         LinkKind::Agent if silent => (0, Verdict::Silent),
-        LinkKind::Agent => (AGENT_GRACE_MS, Verdict::Dead),
+        LinkKind::Agent => (AGENT_GRACE_MS, Verdict::Down),
     }
 }
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -7,7 +7,7 @@
     sync::{Mutex, MutexGuard, PoisonError},
 };
 
-use camphorwinch_core::timeline::{Event, Hlc, Stamp};
+use camphorwinch_core::timeline::{Event, Hlc, HlcTimestamp};
 
 use crate::clock::wall_ms;
 
@@ -28,27 +28,27 @@
         /// Kind of an event.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         #[allow(dead_code, reason = "roles emit different kinds")]
-        pub(crate) enum Id {
+        pub(crate) enum EventId {
             $(#[doc = $meaning] $variant = $id,)*
         }
 
-        impl Id {
+        impl EventId {
             #[cfg(test)]
-            pub(crate) const ALL: &[Id] = &[$(Id::$variant,)*];
+            pub(crate) const ALL: &[EventId] = &[$(EventId::$variant,)*];
 
             /// Name in the catalogue.
             pub(crate) fn name(self) -> &'static str {
-                match self { $(Id::$variant => $name,)* }
+                match self { $(EventId::$variant => $name,)* }
             }
 
             pub(crate) fn level(self) -> Level {
-                match self { $(Id::$variant => Level::$level,)* }
+                match self { $(EventId::$variant => Level::$level,)* }
             }
 
             /// Meaning in the catalogue.
             #[cfg(test)]
             pub(crate) fn meaning(self) -> &'static str {
-                match self { $(Id::$variant => $meaning,)* }
+                match self { $(EventId::$variant => $meaning,)* }
             }
         }
     };
@@ -95,7 +95,7 @@
 
 /// Optional context of an event.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct About {
+pub(crate) struct EventSubject {
     service: Option<String>,
     flow: Option<String>,
     request: Option<String>,
@@ -103,32 +103,32 @@
 }
 
 #[allow(dead_code, reason = "roles emit different kinds")]
-impl About {
+impl EventSubject {
     /// Empty context: the event concerns the process itself.
-    pub(crate) fn new() -> About {
-        About::default()
+    pub(crate) fn new() -> EventSubject {
+        EventSubject::default()
     }
 
     /// Sets the service.
-    pub(crate) fn with_service(mut self, name: &str) -> About {
+    pub(crate) fn with_service(mut self, name: &str) -> EventSubject {
         self.service = Some(name.to_owned());
         self
     }
 
     /// Sets the flow.
-    pub(crate) fn with_flow(mut self, flow: &str) -> About {
+    pub(crate) fn with_flow(mut self, flow: &str) -> EventSubject {
         self.flow = Some(flow.to_owned());
         self
     }
 
     /// Sets the request.
-    pub(crate) fn with_request(mut self, request: &str) -> About {
+    pub(crate) fn with_request(mut self, request: &str) -> EventSubject {
         self.request = Some(request.to_owned());
         self
     }
 
     /// Sets the upstream.
-    pub(crate) fn with_upstream(mut self, name: &str) -> About {
+    pub(crate) fn with_upstream(mut self, name: &str) -> EventSubject {
         self.upstream = Some(name.to_owned());
         self
     }
@@ -162,14 +162,14 @@
 }
 
 /// Records and logs an event.
-pub(crate) fn emit(id: Id, about: About, text: &str) {
+pub(crate) fn emit(id: EventId, about: EventSubject, text: &str) {
     let event = recorder().record(id, about, text);
     log(id.level(), &event);
 }
 
 /// Records and logs an event without sending it to the timeline. For events that every process emits at the same time;
 /// the zone's lease holder emits one for all.
-pub(crate) fn emit_local(id: Id, about: About, text: &str) {
+pub(crate) fn emit_local(id: EventId, about: EventSubject, text: &str) {
     let event = recorder().record_local(id, about, text);
     log(id.level(), &event);
 }
@@ -202,18 +202,18 @@
 
 /// Current stamp for a message to another process.
 #[allow(dead_code, reason = "used by the control plane")]
-pub(crate) fn stamp() -> Stamp {
+pub(crate) fn stamp() -> HlcTimestamp {
     recorder().clock.tick(wall_ms())
 }
 
 /// Updates the clock from a peer's stamp; returns false if the stamp is too far ahead.
 #[allow(dead_code, reason = "used by the control plane")]
-pub(crate) fn observe_stamp(stamp: Stamp) -> bool {
+pub(crate) fn observe_stamp(stamp: HlcTimestamp) -> bool {
     recorder().clock.observe(wall_ms(), stamp)
 }
 
 impl Recorder {
-    fn record(&mut self, id: Id, about: About, text: &str) -> Event {
+    fn record(&mut self, id: EventId, about: EventSubject, text: &str) -> Event {
         let event = self.record_local(id, about, text);
         self.pending.push_back(event.clone());
         self.trim();
@@ -221,7 +221,7 @@
     }
 
     /// Records an event without queueing it for the timeline.
-    fn record_local(&mut self, id: Id, about: About, text: &str) -> Event {
+    fn record_local(&mut self, id: EventId, about: EventSubject, text: &str) -> Event {
         let event = Event {
             stamp: self.clock.tick(wall_ms()),
             process: self.process.clone(),
--- a/crates/daemon/src/event/tests.rs
+++ b/crates/daemon/src/event/tests.rs
@@ -2,7 +2,7 @@
 
 const CATALOGUE: &str = include_str!("../../../../docs/EVENTS.md");
 
-fn row(id: Id) -> String {
+fn row(id: EventId) -> String {
     let level = match id.level() {
         Level::Info => "info",
         Level::Warn => "warn",
@@ -13,7 +13,7 @@
 
 #[test]
 fn event_catalogue_matches_the_docs() {
-    let expected: Vec<String> = Id::ALL.iter().map(|&it| row(it)).collect();
+    let expected: Vec<String> = EventId::ALL.iter().map(|&it| row(it)).collect();
     let starts_with_number =
         |line: &&str| line.starts_with("| ") && line.as_bytes()[2].is_ascii_digit();
     // The section on opaque flows is checked by the tests of that crate.
@@ -33,10 +33,10 @@
         dropped: 0,
     };
     for _ in 0..MAX_PENDING_EVENTS + 5 {
-        recorder.record(Id::LinkUp, About::new(), "");
+        recorder.record(EventId::LinkUp, EventSubject::new(), "");
     }
     assert_eq!(recorder.pending.len(), MAX_PENDING_EVENTS);
     assert_eq!(recorder.dropped, 5);
-    let stamps: Vec<Stamp> = recorder.recent.iter().map(|it| it.stamp).collect();
+    let stamps: Vec<HlcTimestamp> = recorder.recent.iter().map(|it| it.stamp).collect();
     assert!(stamps.is_sorted());
 }
--- a/crates/daemon/src/lease.rs
+++ b/crates/daemon/src/lease.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use camphorwinch_core::{
-    lease::{Attempt, Keeper, LEASES, RENEW_MS, Term},
+    lease::{LEASES_PER_ZONE, LeaseClient, LeaseTerm, LeaseWrite, RENEW_INTERVAL_MS},
     mesh,
     object::{Kind, Object},
     record::Role,
@@ -18,7 +18,7 @@
     clock::{now_ms, wall_ms},
     config_watch,
     control::{Inner, state::mesh_peers},
-    event::{self, About, Id},
+    event::{self, EventId, EventSubject},
     platform::PutOutcome,
     report::{self, Detail},
     report_writer::ReportWriter,
@@ -52,7 +52,7 @@
 
 struct LeaseTask {
     inner: Arc<Inner>,
-    keeper: Keeper,
+    client: LeaseClient,
     zone: String,
     last_write_ms: u64,
     last_check_ms: Option<u64>,
@@ -68,10 +68,10 @@
 impl LeaseTask {
     fn new(inner: Arc<Inner>) -> LeaseTask {
         let zone = inner.common.place.zone.clone();
-        let keeper = Keeper::new(&inner.common.name);
+        let client = LeaseClient::new(&inner.common.name);
         LeaseTask {
             inner,
-            keeper,
+            client,
             zone,
             last_write_ms: 0,
             last_check_ms: None,
@@ -83,39 +83,40 @@
         }
     }
 
-    /// Resets the lease state after the platform was restored from a backup.
-    fn detect_restore(&mut self) {
+    /// Resets the lease state after a reset of the platform.
+    fn detect_reset(&mut self) {
         let era = self.inner.platform.era();
         let known = std::mem::replace(&mut self.era, era);
         if known.is_some() && known < era {
-            self.keeper.reset(now_ms());
+            self.client.handle_reset(now_ms());
         }
     }
 
     async fn step(&mut self) {
-        self.detect_restore();
-        match self.keeper.renew(now_ms()) {
-            Some(attempt) => self.renew(attempt).await,
+        self.detect_reset();
+        match self.client.renew(now_ms()) {
+            Some(write) => self.renew(write).await,
             None => self.try_acquire().await,
         }
         self.apply_lease_change();
-        if self.keeper.holds(now_ms()).is_some() {
+        if self.client.holds(now_ms()).is_some() {
             self.write_objects().await;
         }
     }
 
-    async fn renew(&mut self, attempt: Attempt) {
+    async fn renew(&mut self, write: LeaseWrite) {
         let since = now_ms().saturating_sub(self.last_write_ms);
         if since < MIN_WRITE_INTERVAL_MS {
             return;
         }
-        let report = report::current(&self.inner, Detail::Brief).map(|it| it.brief());
-        if since < RENEW_MS && !has_changed(report.as_ref(), self.written_report.as_ref()) {
+        let report = report::current(&self.inner, Detail::Summary).map(|it| it.summary());
+        if since < RENEW_INTERVAL_MS && !has_changed(report.as_ref(), self.written_report.as_ref())
+        {
             return;
         }
         self.emit_zone_in_force(report.as_ref());
         self.written_report.clone_from(&report);
-        self.write(attempt, report).await;
+        self.write(write, report).await;
     }
 
     /// Emits an event when a revision is in force in the whole zone. The timeline has this event instead of one event
@@ -126,26 +127,31 @@
             return;
         };
         let text = format!("revision {} in zone {}", report.in_force, self.zone);
-        event::emit(Id::ZoneInForce, About::new(), &text);
+        event::emit(EventId::ZoneInForce, EventSubject::new(), &text);
     }
 
-    async fn write(&mut self, attempt: Attempt, report: Option<Report>) {
-        let name = Lease::name(&self.zone, attempt.number);
+    async fn write(&mut self, write: LeaseWrite, report: Option<Report>) {
+        let name = Lease::name(&self.zone, write.number);
         let lease = Lease {
-            holder: attempt.term.holder.clone(),
+            holder: write.term.holder.clone(),
             control: self.inner.common.control.to_string(),
-            taken_ms: attempt.term.taken_ms,
+            taken_ms: write.term.acquired_ms,
             report,
         };
         self.last_write_ms = now_ms();
-        match self.inner.platform.put(Kind::Lease, &name, attempt.base, &json!(lease)).await {
+        match self
+            .inner
+            .platform
+            .put(Kind::Lease, &name, write.expected_version, &json!(lease))
+            .await
+        {
             Ok(PutOutcome::Done(object)) => {
-                self.keeper.written(now_ms(), &attempt, object.version);
+                self.client.confirm_write(now_ms(), &write, object.version);
             }
-            Ok(PutOutcome::Conflict(current)) => self.observe(attempt.number, current),
+            Ok(PutOutcome::Conflict(current)) => self.observe(write.number, current),
             Err(e) => {
                 self.inner.platform_failed(&e);
-                self.read(attempt.number).await;
+                self.read(write.number).await;
             }
         }
     }
@@ -154,8 +160,8 @@
         let version = object.as_ref().map_or(0, |it| it.version);
         let spec = object.map(|it| it.spec).unwrap_or_default();
         let lease: Lease = serde_json::from_value(spec).unwrap_or_default();
-        let term = Term { holder: lease.holder, taken_ms: lease.taken_ms };
-        self.keeper.observe(now_ms(), number, version, term);
+        let term = LeaseTerm { holder: lease.holder, acquired_ms: lease.taken_ms };
+        self.client.observe(now_ms(), number, version, term);
     }
 
     async fn read(&mut self, number: u8) -> bool {
@@ -182,19 +188,19 @@
             return;
         }
         self.last_check_ms = Some(now);
-        for number in 0..LEASES {
+        for number in 0..LEASES_PER_ZONE {
             if !self.read(number).await {
                 return;
             }
         }
-        let Some(attempt) = self.keeper.take(now_ms(), wall_ms()) else {
+        let Some(write) = self.client.try_acquire(now_ms(), wall_ms()) else {
             return;
         };
-        self.write(attempt, None).await;
+        self.write(write, None).await;
     }
 
     fn check_interval_ms(&self) -> u64 {
-        if self.keeper.last().is_some() {
+        if self.client.last_held().is_some() {
             return MIN_WRITE_INTERVAL_MS;
         }
         let state = self.inner.state.lock();
@@ -204,7 +210,7 @@
         for member in state.view.members().filter(|it| it.zone() == self.zone) {
             held += u8::from(matches!(member.role, Role::Balancer { lease: Some(_), .. }));
         }
-        if held >= LEASES {
+        if held >= LEASES_PER_ZONE {
             return CHECK_INTERVAL_MS;
         }
         let rank = mesh::rank(&self.zone, state.own.name(), &mesh_peers(&in_zone)) as u64;
@@ -213,22 +219,22 @@
 
     /// Updates the announcement and the tasks of a holder after the lease was taken or lost.
     fn apply_lease_change(&mut self) {
-        let held = self.keeper.holds(now_ms());
+        let held = self.client.holds(now_ms());
         let before = self.inner.set_lease(held);
         match (before, held) {
             (None, Some(n)) => {
                 self.written_report = None;
-                event::emit(Id::SeedTaken, About::new(), &Lease::name(&self.zone, n));
+                event::emit(EventId::SeedTaken, EventSubject::new(), &Lease::name(&self.zone, n));
             }
             (Some(n), None) => {
                 self.timeline_writer = None;
                 self.report_writer = None;
-                event::emit(Id::SeedLost, About::new(), &Lease::name(&self.zone, n));
+                event::emit(EventId::SeedLost, EventSubject::new(), &Lease::name(&self.zone, n));
             }
             _ => {}
         }
         // The watch only reads, so it continues after the lease expired until another holder is known.
-        match (&self.watch, self.keeper.last()) {
+        match (&self.watch, self.client.last_held()) {
             (None, Some(_)) => {
                 let token = self.inner.stop.child_token();
                 tokio::spawn(config_watch::run(Arc::clone(&self.inner), token.clone()));
@@ -271,7 +277,7 @@
                 }
             },
         };
-        writer.write(inner, || self.keeper.holds(now_ms()).is_some()).await
+        writer.write(inner, || self.client.holds(now_ms()).is_some()).await
     }
 
     async fn write_report(&self, writer: Option<ReportWriter>) -> Option<ReportWriter> {
@@ -289,7 +295,7 @@
                 }
             },
         };
-        let held = self.keeper.holds(now_ms()).is_some();
+        let held = self.client.holds(now_ms()).is_some();
         if held { writer.write(&self.inner, report).await } else { None }
     }
 
@@ -297,8 +303,8 @@
         if let Some(token) = self.watch.take() {
             token.cancel();
         }
-        if let Some(attempt) = self.keeper.release(now_ms()) {
-            self.write(attempt, None).await;
+        if let Some(write) = self.client.release(now_ms()) {
+            self.write(write, None).await;
         }
     }
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -28,7 +28,7 @@
 
 /// Registers the histogram `camphorwinch_<name>`, in seconds.
 #[allow(dead_code, reason = "used by the data paths")]
-pub(crate) fn seconds(name: &str, help: &str) -> Histogram {
+pub(crate) fn histogram(name: &str, help: &str) -> Histogram {
     let buckets =
         prometheus::exponential_buckets(0.000_1, 2.0, 20).expect("the arguments are constants");
     let opts = HistogramOpts::new(format!("camphorwinch_{name}"), help).buckets(buckets);
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -26,7 +26,7 @@
 };
 
 use crate::{
-    event::{self, About, Id},
+    event::{self, EventId, EventSubject},
     metrics,
 };
 
@@ -48,7 +48,7 @@
     /// No response, or a server error. The outcome of a write is unknown.
     #[error("{operation} at the platform {peer}: {reason}")]
     Unavailable { operation: String, peer: SocketAddr, reason: String },
-    /// The requested events were discarded, or the platform was restored from a backup.
+    /// The requested events were discarded, or the platform was reset.
     #[error("{operation} at the platform {peer}: the revision is too old")]
     TooOld { operation: String, peer: SocketAddr },
     /// The platform rejected the call.
@@ -209,7 +209,7 @@
         let path = format!("/v1/objects/{kind}/{name}");
         let base = Revision::unpacked(base);
         if base.number > 0 && Some(base.era) < self.era() {
-            // After a restore, another writer's object may have the same version number.
+            // After a reset, another writer's object may have the same version number.
             return Ok(PutOutcome::Conflict(self.get(kind, name).await?));
         }
         let writer_id = format!("{:032x}", rand::rng().random::<u128>());
@@ -222,8 +222,7 @@
             let call = self.call(&operation, Method::PUT, &path, Some(body.clone()), CALL_TIMEOUT);
             match call.await {
                 Ok(response) if base.number > 0 && response.era != base.era => {
-                    let reason =
-                        "the platform was restored from a backup during the write".to_owned();
+                    let reason = "the platform was reset during the write".to_owned();
                     return Err(self.unavailable(&operation, reason));
                 }
                 Ok(response) => {
@@ -254,7 +253,11 @@
         let own = error_body.current.as_ref().is_some_and(|it| it.writer == writer_id);
         match error_body.current {
             Some(current) if own && response_lost => {
-                event::emit(Id::WriteSettled, About::new(), &format!("{operation}: took effect"));
+                event::emit(
+                    EventId::WriteSettled,
+                    EventSubject::new(),
+                    &format!("{operation}: took effect"),
+                );
                 Ok(PutOutcome::Done(current))
             }
             current => Ok(PutOutcome::Conflict(current)),
@@ -321,8 +324,8 @@
             raised
         });
         if let Some(before) = before.filter(|it| *it < era) {
-            let text = format!("the platform was restored from a backup: era {before} to {era}");
-            event::emit(Id::PlatformReset, About::new(), &text);
+            let text = format!("the platform was reset: era {before} to {era}");
+            event::emit(EventId::PlatformReset, EventSubject::new(), &text);
         }
     }
 
--- a/crates/daemon/src/platform/fake.rs
+++ b/crates/daemon/src/platform/fake.rs
@@ -31,7 +31,7 @@
     skip_events: bool,
 }
 
-/// Stored data, replaced by a restore.
+/// Stored data, replaced by a reset.
 #[derive(Clone, Default)]
 struct Data {
     revision: u64,
@@ -88,7 +88,7 @@
         store.backup = store.data.clone();
     }
 
-    /// Restores the backup in a new era: later writes are lost and their revisions are reused.
+    /// Resets the store to the backup in a new era: later writes are lost and their revisions are reused.
     pub(crate) fn restore_backup(&self) {
         let mut store = self.store.lock().unwrap();
         store.data = store.backup.clone();
--- a/crates/daemon/src/platform/tests.rs
+++ b/crates/daemon/src/platform/tests.rs
@@ -62,7 +62,7 @@
     assert!(response.revision > after.revision);
 }
 
-// A watch that continues across a restore would miss objects written at lower revision numbers.
+// A watch that continues across a reset would miss objects written at lower revision numbers.
 #[tokio::test]
 async fn a_watch_from_a_revision_of_an_earlier_era_is_too_old() {
     let (fake, platform) = start().await;
@@ -76,7 +76,7 @@
     assert!(matches!(response, Err(PlatformError::TooOld { .. })), "{response:?}");
 }
 
-// After a restore, another writer's object can have the same version. Two processes then held one lease.
+// After a reset, another writer's object can have the same version. Two processes then held one lease.
 #[tokio::test]
 async fn a_write_based_on_an_earlier_era_is_a_conflict() {
     let (fake, platform) = start().await;
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -14,7 +14,7 @@
 use arc_swap::ArcSwap;
 use camphorwinch_core::{place::Placer, snapshot::Snapshot};
 use camphorwinch_relay::{
-    outcome::{Outcome, Tally},
+    outcome::{Outcome, OutcomeCounters},
     relay::Shared,
     socket,
     worker::Worker,
@@ -58,7 +58,7 @@
     /// Starts the workers, without sockets for callers until the first snapshot.
     pub(crate) fn new(config: &BalanceConfig) -> anyhow::Result<Relay> {
         let placer = ArcSwap::from_pointee(Placer::new(&Snapshot::default(), None, now_ms()));
-        let shared = Arc::new(Shared { placer, tally: Tally::default() });
+        let shared = Arc::new(Shared { placer, counters: OutcomeCounters::default() });
         let start = |number: usize| -> io::Result<Worker> {
             let data = socket::bind(config.data)?;
             Worker::new(&format!("relay-{number}"), data, Arc::clone(&shared))
@@ -131,7 +131,7 @@
 
     fn export_counters(&mut self) {
         for outcome in Outcome::all() {
-            let count = self.shared.tally.get(outcome);
+            let count = self.shared.counters.get(outcome);
             let new = count - self.exported[outcome.index()];
             PACKETS.with_label_values(&[outcome.as_str()]).inc_by(new);
             self.exported[outcome.index()] = count;
@@ -142,7 +142,7 @@
     pub(crate) async fn drain(mut self, control: &Control) {
         let shared = self.shared();
         tokio::select! {
-            () = wait_until_quiet(&shared.tally) => {}
+            () = wait_until_quiet(&shared.counters) => {}
             () = self.run(control) => {}
         }
         self.export_counters();
@@ -153,26 +153,26 @@
 }
 
 /// Waits for [`QUIET_PERIOD`] without datagrams, at most [`LEAVE_TIMEOUT`].
-async fn wait_until_quiet(tally: &Tally) {
+async fn wait_until_quiet(counters: &OutcomeCounters) {
     let started = Instant::now();
     let mut changed = started;
-    let mut last = received_datagrams(tally);
+    let mut last = received_datagrams(counters);
     while started.elapsed() < LEAVE_TIMEOUT && changed.elapsed() < QUIET_PERIOD {
         sleep(QUIET_PERIOD / 20).await;
-        let now = received_datagrams(tally);
+        let now = received_datagrams(counters);
         if now != last {
             (changed, last) = (Instant::now(), now);
         }
     }
 }
 
-fn received_datagrams(tally: &Tally) -> u64 {
-    Outcome::all().map(|it| tally.get(it)).sum()
+fn received_datagrams(counters: &OutcomeCounters) -> u64 {
+    Outcome::all().map(|it| counters.get(it)).sum()
 }
 
 /// State of the packet path for the operator address.
 pub(crate) fn status(shared: &Shared) -> Value {
-    let count = |it: Outcome| (it.as_str().to_owned(), json!(shared.tally.get(it)));
+    let count = |it: Outcome| (it.as_str().to_owned(), json!(shared.counters.get(it)));
     let packets: serde_json::Map<String, Value> = Outcome::all().map(count).collect();
     let placer = shared.placer.load();
     let addresses: Vec<SocketAddr> = placer.listeners().keys().copied().collect();
--- a/crates/daemon/src/relay/sockets.rs
+++ b/crates/daemon/src/relay/sockets.rs
@@ -5,13 +5,13 @@
 use camphorwinch_core::{object::ServiceId, place::Placer, snapshot::Snapshot};
 use camphorwinch_relay::{
     socket,
-    worker::{Intake, Worker},
+    worker::{IngressSocket, Worker},
 };
 use tokio::sync::oneshot;
 
 use crate::{
     config::AddressMode,
-    event::{self, About, Id},
+    event::{self, EventId, EventSubject},
 };
 
 /// Open sockets by bind address.
@@ -133,7 +133,11 @@
     fn report_failed(&self, desired: &DesiredSocket, reason: String) -> String {
         if self.failed.get(&desired.address) != Some(&reason) {
             let text = format!("{} is not served: {reason}", desired.address);
-            event::emit(Id::ServiceBindFailed, About::new().with_service(&desired.name), &text);
+            event::emit(
+                EventId::ServiceBindFailed,
+                EventSubject::new().with_service(&desired.name),
+                &text,
+            );
         }
         reason
     }
@@ -154,14 +158,22 @@
     fn report_opened(&self) {
         if self.service.is_some() {
             let text = format!("listening on {}", self.address);
-            event::emit(Id::ServiceOpened, About::new().with_service(&self.name), &text);
+            event::emit(
+                EventId::ServiceOpened,
+                EventSubject::new().with_service(&self.name),
+                &text,
+            );
         }
     }
 
     fn report_closed(&self) {
         if self.service.is_some() {
             let text = format!("stopped accepting new flows on {}", self.address);
-            event::emit(Id::ServiceClosed, About::new().with_service(&self.name), &text);
+            event::emit(
+                EventId::ServiceClosed,
+                EventSubject::new().with_service(&self.name),
+                &text,
+            );
         }
     }
 }
@@ -175,7 +187,7 @@
     for worker in workers {
         let socket = socket::bind(bind)?;
         let (closer, closed) = oneshot::channel();
-        if !worker.open(Intake { address, socket, closed }) {
+        if !worker.add_socket(IngressSocket { address, socket, closed }) {
             return Err(io::Error::other("the worker has stopped"));
         }
         closers.push(closer);
--- a/crates/daemon/src/relay/tests.rs
+++ b/crates/daemon/src/relay/tests.rs
@@ -13,7 +13,7 @@
     place::Placer,
     snapshot::{ServiceEntry, Snapshot},
 };
-use camphorwinch_relay::{outcome::Tally, relay::Shared, socket, worker::Worker};
+use camphorwinch_relay::{outcome::OutcomeCounters, relay::Shared, socket, worker::Worker};
 
 use super::sockets::Sockets;
 use crate::config::AddressMode;
@@ -60,7 +60,10 @@
         let data = socket::bind(loopback(0)).expect("bind");
         let address = data.local_addr().expect("an address");
         let placer = || Placer::new(&Snapshot::default(), None, 0);
-        let shared = Shared { placer: ArcSwap::from_pointee(placer()), tally: Tally::default() };
+        let shared = Shared {
+            placer: ArcSwap::from_pointee(placer()),
+            counters: OutcomeCounters::default(),
+        };
         let worker = Worker::new("test", data, Arc::new(shared)).expect("start");
         let sockets = Sockets::new(mode, address);
         Fixture { sockets, workers: vec![worker], placer: placer() }
@@ -108,7 +111,7 @@
     assert!(fixture.reconcile(&[("ledger", ledger)], 0));
     assert!(fixture.reconcile(&[], 1));
     assert!(is_bound(loopback(port)));
-    assert!(fixture.reconcile(&[], 1 + camphorwinch_core::place::FORMER_MS));
+    assert!(fixture.reconcile(&[], 1 + camphorwinch_core::place::REMOVED_SERVICE_TTL_MS));
     let deadline = Instant::now() + TIMEOUT;
     while is_bound(loopback(port)) {
         assert!(Instant::now() < deadline, "the socket is still open");
--- a/crates/daemon/src/report.rs
+++ b/crates/daemon/src/report.rs
@@ -10,7 +10,7 @@
 use camphorwinch_core::{
     member::{Agent, AgentState, Balancer, BalancerState},
     record::{Member, Role},
-    report::{Applied, BalancerStatus, Behind, Report, State as Status, UpstreamStatus},
+    report::{BalancerStatus, LaggingProcess, MemberState, Report, RevisionTiming, UpstreamStatus},
     snapshot::Snapshot,
 };
 use camphorwinch_wire::message::{self, AgentReport, Body};
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Detail {
     /// Revisions in force; of bounded size.
-    Brief,
+    Summary,
     /// Additionally the state of each upstream and balancer.
     Full,
 }
@@ -60,7 +60,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Reports {
     processes: BTreeMap<String, ProcessStatus>,
-    changes: VecDeque<Applied>,
+    changes: VecDeque<RevisionTiming>,
     /// Since when this process builds the zone's report.
     since_ms: Option<u64>,
 }
@@ -75,8 +75,8 @@
             let agent = ProcessStatus {
                 applied: it.applied,
                 flows: it.flows,
-                busy: it.busy,
-                epochs: it.epochs.clone(),
+                busy: it.busy_slots,
+                epochs: it.key_epochs.clone(),
                 received_ms: now,
             };
             self.processes.insert(it.name.clone(), agent);
@@ -108,7 +108,9 @@
             report.processes += 1;
             report.in_force = report.in_force.min(applied);
             if applied < known {
-                report.behind.push(Behind { name: member.name().to_owned(), in_force: applied });
+                report
+                    .behind
+                    .push(LaggingProcess { name: member.name().to_owned(), in_force: applied });
             }
         }
         report.lagging = report.behind.len() as u32;
@@ -121,20 +123,24 @@
         let known = state.view.revision();
         let newest = self.changes.back().map_or(0, |it| it.revision);
         if known > newest {
-            self.changes.push_back(Applied { revision: known, seen_ms: wall, done_ms: 0 });
+            self.changes.push_back(RevisionTiming {
+                revision: known,
+                seen_ms: wall,
+                in_force_ms: 0,
+            });
         }
         while self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
-        if self.changes.iter().all(|it| it.done_ms > 0) {
+        if self.changes.iter().all(|it| it.in_force_ms > 0) {
             return;
         }
         let members = state.view.members().filter(|it| belongs_to(it, zone, state));
         let applied = members.filter_map(|it| self.applied(it, known, wall));
         let in_force = applied.min().unwrap_or(known);
         for change in &mut self.changes {
-            if change.done_ms == 0 && change.revision <= in_force {
-                change.done_ms = wall;
+            if change.in_force_ms == 0 && change.revision <= in_force {
+                change.in_force_ms = wall;
             }
         }
     }
@@ -175,33 +181,33 @@
     }
 }
 
-/// Whether a member belongs to the report of `zone`: a balancer by its own zone, an agent by the zone of its first home
+/// Whether a member belongs to the report of `zone`: a balancer by its own zone, an agent by the zone of its first
 /// balancer, or by its own zone without one.
 fn belongs_to(member: &Member, zone: &str, state: &State) -> bool {
-    let Role::Agent { homes, .. } = &member.role else {
+    let Role::Agent { balancers, .. } = &member.role else {
         return member.zone() == zone;
     };
-    let home = homes.first().and_then(|it| state.view.member(it));
-    home.map_or(member.zone(), Member::zone) == zone
+    let balancer = balancers.first().and_then(|it| state.view.member(it));
+    balancer.map_or(member.zone(), Member::zone) == zone
 }
 
-fn agent_status(agent: &Agent, snapshot: &Snapshot) -> Status {
-    let drained = snapshot.drains(&agent.name, &agent.place.vm, &agent.place.zone);
+fn agent_status(agent: &Agent, snapshot: &Snapshot) -> MemberState {
+    let drained = snapshot.is_draining(&agent.name, &agent.place.vm, &agent.place.zone);
     match agent.state {
-        AgentState::Ready if drained => Status::Draining,
-        AgentState::Ready => Status::Ready,
-        AgentState::Draining => Status::Draining,
-        AgentState::Leaving => Status::Leaving,
-        AgentState::Silent | AgentState::Down => Status::Down,
-        AgentState::Starting => Status::Other,
+        AgentState::Ready if drained => MemberState::Draining,
+        AgentState::Ready => MemberState::Ready,
+        AgentState::Draining => MemberState::Draining,
+        AgentState::Leaving => MemberState::Leaving,
+        AgentState::Silent | AgentState::Down => MemberState::Down,
+        AgentState::Starting => MemberState::Other,
     }
 }
 
-fn balancer_status(balancer: &Balancer) -> Status {
+fn balancer_status(balancer: &Balancer) -> MemberState {
     match balancer.state {
-        BalancerState::Ready => Status::Ready,
-        BalancerState::Leaving => Status::Leaving,
-        BalancerState::Down => Status::Down,
+        BalancerState::Ready => MemberState::Ready,
+        BalancerState::Leaving => MemberState::Leaving,
+        BalancerState::Down => MemberState::Down,
     }
 }
 
@@ -304,8 +310,8 @@
             name: name.clone(),
             applied: it.applied,
             flows: it.load.flows,
-            busy: it.load.busy,
-            epochs: it.epochs.clone(),
+            busy_slots: it.load.busy,
+            key_epochs: it.epochs.clone(),
         });
     }
     report
--- a/crates/daemon/src/violations.rs
+++ b/crates/daemon/src/violations.rs
@@ -5,7 +5,7 @@
 use camphorwinch_core::invariant::{self, Invariant};
 use tokio::time::{MissedTickBehavior, interval};
 
-use crate::event::{self, About, Id};
+use crate::event::{self, EventId, EventSubject};
 
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -42,8 +42,8 @@
         ticks.tick().await;
         for (invariant, times) in reported.take_new(invariant::violations) {
             event::emit(
-                Id::InvariantViolated,
-                About::new(),
+                EventId::InvariantViolated,
+                EventSubject::new(),
                 &format!("{invariant}, {times} times"),
             );
         }
--- a/crates/relay/benches/relay/load.rs
+++ b/crates/relay/benches/relay/load.rs
@@ -15,7 +15,7 @@
 use arc_swap::ArcSwap;
 use camphorwinch_core::place::Placer;
 use camphorwinch_relay::{
-    outcome::Tally,
+    outcome::OutcomeCounters,
     relay::{Relay, Shared},
     socket::{self, Socket},
 };
@@ -129,7 +129,7 @@
     runtime.block_on(async {
         let placer = Placer::new(&common::snapshot(address, agents), None, 0);
         let placer = ArcSwap::from_pointee(placer);
-        let shared = Arc::new(Shared { placer, tally: Tally::default() });
+        let shared = Arc::new(Shared { placer, counters: OutcomeCounters::default() });
         let mut path = if placed {
             Path::Placed(Relay::new(open(), Arc::clone(&shared)))
         } else {
@@ -145,7 +145,7 @@
         }
         let count = match &path {
             Path::Bare(it) => it.sent,
-            Path::Placed(_) => shared.tally.relayed(),
+            Path::Placed(_) => shared.counters.total_sent(),
         };
         sent.store(count, Ordering::Relaxed);
     });
--- a/crates/relay/benches/relay/main.rs
+++ b/crates/relay/benches/relay/main.rs
@@ -20,7 +20,7 @@
 use arc_swap::ArcSwap;
 use camphorwinch_core::place::Placer;
 use camphorwinch_relay::{
-    outcome::Tally,
+    outcome::OutcomeCounters,
     relay::{Relay, Shared},
     socket::Socket,
 };
@@ -57,7 +57,7 @@
         let data: Vec<SocketAddr> = agents.iter().map(address).collect();
         let placer = Placer::new(&common::snapshot(service_address, &data), None, 0);
         let placer = ArcSwap::from_pointee(placer);
-        let shared = Arc::new(Shared { placer, tally: Tally::default() });
+        let shared = Arc::new(Shared { placer, counters: OutcomeCounters::default() });
         drop(guard);
         let drain_buffers = buffers();
         TestBed {
--- a/crates/relay/src/batch.rs
+++ b/crates/relay/src/batch.rs
@@ -6,13 +6,13 @@
     candidates::Candidates,
     object::ServiceId,
     packet::same_flow,
-    place::{Listener, Placement, Placer, Refusal},
+    place::{DropReason, Listener, Placement, Placer},
     seal::KeyRing,
 };
 use camphorwinch_wire::encap::{Encoder, Header, MAX_PAYLOAD_BYTES};
 use quinn_udp::{EcnCodepoint, RecvMeta, Transmit};
 
-use crate::outcome::{Outcome, Tally};
+use crate::outcome::{Outcome, OutcomeCounters};
 
 /// Largest number of bytes sent in one system call.
 const MAX_TRANSMIT_BYTES: usize = 65_000;
@@ -62,7 +62,7 @@
         for (buffer, meta) in metas.iter().enumerate() {
             let bytes = &buffers[buffer].as_ref()[..meta.len];
             if bytes.is_empty() {
-                self.counts[Outcome::Refused(Refusal::Garbage).index()] += 1;
+                self.counts[Outcome::Refused(DropReason::Garbage).index()] += 1;
                 continue;
             }
             let stride = meta.stride.max(1);
@@ -113,12 +113,12 @@
         sender.flush();
     }
 
-    /// Adds the counts since the last call to `tally`.
-    pub fn record_counts(&mut self, tally: &Tally) {
+    /// Adds the counts since the last call to `counters`.
+    pub fn record_counts(&mut self, counters: &OutcomeCounters) {
         for outcome in Outcome::all() {
             let count = std::mem::take(&mut self.counts[outcome.index()]);
             if count > 0 {
-                tally.add(outcome, count);
+                counters.add(outcome, count);
             }
         }
     }
@@ -154,8 +154,8 @@
 
 fn destination(placement: Placement) -> Option<(SocketAddrV4, ServiceId, Candidates)> {
     match placement {
-        Placement::Owner { home, .. } | Placement::Reset(home) => {
-            Some((home.agent, home.service, Candidates::NONE))
+        Placement::Owner { owner, .. } | Placement::Reset(owner) => {
+            Some((owner.agent, owner.service, Candidates::NONE))
         }
         Placement::New { service, candidates } => {
             candidates.as_slice().first().map(|&it| (it, service, candidates))
--- a/crates/relay/src/outcome.rs
+++ b/crates/relay/src/outcome.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use camphorwinch_core::place::{Placement, Refusal};
+use camphorwinch_core::place::{DropReason, Placement};
 
 /// Result of relaying a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -22,12 +22,12 @@
     /// Dropped: the send buffer was full.
     SendBlocked,
     /// Dropped: rejected by the placer.
-    Refused(Refusal),
+    Refused(DropReason),
 }
 
 impl Outcome {
     /// Number of outcomes.
-    pub const COUNT: usize = Outcome::BASE.len() + Refusal::ALL.len();
+    pub const COUNT: usize = Outcome::BASE.len() + DropReason::ALL.len();
 
     const BASE: [Outcome; 7] = [
         Outcome::Owner,
@@ -41,7 +41,7 @@
 
     /// Returns all outcomes, ordered by index.
     pub fn all() -> impl Iterator<Item = Outcome> {
-        let refused = Refusal::ALL.into_iter().map(Outcome::Refused);
+        let refused = DropReason::ALL.into_iter().map(Outcome::Refused);
         Outcome::BASE.into_iter().chain(refused)
     }
 
@@ -89,11 +89,11 @@
 
 /// Datagram counters by outcome. Shared between workers; each adds once per batch.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct OutcomeCounters {
     counts: [AtomicU64; Outcome::COUNT],
 }
 
-impl Tally {
+impl OutcomeCounters {
     /// Adds `count` datagrams.
     pub fn add(&self, outcome: Outcome, count: u64) {
         self.counts[outcome.index()].fetch_add(count, Ordering::Relaxed);
@@ -105,7 +105,7 @@
     }
 
     /// Returns the number of datagrams sent to agents.
-    pub fn relayed(&self) -> u64 {
+    pub fn total_sent(&self) -> u64 {
         let sent = [Outcome::Owner, Outcome::OwnerUnknown, Outcome::New, Outcome::Reset];
         sent.into_iter().map(|it| self.get(it)).sum()
     }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -6,7 +6,7 @@
 use camphorwinch_core::place::{Listener, Placer};
 use quinn_udp::{BATCH_SIZE, RecvMeta};
 
-use crate::{batch::Batch, outcome::Tally, socket::Socket};
+use crate::{batch::Batch, outcome::OutcomeCounters, socket::Socket};
 
 /// Size of a receive buffer; one receive may return several merged datagrams of a flow.
 const RECV_BUFFER_BYTES: usize = 65_535;
@@ -17,7 +17,7 @@
     /// Current placer.
     pub placer: ArcSwap<Placer>,
     /// Datagram counters by outcome.
-    pub tally: Tally,
+    pub counters: OutcomeCounters,
 }
 
 /// Data socket and buffers of a worker, shared by its service sockets.
@@ -58,7 +58,7 @@
         if let Some(ring) = placer.ring() {
             batch.flush(ring, received, self.data.max_segments(), |it| self.data.send(it));
         }
-        batch.record_counts(&self.shared.tally);
+        batch.record_counts(&self.shared.counters);
         count == BATCH_SIZE
     }
 }
--- a/crates/relay/src/worker.rs
+++ b/crates/relay/src/worker.rs
@@ -24,7 +24,7 @@
 
 /// Service socket for a worker to receive from.
 #[derive(Debug)]
-pub struct Intake {
+pub struct IngressSocket {
     /// Address of the service, the key of its listener in the placer.
     pub address: SocketAddr,
     /// Socket bound to that address.
@@ -36,14 +36,14 @@
 /// Handle of a worker thread, which stops when the handle is dropped.
 #[derive(Debug)]
 pub struct Worker {
-    intakes: mpsc::UnboundedSender<Intake>,
+    sockets: mpsc::UnboundedSender<IngressSocket>,
     thread: JoinHandle<()>,
 }
 
 impl Worker {
     /// Starts a worker that sends to agents from `data`.
     pub fn new(name: &str, data: std::net::UdpSocket, shared: Arc<Shared>) -> io::Result<Worker> {
-        let (intakes, queue) = mpsc::unbounded_channel();
+        let (sockets, queue) = mpsc::unbounded_channel();
         let runtime = Builder::new_current_thread().enable_io().build()?;
         let data = {
             let _guard = runtime.enter();
@@ -54,30 +54,30 @@
             runtime.block_on(LocalSet::new().run_until(accept_sockets(queue, relay)));
         };
         let thread = thread::Builder::new().name(name.to_owned()).spawn(run)?;
-        Ok(Worker { intakes, thread })
+        Ok(Worker { sockets, thread })
     }
 
     /// Adds a socket to the worker; returns false if the worker has stopped.
-    pub fn open(&self, intake: Intake) -> bool {
-        self.intakes.send(intake).is_ok()
+    pub fn add_socket(&self, ingress: IngressSocket) -> bool {
+        self.sockets.send(ingress).is_ok()
     }
 
     /// Stops the worker and waits for its thread.
     pub fn join(self) {
-        drop(self.intakes);
+        drop(self.sockets);
         // The panic hook has already reported a panic of the worker.
         let _ = self.thread.join();
     }
 }
 
-async fn accept_sockets(mut queue: mpsc::UnboundedReceiver<Intake>, relay: Rc<Relay>) {
-    while let Some(intake) = queue.recv().await {
-        spawn_local(relay_socket(intake, Rc::clone(&relay)));
+async fn accept_sockets(mut queue: mpsc::UnboundedReceiver<IngressSocket>, relay: Rc<Relay>) {
+    while let Some(ingress) = queue.recv().await {
+        spawn_local(relay_socket(ingress, Rc::clone(&relay)));
     }
 }
 
-async fn relay_socket(intake: Intake, relay: Rc<Relay>) {
-    let Intake { address, socket, mut closed } = intake;
+async fn relay_socket(ingress: IngressSocket, relay: Rc<Relay>) {
+    let IngressSocket { address, socket, mut closed } = ingress;
     let Ok(socket) = Socket::new(socket) else {
         return;
     };
--- a/crates/relay/tests/batch.rs
+++ b/crates/relay/tests/batch.rs
@@ -7,10 +7,10 @@
     net::{SocketAddr, SocketAddrV4},
 };
 
-use camphorwinch_core::place::{Placer, Refusal};
+use camphorwinch_core::place::{DropReason, Placer};
 use camphorwinch_relay::{
     batch::Batch,
-    outcome::{Outcome, Tally},
+    outcome::{Outcome, OutcomeCounters},
 };
 use camphorwinch_wire::encap::{self, MAX_PAYLOAD_BYTES};
 use quickcheck::quickcheck;
@@ -31,7 +31,7 @@
 fn relay(
     buffers: &[(Vec<u8>, usize)],
     max_segments: usize,
-    tally: &Tally,
+    counters: &OutcomeCounters,
 ) -> BTreeMap<SocketAddr, Vec<Vec<u8>>> {
     let address = ADDRESS.parse().expect("valid address");
     let agents: Vec<SocketAddr> = (0..4).map(|it| agent(it).into()).collect();
@@ -55,7 +55,7 @@
         }
         Ok(())
     });
-    batch.record_counts(tally);
+    batch.record_counts(counters);
     received
 }
 
@@ -69,7 +69,7 @@
             expected.entry(agent(number).into()).or_default().push(datagram.clone());
             buffers.push((datagram, len));
         }
-        relay(&buffers, max_segments % 64 + 1, &Tally::default()) == expected
+        relay(&buffers, max_segments % 64 + 1, &OutcomeCounters::default()) == expected
     }
 
     fn merged_datagrams_are_split(count: usize, last_len: usize) -> bool {
@@ -82,14 +82,14 @@
             bytes.extend_from_slice(&datagram);
             expected.push(datagram);
         }
-        let received = relay(&[(bytes, 1_021)], 64, &Tally::default());
+        let received = relay(&[(bytes, 1_021)], 64, &OutcomeCounters::default());
         received.len() == 1 && received[&agent(0).into()] == expected
     }
 }
 
 #[test]
 fn dropped_datagrams_are_counted_by_outcome() {
-    let tally = Tally::default();
+    let counters = OutcomeCounters::default();
     let good = common::established_packet(agent(0), 1, 100);
     let oversized = common::established_packet(agent(0), 1, MAX_PAYLOAD_BYTES + 1);
     let mut forged = good.clone();
@@ -97,12 +97,12 @@
     let datagrams = [good, oversized, forged, Vec::new(), vec![0x41; 20]];
     let buffers: Vec<(Vec<u8>, usize)> =
         datagrams.into_iter().map(|it| (it.clone(), it.len())).collect();
-    let received = relay(&buffers, 64, &tally);
+    let received = relay(&buffers, 64, &counters);
     assert_eq!(received.values().map(Vec::len).sum::<usize>(), 1);
-    let count = |it: Outcome| tally.get(it);
+    let count = |it: Outcome| counters.get(it);
     assert_eq!(count(Outcome::Owner), 1);
     assert_eq!(count(Outcome::Oversized), 1);
-    assert_eq!(count(Outcome::Refused(Refusal::Forged)), 1);
-    assert_eq!(count(Outcome::Refused(Refusal::Garbage)), 2);
-    assert_eq!(tally.relayed(), 1);
+    assert_eq!(count(Outcome::Refused(DropReason::Forged)), 1);
+    assert_eq!(count(Outcome::Refused(DropReason::Garbage)), 2);
+    assert_eq!(counters.total_sent(), 1);
 }
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -12,7 +12,7 @@
 
 use camphorwinch_core::{
     object::{KeySpec, KeyUse, Keys, Service, ServiceId},
-    seal::{Home, KeyRing},
+    seal::{FlowOwner, KeyRing},
     snapshot::{ServiceEntry, Snapshot},
 };
 
@@ -46,7 +46,7 @@
 /// Returns a packet of `len` bytes of an established flow at `agent`.
 pub(crate) fn established_packet(agent: SocketAddrV4, flow: u32, len: usize) -> Vec<u8> {
     let [_, nonce @ ..] = flow.to_be_bytes();
-    let home = Home { agent, service: ServiceId::new(SERVICE) };
+    let home = FlowOwner { agent, service: ServiceId::new(SERVICE) };
     let cid = RING.seal(home, nonce);
     let mut datagram = [&[0x40], &cid[..]].concat();
     datagram.resize(len, 0x5a);
--- a/crates/relay/tests/quic.rs
+++ b/crates/relay/tests/quic.rs
@@ -1,4 +1,4 @@
-//! QUIC flows through the placer: balancers with different snapshots, and resets of flows of a dead agent.
+//! QUIC flows through the placer: balancers with different snapshots, and resets of flows of an agent that is down.
 
 mod common;
 
@@ -16,7 +16,7 @@
     member::AgentState,
     object::ServiceId,
     place::{Placement, Placer},
-    seal::{CID_LEN, Home, KeyRing},
+    seal::{CID_LEN, FlowOwner, KeyRing},
     snapshot::Snapshot,
 };
 use quinn::{
@@ -37,7 +37,7 @@
 
 struct SealedIdGenerator {
     ring: KeyRing,
-    home: Home,
+    owner: FlowOwner,
     counter: u32,
 }
 
@@ -45,7 +45,7 @@
     fn generate_cid(&mut self) -> ConnectionId {
         self.counter += 1;
         let [_, nonce @ ..] = self.counter.to_be_bytes();
-        ConnectionId::new(&self.ring.seal(self.home, nonce))
+        ConnectionId::new(&self.ring.seal(self.owner, nonce))
     }
 
     fn cid_len(&self) -> usize {
@@ -75,11 +75,11 @@
         let socket = std::net::UdpSocket::bind(loopback()).expect("bind");
         let data = socket.local_addr().expect("local address");
         let SocketAddr::V4(agent) = data else { panic!("not an IPv4 address") };
-        let home = Home { agent, service: ServiceId::new(common::SERVICE) };
+        let owner = FlowOwner { agent, service: ServiceId::new(common::SERVICE) };
         let reset = hmac::Key::new(hmac::HMAC_SHA256, common::ring().reset_key());
         let mut config = EndpointConfig::new(Arc::new(reset));
         config.cid_generator(move || {
-            Box::new(SealedIdGenerator { ring: common::ring(), home, counter: 0 })
+            Box::new(SealedIdGenerator { ring: common::ring(), owner, counter: 0 })
         });
         let runtime = Arc::new(TokioRuntime);
         let endpoint = Endpoint::new(config, Some(server), socket, runtime)
@@ -151,7 +151,7 @@
 
 fn destination(placement: Placement) -> Option<SocketAddrV4> {
     match placement {
-        Placement::Owner { home, .. } | Placement::Reset(home) => Some(home.agent),
+        Placement::Owner { owner, .. } | Placement::Reset(owner) => Some(owner.agent),
         Placement::New { candidates, .. } => candidates.as_slice().first().copied(),
         Placement::Drop(_) => None,
     }
@@ -246,9 +246,9 @@
     // Simulates a crash without a close: the agent's state is Down and datagrams no longer reach it.
     let mut snapshot =
         common::snapshot(test_bed.address, &[test_bed.agents[0].data, test_bed.agents[1].data]);
-    let dead =
+    let down =
         snapshot.agents.get_mut(&format!("ledger-{owner}")).expect("the agent is in the snapshot");
-    dead.state = AgentState::Down;
+    down.state = AgentState::Down;
     test_bed.placers.send_replace(Arc::new(vec![placer(&snapshot)]));
 
     let (mut send, _recv) = connection.open_bi().await.expect("open a stream");
--- a/crates/relay/tests/worker.rs
+++ b/crates/relay/tests/worker.rs
@@ -9,12 +9,12 @@
 };
 
 use arc_swap::ArcSwap;
-use camphorwinch_core::place::{Placer, Refusal};
+use camphorwinch_core::place::{DropReason, Placer};
 use camphorwinch_relay::{
-    outcome::{Outcome, Tally},
+    outcome::{Outcome, OutcomeCounters},
     relay::Shared,
     socket,
-    worker::{Intake, Worker},
+    worker::{IngressSocket, Worker},
 };
 use camphorwinch_wire::encap;
 use tokio::sync::oneshot;
@@ -39,12 +39,14 @@
     let service = socket::bind(loopback()).expect("bind");
     let address = service.local_addr().expect("local address");
     let placer = Placer::new(&common::snapshot(address, &[data]), None, 0);
-    let shared =
-        Arc::new(Shared { placer: ArcSwap::from_pointee(placer), tally: Tally::default() });
+    let shared = Arc::new(Shared {
+        placer: ArcSwap::from_pointee(placer),
+        counters: OutcomeCounters::default(),
+    });
     let data_socket = socket::bind(loopback()).expect("bind");
     let worker = Worker::new("test", data_socket, Arc::clone(&shared)).expect("start the worker");
     let (close, closed) = oneshot::channel();
-    assert!(worker.open(Intake { address, socket: service, closed }));
+    assert!(worker.add_socket(IngressSocket { address, socket: service, closed }));
 
     let caller = receiver();
     let datagram = common::established_packet(home, 1, 900);
@@ -59,7 +61,7 @@
     worker.join();
     // Counters are updated after the batch is sent; `join` waits for that.
     assert_eq!(
-        shared.tally.get(Outcome::Refused(Refusal::Epoch)),
+        shared.counters.get(Outcome::Refused(DropReason::Epoch)),
         1,
         "the connection ID of the first datagram has an unknown key epoch"
     );
--- a/crates/standin/src/capacity/decisions.rs
+++ b/crates/standin/src/capacity/decisions.rs
@@ -12,7 +12,7 @@
     object::{Keys, Kind, Object},
     place::{MIN_INITIAL, Placer},
     record::{Member, Record, Role, Version},
-    report::{Report, State, UpstreamStatus},
+    report::{MemberState, Report, UpstreamStatus},
     snapshot::Snapshot,
     view::{Scope, View},
 };
@@ -91,7 +91,7 @@
         for i in 0..members {
             view.merge(&Record::Member(member(i, services, 1)), NOW_MS);
         }
-        view.confirm(version);
+        view.confirm_revision(version);
         Ok(view)
     }
 }
@@ -136,7 +136,7 @@
             connections: 2_000,
             state: AgentState::Ready,
         };
-        Role::Agent { agent, homes: vec!["entry-0".to_owned(), "entry-12".to_owned()] }
+        Role::Agent { agent, balancers: vec!["entry-0".to_owned(), "entry-12".to_owned()] }
     };
     Member { version: Version::member(NOW_MS, seq), since_ms: NOW_MS, role }
 }
@@ -159,7 +159,7 @@
         connections: 2_000,
         state: AgentState::Ready,
     };
-    let role = Role::Agent { agent, homes: vec![home.to_owned()] };
+    let role = Role::Agent { agent, balancers: vec![home.to_owned()] };
     Member { version: Version::member(NOW_MS, 1), since_ms: NOW_MS, role }
 }
 
@@ -198,7 +198,7 @@
         anyhow::ensure!(faults.is_empty(), "failed to build a snapshot: {faults:?}");
         snapshot.push(size as f64, cpu_us(batches, || assembler.snapshot(&view))?);
         let previous = Placer::new(&before, None, NOW_MS);
-        view.merge(&Record::Member(member(2, 680, 2).down(NOW_MS)), NOW_MS);
+        view.merge(&Record::Member(member(2, 680, 2).as_down(NOW_MS)), NOW_MS);
         let (after, _) = assembler.snapshot(&view);
         let update = cpu_us(batches, || Placer::new(&after, Some(&previous), NOW_MS))?;
         placer.push(size as f64, update);
@@ -236,7 +236,7 @@
     );
     for size in SERVICES {
         let view = config.view(size, 6_420)?;
-        mark.push(size as f64, cpu_us(batches, || view.mark())?);
+        mark.push(size as f64, cpu_us(batches, || view.watermark())?);
         let mut assembler = Assembler::new();
         let (before, _) = assembler.snapshot(&view);
         snapshot.push(size as f64, cpu_us(batches, || assembler.snapshot(&view))?);
@@ -294,7 +294,7 @@
                 pool: format!("pool-{}", i / AGENTS_PER_POOL),
                 vm: format!("vm-{i}"),
                 zone: "zone-0".to_owned(),
-                state: State::Ready,
+                state: MemberState::Ready,
                 flows: 1_542,
                 busy: 5,
                 slots: 7,
--- a/crates/standin/src/capacity/fleet.rs
+++ b/crates/standin/src/capacity/fleet.rs
@@ -8,7 +8,7 @@
 };
 
 use anyhow::{Context, bail};
-use camphorwinch_core::object::{KEYS_NAME, Kind};
+use camphorwinch_core::object::{KEYS_OBJECT_NAME, Kind};
 use futures::future::join_all;
 use http::{Method, StatusCode};
 use rand::{SeedableRng, rngs::StdRng};
@@ -178,7 +178,7 @@
         };
         fleet.start_emulators().await?;
         let keys = objects::keys(&mut StdRng::seed_from_u64(1));
-        fleet.objects.put(Kind::Keys, KEYS_NAME, &keys).await?;
+        fleet.objects.put(Kind::Keys, KEYS_OBJECT_NAME, &keys).await?;
         Ok(fleet)
     }
 
--- a/crates/standin/src/capacity/inject.rs
+++ b/crates/standin/src/capacity/inject.rs
@@ -9,7 +9,8 @@
 use camphorwinch_wire::{
     frame::{self, Frames},
     message::{
-        AgentReport, Beat, Body, Frame, Hello, PROTOCOL, Purpose, RecordPart, Report, Update,
+        AgentReport, Body, Frame, Heartbeat, Hello, PROTOCOL_VERSION, Purpose, RecordPart, Report,
+        Update,
     },
 };
 use futures::{SinkExt, StreamExt};
@@ -101,7 +102,7 @@
         TlsConnector::from(Arc::new(config)).connect(server, stream).await.with_context(step)?;
     let mut link = frame::frames(stream);
     let hello = Hello {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         purpose: Purpose::Mesh as i32,
         name: name.to_owned(),
         incarnation: 1,
@@ -153,7 +154,7 @@
         if zone.has_changed().is_err() {
             return Ok(());
         }
-        send(&mut link, Body::Beat(Beat::default())).await?;
+        send(&mut link, Body::Heartbeat(Heartbeat::default())).await?;
         heartbeats += 1;
         let agents = zone.borrow().agents.len() as u64;
         let report_interval = (agents / AGENTS_PER_HEARTBEAT)
@@ -175,8 +176,8 @@
             name: name.clone(),
             applied: zone.applied,
             flows,
-            busy,
-            epochs: vec![1],
+            busy_slots: busy,
+            key_epochs: vec![1],
         });
     }
     Report { applied: zone.applied, agents, events: Vec::new() }
--- a/crates/standin/src/platform/api.rs
+++ b/crates/standin/src/platform/api.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use camphorwinch_core::object::{Kind, MAX_OBJECT, Object};
+use camphorwinch_core::object::{Kind, MAX_OBJECT_BYTES, Object};
 use http::{HeaderName, HeaderValue, Method, Request, Response, StatusCode, header};
 use hyper::body::{Body as _, Incoming};
 use parking_lot::Mutex;
@@ -26,7 +26,7 @@
 const STORE_ERA: HeaderName = HeaderName::from_static("store-era");
 const MAX_WATCH_WAIT_S: u64 = 30;
 /// Maximum spec size plus room for the version and the writer.
-const MAX_PUT_BODY_BYTES: usize = MAX_OBJECT + 1024;
+const MAX_PUT_BODY_BYTES: usize = MAX_OBJECT_BYTES + 1024;
 const MAX_WRITER_BYTES: usize = 64;
 const MAX_NAME_BYTES: usize = 63;
 const MAX_ADMIN_BODY_BYTES: usize = 64 << 10;
--- a/crates/standin/src/site/objects.rs
+++ b/crates/standin/src/site/objects.rs
@@ -3,7 +3,9 @@
 use std::{net::SocketAddr, time::Duration};
 
 use anyhow::{Context, bail};
-use camphorwinch_core::object::{Certificate, KEYS_NAME, KeySpec, KeyUse, Keys, Kind, Object};
+use camphorwinch_core::object::{
+    Certificate, KEYS_OBJECT_NAME, KeySpec, KeyUse, Keys, Kind, Object,
+};
 use http::{Method, StatusCode};
 use rand::{Rng, RngCore, rngs::StdRng};
 use serde::Serialize;
@@ -134,7 +136,7 @@
 
 /// Name of the keys object.
 pub fn keys_name() -> &'static str {
-    KEYS_NAME
+    KEYS_OBJECT_NAME
 }
 
 /// Path of an object.
--- a/crates/standin/tests/promises/fencing.rs
+++ b/crates/standin/tests/promises/fencing.rs
@@ -1,6 +1,6 @@
 //! Fencing: no write of a former lease holder takes effect, with pauses between decision and write, and lost responses.
 
-use camphorwinch_core::lease::{Attempt, Keeper, LEASES, Term};
+use camphorwinch_core::lease::{LEASES_PER_ZONE, LeaseClient, LeaseTerm, LeaseWrite};
 use camphorwinch_standin::platform::{Faults, Platform};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde_json::{Value, json};
@@ -22,9 +22,9 @@
 }
 
 struct Writer {
-    keeper: Keeper,
+    keeper: LeaseClient,
     /// Decided but not sent: the process is paused in between.
-    pending: Option<Attempt>,
+    pending: Option<LeaseWrite>,
 }
 
 struct Run {
@@ -40,9 +40,9 @@
     format!("/v1/objects/lease/seed-z-{number}")
 }
 
-fn term(spec: &Value) -> Term {
+fn term(spec: &Value) -> LeaseTerm {
     let holder = spec["holder"].as_str().unwrap_or_default().to_owned();
-    Term { holder, taken_ms: spec["taken_ms"].as_u64().unwrap_or(0) }
+    LeaseTerm { holder, acquired_ms: spec["taken_ms"].as_u64().unwrap_or(0) }
 }
 
 impl Run {
@@ -58,30 +58,30 @@
     async fn decide(&mut self, writer: usize) {
         let renewal = self.writers[writer].keeper.renew(self.now);
         if renewal.is_none() {
-            for number in 0..LEASES {
+            for number in 0..LEASES_PER_ZONE {
                 self.read(writer, number).await;
             }
         }
         let it = &mut self.writers[writer];
-        it.pending = renewal.or_else(|| it.keeper.take(self.now, self.now));
+        it.pending = renewal.or_else(|| it.keeper.try_acquire(self.now, self.now));
     }
 
-    async fn send(&mut self, writer: usize, attempt: &Attempt) {
+    async fn send(&mut self, writer: usize, attempt: &LeaseWrite) {
         let version = match self.condition {
-            WriteCondition::Decided => attempt.base,
+            WriteCondition::Decided => attempt.expected_version,
             WriteCondition::Current => {
                 let stored = self.client.get(&path(attempt.number)).await.unwrap();
                 if stored.status == 200 { stored.json()["version"].as_u64().unwrap() } else { 0 }
             }
         };
-        let spec = json!({ "holder": attempt.term.holder, "taken_ms": attempt.term.taken_ms });
+        let spec = json!({ "holder": attempt.term.holder, "taken_ms": attempt.term.acquired_ms });
         let body = json!({ "version": version, "writer": "0".repeat(32), "spec": spec });
         self.sent += 1;
         match self.client.put(&path(attempt.number), &body).await {
             Ok(Answer { status: 200, body, .. }) => {
                 let object: Value = serde_json::from_slice(&body).unwrap();
                 let version = object["version"].as_u64().unwrap();
-                self.writers[writer].keeper.written(self.now, attempt, version);
+                self.writers[writer].keeper.confirm_write(self.now, attempt, version);
             }
             // A conflict or a lost response: reads the stored state.
             Ok(_) | Err(_) => {
@@ -104,10 +104,10 @@
     async fn late_writes(&self) -> usize {
         let response = self.client.get("/v1/watch?since=0&wait=0&kind=lease").await.unwrap();
         let mut late = 0;
-        for number in 0..LEASES {
+        for number in 0..LEASES_PER_ZONE {
             let name = json!(format!("seed-z-{number}"));
-            let mut former: Vec<Term> = Vec::new();
-            let mut last = Term::default();
+            let mut former: Vec<LeaseTerm> = Vec::new();
+            let mut last = LeaseTerm::default();
             for event in response.json()["events"].as_array().unwrap() {
                 let object = &event["object"];
                 if object["name"] != name {
@@ -129,7 +129,7 @@
     let listen = "127.0.0.1:0".parse().unwrap();
     let faults = Faults { lost: 0.1, ..Faults::default() };
     let platform = Platform::start(listen, HISTORY, seed, faults).await.unwrap();
-    let keeper = |it: usize| Keeper::new(&format!("b{it}"));
+    let keeper = |it: usize| LeaseClient::new(&format!("b{it}"));
     let mut run = Run {
         client: Client::new(platform.addr()),
         condition,
--- a/crates/wire/src/convert.rs
+++ b/crates/wire/src/convert.rs
@@ -5,8 +5,8 @@
 use camphorwinch_core::{
     member::{Agent, AgentState, Balancer, BalancerState, Place},
     object::{Kind, Object},
-    record::{self, Deletion, Key, Mark, Version},
-    view::{self, BUCKETS},
+    record::{self, Deletion, Key, Version, Watermark},
+    view::{self, BUCKET_COUNT},
 };
 
 use crate::message::{
@@ -14,8 +14,8 @@
     ObjectPart, RecordPart, RolePart, StatePart, Summary,
 };
 
-impl From<&Mark> for MarkPart {
-    fn from(it: &Mark) -> MarkPart {
+impl From<&Watermark> for MarkPart {
+    fn from(it: &Watermark) -> MarkPart {
         let mut deleted = Vec::new();
         for it in &it.deleted {
             deleted.push(deletion_part(it.kind, &it.name, it.revision));
@@ -24,16 +24,16 @@
     }
 }
 
-impl TryFrom<&MarkPart> for Mark {
+impl TryFrom<&MarkPart> for Watermark {
     type Error = MessageError;
 
-    fn try_from(it: &MarkPart) -> Result<Mark, MessageError> {
+    fn try_from(it: &MarkPart) -> Result<Watermark, MessageError> {
         let mut deleted = Vec::new();
         for it in &it.deleted {
             let kind = parse_kind(&it.kind)?;
             deleted.push(Deletion { kind, name: it.name.clone(), revision: it.version });
         }
-        Ok(Mark { revision: it.revision, floor: it.floor, sum: it.sum, deleted })
+        Ok(Watermark { revision: it.revision, floor: it.floor, sum: it.sum, deleted })
     }
 }
 
@@ -47,9 +47,9 @@
 }
 
 impl Digest {
-    /// Returns the hashes in bucket order; fails unless there are exactly [`BUCKETS`].
-    pub fn to_buckets(&self) -> Result<[u64; BUCKETS], MessageError> {
-        <[u64; BUCKETS]>::try_from(self.buckets.as_slice())
+    /// Returns the hashes in bucket order; fails unless there are exactly [`BUCKET_COUNT`].
+    pub fn to_buckets(&self) -> Result<[u64; BUCKET_COUNT], MessageError> {
+        <[u64; BUCKET_COUNT]>::try_from(self.buckets.as_slice())
             .map_err(|_| MessageError::new("digest.buckets", self.buckets.len()))
     }
 }
@@ -70,7 +70,7 @@
     fn try_from(it: &Summary) -> Result<view::Summary, MessageError> {
         let mut buckets = Vec::new();
         for bucket in &it.buckets {
-            let index = u8::try_from(*bucket).ok().filter(|it| usize::from(*it) < BUCKETS);
+            let index = u8::try_from(*bucket).ok().filter(|it| usize::from(*it) < BUCKET_COUNT);
             buckets.push(index.ok_or_else(|| MessageError::new("summary.buckets", bucket))?);
         }
         let mut entries = Vec::new();
@@ -166,7 +166,7 @@
 impl From<&record::Member> for MemberPart {
     fn from(it: &record::Member) -> MemberPart {
         let (place, control, role) = match &it.role {
-            record::Role::Agent { agent, homes } => {
+            record::Role::Agent { agent, balancers } => {
                 let part = AgentPart {
                     pool: agent.pool.clone(),
                     data: agent.data.to_string(),
@@ -174,7 +174,7 @@
                     slots: agent.slots,
                     connections: agent.connections,
                     state: agent_state_part(agent.state) as i32,
-                    balancers: homes.clone(),
+                    balancers: balancers.clone(),
                 };
                 (&agent.place, agent.control, RolePart::Agent(part))
             }
@@ -243,7 +243,7 @@
         connections: part.connections,
         state,
     };
-    Ok(record::Role::Agent { agent, homes: part.balancers.clone() })
+    Ok(record::Role::Agent { agent, balancers: part.balancers.clone() })
 }
 
 fn parse_balancer(
--- a/crates/wire/src/handover.rs
+++ b/crates/wire/src/handover.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use camphorwinch_core::{
-    claims::{Answer, Claim, ClaimKey, State},
+    claims::{Claim, ClaimKey, RecordedResponse, RequestState},
     object::ServiceId,
 };
 use prost::{Message, Oneof};
@@ -20,7 +20,7 @@
 
 /// HTTP header field.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Field {
+pub struct HeaderField {
     /// Name.
     #[prost(string, tag = "1")]
     pub name: String,
@@ -43,7 +43,7 @@
     pub hop: u32,
     /// Milliseconds until the caller's deadline; 0 without a deadline.
     #[prost(uint64, tag = "4")]
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     /// HTTP method.
     #[prost(string, tag = "5")]
     pub method: String,
@@ -52,7 +52,7 @@
     pub path: String,
     /// Header fields.
     #[prost(message, repeated, tag = "7")]
-    pub fields: Vec<Field>,
+    pub fields: Vec<HeaderField>,
     /// Whether a request body follows the start message.
     #[prost(bool, tag = "8")]
     pub body: bool,
@@ -60,7 +60,7 @@
 
 /// The agent has reserved a slot for the request and waits for the start message.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Taken {
+pub struct Accepted {
     /// Fraction of its slots in use.
     #[prost(double, tag = "1")]
     pub load: f64,
@@ -68,7 +68,7 @@
 
 /// The offer is rejected; the request was not started and won't be.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Refused {
+pub struct Rejected {
     /// Time after which the request may be offered again, in milliseconds.
     #[prost(uint64, tag = "1")]
     pub retry_ms: u64,
@@ -76,11 +76,11 @@
 
 /// Starts the offered request.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Go {}
+pub struct Start {}
 
 /// The upstream requests the body (100 Continue): the sender need not buffer it for another attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Resume {}
+pub struct Continue {}
 
 /// Part of a request or response body.
 #[derive(Clone, PartialEq, Eq, Message)]
@@ -101,7 +101,7 @@
     pub status: u32,
     /// Header fields.
     #[prost(message, repeated, tag = "2")]
-    pub fields: Vec<Field>,
+    pub fields: Vec<HeaderField>,
     /// Name of the agent whose upstream responded.
     #[prost(string, tag = "3")]
     pub upstream: String,
@@ -109,7 +109,7 @@
 
 /// The attempt was aborted; the request may have been started.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Lost {}
+pub struct Aborted {}
 
 /// Claim of a request on an idempotency key.
 #[derive(Clone, PartialEq, Message)]
@@ -128,13 +128,13 @@
     pub digest: u64,
     /// Name of the agent that made the claim.
     #[prost(string, tag = "5")]
-    pub by: String,
+    pub agent: String,
     /// A [`ClaimState`].
     #[prost(enumeration = "ClaimState", tag = "6")]
     pub state: i32,
     /// Response, in state `Done` only.
     #[prost(message, optional, tag = "7")]
-    pub answer: Option<StoredResponse>,
+    pub response: Option<StoredResponse>,
     /// Retention time of the key, in milliseconds.
     #[prost(uint64, tag = "8")]
     pub window_ms: u64,
@@ -162,7 +162,7 @@
     pub status: u32,
     /// Header fields.
     #[prost(message, repeated, tag = "2")]
-    pub fields: Vec<Field>,
+    pub fields: Vec<HeaderField>,
     /// Body.
     #[prost(bytes = "vec", tag = "3")]
     pub body: Vec<u8>,
@@ -188,13 +188,13 @@
     /// The claim is recorded.
     Granted = 1,
     /// Another request holds the key.
-    Taken = 2,
+    Conflict = 2,
     /// The key was used for a request with different content.
     Mismatch = 3,
     /// An earlier claim on the key may have been lost.
-    Doubtful = 4,
+    Uncertain = 4,
     /// The membership changed recently, or differs at the queried agent: all members must be queried.
-    Unsettled = 5,
+    MembershipChanging = 5,
 }
 
 /// Claim message.
@@ -209,9 +209,9 @@
     /// Digest of the membership, if all members are queried.
     #[prost(fixed64, optional, tag = "3")]
     pub members: Option<u64>,
-    /// Members that failed recently, for purpose `Losses`.
+    /// Members that failed recently, for purpose `FailedMembers`.
     #[prost(message, repeated, tag = "4")]
-    pub losses: Vec<Loss>,
+    pub failed_members: Vec<FailedMember>,
 }
 
 impl ClaimCall {
@@ -223,7 +223,7 @@
 
 /// A failed member of a service's pool, whose claims are lost.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Loss {
+pub struct FailedMember {
     /// Service ID.
     #[prost(uint32, tag = "1")]
     pub service: u32,
@@ -241,7 +241,7 @@
     pub age_ms: u64,
     /// Whether it belonged to the last stable membership.
     #[prost(bool, tag = "6")]
-    pub old: bool,
+    pub was_stable: bool,
 }
 
 /// Purpose of a claim message.
@@ -251,18 +251,18 @@
     /// Claim a key.
     Claim = 0,
     /// Record the result of a claimed request.
-    Settle = 1,
+    Resolve = 1,
     /// Transfer a claim from a leaving agent.
-    Adopt = 2,
+    Transfer = 2,
     /// Transfer a leaving agent's list of failed members.
-    Losses = 3,
+    FailedMembers = 3,
     /// Query whether the request is still open at the agent that made the claim: `Granted` if so, `Mismatch` if not.
     Probe = 4,
 }
 
 /// One message between agents.
 #[derive(Clone, PartialEq, Message)]
-pub struct Packet {
+pub struct Envelope {
     /// Content of the message.
     #[prost(oneof = "Kind", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10")]
     pub kind: Option<Kind>,
@@ -276,13 +276,13 @@
     Offer(Offer),
     /// Accepts an offer.
     #[prost(message, tag = "2")]
-    Taken(Taken),
+    Accepted(Accepted),
     /// Rejects an offer.
     #[prost(message, tag = "3")]
-    Refused(Refused),
+    Rejected(Rejected),
     /// Starts the offered request.
     #[prost(message, tag = "4")]
-    Go(Go),
+    Start(Start),
     /// Part of a body.
     #[prost(message, tag = "5")]
     Chunk(Chunk),
@@ -291,7 +291,7 @@
     Head(Head),
     /// Aborts the attempt.
     #[prost(message, tag = "7")]
-    Lost(Lost),
+    Aborted(Aborted),
     /// Claim message.
     #[prost(message, tag = "8")]
     Claim(ClaimCall),
@@ -300,18 +300,18 @@
     Reply(ClaimReply),
     /// Requests the body.
     #[prost(message, tag = "10")]
-    Resume(Resume),
+    Continue(Continue),
 }
 
-impl Packet {
+impl Envelope {
     /// Encodes a message into a frame.
-    pub fn encoded(kind: Kind) -> bytes::Bytes {
-        Packet { kind: Some(kind) }.encode_to_vec().into()
+    pub fn to_frame(kind: Kind) -> bytes::Bytes {
+        Envelope { kind: Some(kind) }.encode_to_vec().into()
     }
 
     /// Decodes a frame; fails if it is malformed or its kind is unknown.
-    pub fn decoded(frame: &[u8]) -> Result<Kind, HandoverError> {
-        let packet = Packet::decode(frame).map_err(|_| HandoverError("packet"))?;
+    pub fn parse(frame: &[u8]) -> Result<Kind, HandoverError> {
+        let packet = Envelope::decode(frame).map_err(|_| HandoverError("packet"))?;
         packet.kind.ok_or(HandoverError("message kind"))
     }
 }
@@ -326,26 +326,26 @@
     /// Converts a claim to its encoded form.
     pub fn new(key: &ClaimKey, claim: &Claim) -> ClaimRecord {
         let (state, answer) = match &claim.state {
-            State::Running => (ClaimState::Running, None),
-            State::Unknown => (ClaimState::Unknown, None),
-            State::Done(it) => (ClaimState::Done, Some(StoredResponse::new(it))),
+            RequestState::Running => (ClaimState::Running, None),
+            RequestState::Unknown => (ClaimState::Unknown, None),
+            RequestState::Done(it) => (ClaimState::Done, Some(StoredResponse::new(it))),
         };
         ClaimRecord {
             service: key.service.0,
             key: key.key.clone(),
             request: claim.request.to_be_bytes().to_vec(),
             digest: claim.digest,
-            by: claim.by.clone(),
+            agent: claim.agent.clone(),
             state: state as i32,
-            answer,
-            window_ms: claim.window,
+            response: answer,
+            window_ms: claim.window_ms,
         }
     }
 
     /// Changes the state to `Released` and drops the response.
-    pub fn with_release(mut self) -> ClaimRecord {
+    pub fn into_released(mut self) -> ClaimRecord {
         self.state = ClaimState::Released as i32;
-        self.answer = None;
+        self.response = None;
         self
     }
 
@@ -358,28 +358,30 @@
     pub fn claim(&self) -> Result<Option<Claim>, HandoverError> {
         let state = match ClaimState::try_from(self.state) {
             Ok(ClaimState::Released) => return Ok(None),
-            Ok(ClaimState::Running) => State::Running,
-            Ok(ClaimState::Unknown) => State::Unknown,
+            Ok(ClaimState::Running) => RequestState::Running,
+            Ok(ClaimState::Unknown) => RequestState::Unknown,
             Ok(ClaimState::Done) => {
-                let answer = self.answer.as_ref().ok_or(HandoverError("claim response"))?;
-                State::Done(Arc::new(answer.to_answer()?))
+                let answer = self.response.as_ref().ok_or(HandoverError("claim response"))?;
+                RequestState::Done(Arc::new(answer.to_answer()?))
             }
             Err(_) => return Err(HandoverError("claim state")),
         };
         Ok(Some(Claim {
             request: request_id(&self.request)?,
             digest: self.digest,
-            by: self.by.clone(),
+            agent: self.agent.clone(),
             state,
-            window: self.window_ms,
+            window_ms: self.window_ms,
         }))
     }
 }
 
 impl StoredResponse {
-    fn new(it: &Answer) -> StoredResponse {
-        let field =
-            |(name, value): &(String, Vec<u8>)| Field { name: name.clone(), value: value.clone() };
+    fn new(it: &RecordedResponse) -> StoredResponse {
+        let field = |(name, value): &(String, Vec<u8>)| HeaderField {
+            name: name.clone(),
+            value: value.clone(),
+        };
         StoredResponse {
             status: u32::from(it.status),
             fields: it.headers.iter().map(field).collect(),
@@ -387,8 +389,8 @@
         }
     }
 
-    fn to_answer(&self) -> Result<Answer, HandoverError> {
-        Ok(Answer {
+    fn to_answer(&self) -> Result<RecordedResponse, HandoverError> {
+        Ok(RecordedResponse {
             status: u16::try_from(self.status).map_err(|_| HandoverError("status"))?,
             headers: self.fields.iter().map(|it| (it.name.clone(), it.value.clone())).collect(),
             body: self.body.clone(),
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 /// Protocol version; a process rejects a peer that uses another one.
-pub const PROTOCOL: u32 = 1;
+pub const PROTOCOL_VERSION: u32 = 1;
 
 /// A field that is missing or invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -45,7 +45,7 @@
     Hello(Hello),
     /// Periodic heartbeat.
     #[prost(message, tag = "2")]
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// Bucket hashes of the sender's records.
     #[prost(message, tag = "3")]
     Digest(Digest),
@@ -57,13 +57,13 @@
     Update(Update),
     /// Pools whose agents the sender subscribes to.
     #[prost(message, tag = "6")]
-    Interest(Interest),
+    Subscription(Subscription),
     /// Status report of a balancer to the holder of its zone's lease.
     #[prost(message, tag = "7")]
     Report(Report),
     /// The sender closes a link that it no longer needs; it is still alive.
     #[prost(message, tag = "8")]
-    Bye(Bye),
+    Disconnect(Disconnect),
 }
 
 /// Purpose of a link.
@@ -94,7 +94,7 @@
 /// Handshake message that opens a link.
 #[derive(Clone, PartialEq, Message)]
 pub struct Hello {
-    /// Protocol version of the sender; see [`PROTOCOL`].
+    /// Protocol version of the sender; see [`PROTOCOL_VERSION`].
     #[prost(uint32, tag = "1")]
     pub protocol: u32,
     /// A [`Purpose`].
@@ -113,7 +113,7 @@
 
 /// Heartbeat with the values that change often.
 #[derive(Clone, PartialEq, Message)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Hybrid logical clock of the sender.
     #[prost(message, optional, tag = "1")]
     pub stamp: Option<Stamp>,
@@ -125,7 +125,7 @@
     pub flows: u32,
     /// Number of slots in use, if the sender is an agent.
     #[prost(uint32, tag = "4")]
-    pub busy: u32,
+    pub busy_slots: u32,
     /// Whether the receiver is the balancer that reports the sender's status.
     #[prost(bool, tag = "5")]
     pub primary: bool,
@@ -134,10 +134,10 @@
     pub events: Vec<String>,
     /// Key epochs of the sender's flows, one byte each, if the sender is an agent.
     #[prost(bytes = "vec", tag = "7")]
-    pub epochs: Vec<u8>,
+    pub key_epochs: Vec<u8>,
 }
 
-/// Revision up to which the sender's configuration is complete; see [`camphorwinch_core::record::Mark`].
+/// Revision up to which the sender's configuration is complete; see [`camphorwinch_core::record::Watermark`].
 #[derive(Clone, PartialEq, Message)]
 pub struct MarkPart {
     /// Revision up to which the sender holds all objects.
@@ -209,11 +209,11 @@
 
 /// Last message on a link that is no longer needed.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Bye {}
+pub struct Disconnect {}
 
 /// Pools whose agents the sender subscribes to.
 #[derive(Clone, PartialEq, Message)]
-pub struct Interest {
+pub struct Subscription {
     /// Names of the pools.
     #[prost(string, repeated, tag = "1")]
     pub pools: Vec<String>,
@@ -318,9 +318,9 @@
     Draining = 3,
     /// Leaving.
     Leaving = 4,
-    /// Confirmed dead.
+    /// Confirmed down.
     Down = 5,
-    /// Not heard from, but not confirmed dead.
+    /// Not heard from, but not confirmed down.
     Silent = 6,
 }
 
@@ -389,10 +389,10 @@
     pub flows: u32,
     /// Number of slots in use.
     #[prost(uint32, tag = "4")]
-    pub busy: u32,
+    pub busy_slots: u32,
     /// Key epochs of its flows, one byte each.
     #[prost(bytes = "vec", tag = "5")]
-    pub epochs: Vec<u8>,
+    pub key_epochs: Vec<u8>,
 }
 
 impl Frame {
