--- a/crates/wire/tests/handover.rs
+++ b/crates/wire/tests/handover.rs
@@ -3,15 +3,15 @@
 use std::sync::Arc;
 
 use camphorwinch_core::{
-    claims::{Answer, Claim, ClaimKey, State},
+    claims::{Claim, ClaimKey, RecordedResponse, RequestState},
     object::ServiceId,
 };
-use camphorwinch_wire::handover::{Chunk, ClaimCall, ClaimRecord, Kind, Packet, request_id};
+use camphorwinch_wire::handover::{Chunk, ClaimCall, ClaimRecord, Envelope, Kind, request_id};
 use quickcheck::quickcheck;
 
 quickcheck! {
     fn random_handover_frames_do_not_panic(frame: Vec<u8>) -> bool {
-        if let Ok(Kind::Claim(call)) = Packet::decoded(&frame) {
+        if let Ok(Kind::Claim(call)) = Envelope::parse(&frame) {
             // Neither conversion may panic.
             let _ = call.record.map(|it| (it.claim(), it.claim_key()));
         }
@@ -21,15 +21,15 @@
     fn altered_handover_frames_do_not_panic(key: String, at: usize, byte: u8) -> bool {
         let key = ClaimKey { service: ServiceId(7), key };
         let claim =
-            Claim { request: 1, digest: 2, by: "a".to_owned(), state: State::Running, window: 1 };
+            Claim { request: 1, digest: 2, agent: "a".to_owned(), state: RequestState::Running, window_ms: 1 };
         let call = ClaimCall {
             record: Some(ClaimRecord::new(&key, &claim)),
             ..ClaimCall::default()
         };
-        let mut frame = Packet::encoded(Kind::Claim(call)).to_vec();
+        let mut frame = Envelope::to_frame(Kind::Claim(call)).to_vec();
         let at = at % frame.len();
         frame[at] = byte;
-        if let Ok(Kind::Claim(call)) = Packet::decoded(&frame) {
+        if let Ok(Kind::Claim(call)) = Envelope::parse(&frame) {
             // Neither conversion may panic.
             let _ = call.record.map(|it| (it.claim(), it.claim_key()));
         }
@@ -37,27 +37,27 @@
     }
 
     fn truncated_handover_frames_are_rejected(data: Vec<u8>, len: usize) -> bool {
-        let complete = Packet::encoded(Kind::Chunk(Chunk { data: data.into(), last: true }));
+        let complete = Envelope::to_frame(Kind::Chunk(Chunk { data: data.into(), last: true }));
         let truncated = &complete[..len % (complete.len() + 1)];
-        match Packet::decoded(truncated) {
+        match Envelope::parse(truncated) {
             Ok(kind) => truncated.len() == complete.len() && matches!(kind, Kind::Chunk(_)),
             Err(_) => truncated.len() < complete.len(),
         }
     }
 
-    fn claims_round_trip(key: String, request: u128, digest: u64, by: String, body: Vec<u8>, state: u8) -> bool {
-        let answer = Answer { status: 201, headers: vec![("x".to_owned(), body.clone())], body };
+    fn claims_round_trip(key: String, request: u128, digest: u64, agent: String, body: Vec<u8>, state: u8) -> bool {
+        let answer = RecordedResponse { status: 201, headers: vec![("x".to_owned(), body.clone())], body };
         let state = match state % 3 {
-            0 => State::Running,
-            1 => State::Unknown,
-            _ => State::Done(Arc::new(answer)),
+            0 => RequestState::Running,
+            1 => RequestState::Unknown,
+            _ => RequestState::Done(Arc::new(answer)),
         };
         let key = ClaimKey { service: ServiceId(7), key };
-        let claim = Claim { request, digest, by, state, window: 60_000 };
+        let claim = Claim { request, digest, agent, state, window_ms: 60_000 };
         let record = ClaimRecord::new(&key, &claim);
         record.claim_key() == key
             && record.claim() == Ok(Some(claim))
-            && record.with_release().claim() == Ok(None)
+            && record.into_released().claim() == Ok(None)
     }
 
     fn request_ids_have_16_bytes(bytes: Vec<u8>) -> bool {
@@ -68,11 +68,11 @@
 #[test]
 fn a_done_claim_without_a_response_is_rejected() {
     let key = ClaimKey { service: ServiceId(7), key: "k".to_owned() };
-    let answer = Answer { status: 200, headers: Vec::new(), body: Vec::new() };
-    let state = State::Done(Arc::new(answer));
-    let claim = Claim { request: 1, digest: 2, by: "a".to_owned(), state, window: 1 };
+    let answer = RecordedResponse { status: 200, headers: Vec::new(), body: Vec::new() };
+    let state = RequestState::Done(Arc::new(answer));
+    let claim = Claim { request: 1, digest: 2, agent: "a".to_owned(), state, window_ms: 1 };
     let mut record = ClaimRecord::new(&key, &claim);
-    record.answer = None;
+    record.response = None;
     assert!(record.claim().is_err());
     record.state = 99;
     assert!(record.claim().is_err());
--- a/crates/wire/tests/message.rs
+++ b/crates/wire/tests/message.rs
@@ -3,8 +3,8 @@
 use camphorwinch_core::{
     member::{Agent, AgentState, Balancer, BalancerState, Place},
     object::{Kind, Object},
-    record::{Deletion, Mark, Member, Record, Role, Version},
-    view::{self, BUCKETS},
+    record::{Deletion, Member, Record, Role, Version, Watermark},
+    view::{self, BUCKET_COUNT},
 };
 use camphorwinch_wire::message::{
     Body, Digest, Frame, MarkPart, MemberPart, RecordPart, Summary, Update,
@@ -13,7 +13,13 @@
 use quickcheck::quickcheck;
 use serde_json::json;
 
-fn member(name: String, agent: bool, state: u8, version: Version, homes: Vec<String>) -> Member {
+fn member(
+    name: String,
+    agent: bool,
+    state: u8,
+    version: Version,
+    balancers: Vec<String>,
+) -> Member {
     let place = Place { vm: name.clone(), zone: "z".to_owned(), region: String::new() };
     let control = "127.0.0.1:7".parse().unwrap();
     let role = if agent {
@@ -35,11 +41,11 @@
             connections: 4,
             state: states[usize::from(state) % states.len()],
         };
-        Role::Agent { agent, homes }
+        Role::Agent { agent, balancers }
     } else {
         let states = [BalancerState::Ready, BalancerState::Leaving, BalancerState::Down];
         let state = states[usize::from(state) % states.len()];
-        let lease = homes.first().map(|it| it.len() as u8);
+        let lease = balancers.first().map(|it| it.len() as u8);
         Role::Balancer { balancer: Balancer { name, place, control, state }, lease }
     };
     Member { version, since_ms: version.minor, role }
@@ -69,8 +75,8 @@
         Frame::parse(&bytes[..at]).is_err() || at > 0
     }
 
-    fn members_round_trip(name: String, agent: bool, state: u8, version: (u64, u64), homes: Vec<String>) -> bool {
-        let it = member(name, agent, state, Version::member(version.0, version.1), homes);
+    fn members_round_trip(name: String, agent: bool, state: u8, version: (u64, u64), balancers: Vec<String>) -> bool {
+        let it = member(name, agent, state, Version::member(version.0, version.1), balancers);
         let bytes = MemberPart::from(&it).encode_to_vec();
         Member::try_from(&MemberPart::decode(bytes.as_slice()).unwrap()) == Ok(it)
     }
@@ -92,16 +98,16 @@
     fn marks_round_trip(revision: u64, floor: u64, sum: u64) -> bool {
         let kind = Kind::Change;
         let deleted = vec![Deletion { kind, name: floor.to_string(), revision }];
-        let mark = Mark { revision, floor, sum, deleted };
-        Mark::try_from(&MarkPart::from(&mark)) == Ok(mark)
+        let mark = Watermark { revision, floor, sum, deleted };
+        Watermark::try_from(&MarkPart::from(&mark)) == Ok(mark)
     }
 }
 
 #[test]
 fn out_of_range_fields_are_rejected() {
-    let digest = Digest { buckets: vec![0; BUCKETS - 1] };
+    let digest = Digest { buckets: vec![0; BUCKET_COUNT - 1] };
     assert!(digest.to_buckets().is_err());
-    let summary = Summary { buckets: vec![BUCKETS as u32], ..Summary::default() };
+    let summary = Summary { buckets: vec![BUCKET_COUNT as u32], ..Summary::default() };
     assert!(view::Summary::try_from(&summary).is_err());
     assert!(Record::try_from(&RecordPart::default()).is_err());
     let mut part = MemberPart::from(&member("a".to_owned(), true, 1, Version::default(), vec![]));
